--- a/src/coordination/coordinator.cc
+++ b/src/coordination/coordinator.cc
@@ -22,8 +22,8 @@
   return executor;
 }
 
-OrderBookOptions bookOptionsOf(const CoordinatorOptions& options) {
-  OrderBookOptions book;
+OrderStoreOptions bookOptionsOf(const CoordinatorOptions& options) {
+  OrderStoreOptions book;
   book.region = options.region;
   return book;
 }
--- a/src/coordination/coordinator.h
+++ b/src/coordination/coordinator.h
@@ -13,8 +13,8 @@
 #include "coordination/engine_catalogue.h"
 #include "coordination/lease_manager.h"
 #include "coordination/lease_messages.h"
-#include "coordination/order_book.h"
 #include "coordination/order_executor.h"
+#include "coordination/order_store.h"
 
 namespace covewing::coordination {
 
@@ -47,7 +47,7 @@
   Coordinator& operator=(const Coordinator&) = delete;
 
   void start() { lease_.start(); }
-  OrderBook& orders() { return orders_; }
+  OrderStore& orders() { return orders_; }
   LeaseStatus leaseStatus() const { return lease_.status(); }
   std::size_t openOrders() const { return executor_.openOrders(); }
   /// Planned stop: executes nothing more, hands the lease over; `done` is called once.
@@ -64,7 +64,7 @@
 
   CoordinatorEnvironment environment_;
   LeaseManager lease_;
-  OrderBook orders_;
+  OrderStore orders_;
   OrderExecutor executor_;
 };
 
--- a/src/coordination/lease_manager.cc
+++ b/src/coordination/lease_manager.cc
@@ -33,16 +33,16 @@
     case Succession::kFirst:
       return {};
     case Succession::kFormerRun:
-      return options.orderTime;
+      return options.orderTransitTime;
     case Succession::kRecent:
-      return options.orderGap + options.orderTime;
+      return options.orderGap + options.orderTransitTime;
     case Succession::kLapsed:
       break;
   }
   // It was taken this long, at least, after the former holder sent its last write.
   const auto waited = options.duration + options.margin;
   const auto window = options.orderWindow.count() == 0 ? options.duration : options.orderWindow;
-  return std::max(options.orderGap + options.orderTime + window + options.margin - waited,
+  return std::max(options.orderGap + options.orderTransitTime + window + options.margin - waited,
                   base::Duration::zero());
 }
 
@@ -299,7 +299,7 @@
       .row = std::move(row),
       .sentAt = environment_.clock.now(),
       .tenureRevision = expected.tenureRevision,
-      .settle = newTenure ? settleTime(succession(), options_) : settleTimeLeft()};
+      .settleTime = newTenure ? settleTime(succession(), options_) : settleTimeLeft()};
   clients::TableTransaction transaction;
   // A conflict answers with the rows of both conditions.
   transaction.conditions = {{leaseKey(options_.name), expected.revision},
@@ -361,11 +361,12 @@
   }
   const bool renewed = tenure_ && tenure_->grant.token == attempt.row.token;
   if (tenure_ && !renewed) loseTenure("taken anew");
-  const auto settledAt = renewed ? tenure_->settledAt : environment_.clock.now() + attempt.settle;
+  const auto settledAt =
+      renewed ? tenure_->settledAt : environment_.clock.now() + attempt.settleTime;
   const bool limited = options_.orderWindow.count() > 0;
   tenure_ = Tenure{.grant = {.token = attempt.row.token,
                              .tenureRevision = attempt.tenureRevision,
-                             .settle = attempt.settle},
+                             .settleTime = attempt.settleTime},
                    .revision = revision,
                    .validUntil = validUntil,
                    .ordersUntil = limited ? attempt.sentAt + options_.orderWindow : validUntil,
--- a/src/coordination/lease_manager.h
+++ b/src/coordination/lease_manager.h
@@ -68,7 +68,7 @@
   /// zero: as long as it holds the lease. The shorter, the sooner the next holder may order.
   base::Duration orderWindow{};
   /// How long an order may be under way after the holder's check, at most.
-  base::Duration orderTime{};
+  base::Duration orderTransitTime{};
 };
 
 /// All must outlive the manager and share its thread.
@@ -87,7 +87,7 @@
   /// Revision of the tenure row (lease_row.h).
   base::Revision tenureRevision = 0;
   /// From the acquisition until the first order.
-  base::Duration settle{};
+  base::Duration settleTime{};
 };
 
 /// How a lease came to its holder.
@@ -195,7 +195,7 @@
     base::Revision tenureRevision = 0;
     /// How long this node must wait before it orders, once the write made it the holder. A renewal
     /// does so when its answer is found after the lease has lapsed here.
-    base::Duration settle{};
+    base::Duration settleTime{};
   };
 
   /// Does what is next and due; called by the timer and after each answer.
--- a/src/coordination/order_book.cc
+++ b/src/coordination/order_store.cc
@@ -1,4 +1,4 @@
-#include "coordination/order_book.h"
+#include "coordination/order_store.h"
 
 #include <algorithm>
 #include <utility>
@@ -30,11 +30,11 @@
 
 /// One call in progress. Reads the row, decides, writes; reads again after a conflict or a lost
 /// answer, a bounded number of times.
-class OrderBook::Operation : public std::enable_shared_from_this<OrderBook::Operation> {
+class OrderStore::Operation : public std::enable_shared_from_this<OrderStore::Operation> {
  public:
   enum class Kind : std::uint8_t { kCreate, kFind, kCancel };
 
-  Operation(OrderBook& book, Kind kind, Order order, Callback callback)
+  Operation(OrderStore& book, Kind kind, Order order, Callback callback)
       : book_(book),
         alive_(book.lifetime_),
         kind_(kind),
@@ -138,7 +138,7 @@
     std::exchange(callback_, nullptr)({status, std::move(order), std::move(reason)});
   }
 
-  OrderBook& book_;
+  OrderStore& book_;
   std::weak_ptr<bool> alive_;
   Kind kind_;
   Order order_;
@@ -147,26 +147,26 @@
   bool maybeWritten_ = false;
 };
 
-OrderBook::OrderBook(OrderBookOptions options, base::TimerService& timers,
-                     base::RandomSource& random, clients::TableClient& table)
+OrderStore::OrderStore(OrderStoreOptions options, base::TimerService& timers,
+                       base::RandomSource& random, clients::TableClient& table)
     : options_(std::move(options)), timers_(timers), random_(random), table_(table) {}
 
-OrderBook::~OrderBook() = default;
+OrderStore::~OrderStore() = default;
 
-void OrderBook::create(Order order, Callback callback) {
+void OrderStore::create(Order order, Callback callback) {
   std::make_shared<Operation>(*this, Operation::Kind::kCreate, std::move(order),
                               std::move(callback))
       ->read();
 }
 
-void OrderBook::find(std::string id, Callback callback) {
+void OrderStore::find(std::string id, Callback callback) {
   Order order;
   order.id = std::move(id);
   std::make_shared<Operation>(*this, Operation::Kind::kFind, std::move(order), std::move(callback))
       ->read();
 }
 
-void OrderBook::cancel(std::string id, Callback callback) {
+void OrderStore::cancel(std::string id, Callback callback) {
   Order order;
   order.id = std::move(id);
   std::make_shared<Operation>(*this, Operation::Kind::kCancel, std::move(order),
@@ -174,7 +174,7 @@
       ->read();
 }
 
-void OrderBook::list(ListCallback callback) {
+void OrderStore::list(ListCallback callback) {
   table_.scan(orderPrefix(options_.region), 0, options_.listLimit,
               [callback = std::move(callback)](const TableReply& reply) {
                 if (reply.status != TableStatus::kOk) {
--- a/src/coordination/order_book.h
+++ b/src/coordination/order_store.h
@@ -47,7 +47,7 @@
   base::Reason reason;
 };
 
-struct OrderBookOptions {
+struct OrderStoreOptions {
   std::string region;
   /// Calls to the table service in one operation before it gives up.
   std::uint32_t maximumAttempts = 8;
@@ -56,18 +56,18 @@
   std::size_t listLimit = 256;
 };
 
-class OrderBook {
+class OrderStore {
  public:
   using Callback = std::function<void(OrderCallResult)>;
   using ListCallback = std::function<void(OrderListResult)>;
   /// Called when an order of the region was created or marked by this node.
   using ChangeListener = std::function<void()>;
 
-  OrderBook(OrderBookOptions options, base::TimerService& timers, base::RandomSource& random,
-            clients::TableClient& table);
-  ~OrderBook();
-  OrderBook(const OrderBook&) = delete;
-  OrderBook& operator=(const OrderBook&) = delete;
+  OrderStore(OrderStoreOptions options, base::TimerService& timers, base::RandomSource& random,
+             clients::TableClient& table);
+  ~OrderStore();
+  OrderStore(const OrderStore&) = delete;
+  OrderStore& operator=(const OrderStore&) = delete;
 
   const std::string& region() const { return options_.region; }
   void setChangeListener(ChangeListener listener) { listener_ = std::move(listener); }
@@ -80,7 +80,7 @@
  private:
   class Operation;
 
-  OrderBookOptions options_;
+  OrderStoreOptions options_;
   base::TimerService& timers_;
   base::RandomSource& random_;
   clients::TableClient& table_;
--- a/src/coordination/weights_rollout.cc
+++ b/src/coordination/weights_rollout.cc
@@ -101,7 +101,7 @@
                           {"expected_orders", std::to_string(expectedOrders)},
                           {"loading", std::to_string(std::lround(loading()))},
                           {"load_limit", std::to_string(loadLimit_)}});
-  environment_.news.onChanging(instance);
+  environment_.news.onReplicaChanging(instance);
   environment_.replicas.order(
       record->facts().endpoint, instance, order,
       [this, instance, alive = std::weak_ptr(lifetime_)](clients::WeightsOrderStatus status) {
@@ -157,7 +157,7 @@
   const auto record = environment_.directory.find(instance);
   change.callUnderWay = true;
   // Others may reach a replica that does not answer this node.
-  if (!silent(change)) environment_.news.onChanging(instance);
+  if (!silent(change)) environment_.news.onReplicaChanging(instance);
   environment_.replicas.report(record->facts().endpoint, instance, change.model,
                                [this, instance, alive = std::weak_ptr(lifetime_)](
                                    const std::optional<clients::WeightsReport>& report) {
@@ -226,13 +226,13 @@
 void WeightsRollout::release(const std::string& instance) {
   const auto& model = changes_.at(instance).model;
   if (const auto record = environment_.directory.find(instance))
-    environment_.news.onChanged(instance, model, record->versionOf(model));
+    environment_.news.onReplicaServing(instance, model, record->versionOf(model));
   finish(instance, "the version is stopped");
 }
 
 void WeightsRollout::finishServed(const std::string& instance, base::WeightsVersion version) {
   versions_.onServed(changes_.at(instance).model, version);
-  environment_.news.onChanged(instance, changes_.at(instance).model, version);
+  environment_.news.onReplicaServing(instance, changes_.at(instance).model, version);
   finish(instance, "served");
 }
 
--- a/src/coordination/weights_rollout.h
+++ b/src/coordination/weights_rollout.h
@@ -76,14 +76,14 @@
 };
 
 /// Tells all nodes about one replica.
-class ReplicaNews {
+class ReplicaChangeListener {
  public:
-  virtual ~ReplicaNews() = default;
+  virtual ~ReplicaChangeListener() = default;
   /// The replica is about to load weights: route around it for now.
-  virtual void onChanging(const std::string& instance) = 0;
+  virtual void onReplicaChanging(const std::string& instance) = 0;
   /// The replica serves the version.
-  virtual void onChanged(const std::string& instance, const std::string& model,
-                         base::WeightsVersion version) = 0;
+  virtual void onReplicaServing(const std::string& instance, const std::string& model,
+                                base::WeightsVersion version) = 0;
 };
 
 /// All must outlive the rollout and share its thread.
@@ -94,7 +94,7 @@
   clients::WeightsClient& replicas;
   const routing::ReplicaDirectory& directory;
   const routing::WeightsTargets& targets;
-  ReplicaNews& news;
+  ReplicaChangeListener& news;
   /// Name of this node.
   std::string holder;
   /// How many replicas of a service long runs fill; none are kept together without it.
@@ -103,7 +103,7 @@
   std::function<double(const std::string& service)> replicasInUse;
   /// Whether the configuration has the service: an entry of any other names no replica to order.
   /// Every service counts as configured without it.
-  std::function<bool(const std::string& service)> configured{};
+  std::function<bool(const std::string& service)> isConfigured{};
 };
 
 class WeightsRollout {
--- a/src/coordination/weights_rollout_pace.cc
+++ b/src/coordination/weights_rollout_pace.cc
@@ -39,14 +39,14 @@
   const auto now = environment_.clock.now();
   if (silent(change) && change.phase == Phase::kDraining) {
     change.startedAt = now;
-    environment_.news.onChanging(instance);
+    environment_.news.onReplicaChanging(instance);
   }
   change.heardAt = now;
 }
 
 bool WeightsRollout::usable(const routing::ReplicaRecord& record) const {
   const auto& service = record.facts().service;
-  const bool configured = !environment_.configured || environment_.configured(service);
+  const bool configured = !environment_.isConfigured || environment_.isConfigured(service);
   return configured && record.inService();
 }
 
@@ -104,7 +104,7 @@
     change.nextAt = unused ? now : now + options_.lead;
     survey_.forget(instance);
     changes_.emplace(instance, change);
-    environment_.news.onChanging(instance);
+    environment_.news.onReplicaChanging(instance);
   }
 }
 
--- a/src/live/relay_part_options.cc
+++ b/src/live/relay_part_options.cc
@@ -68,7 +68,7 @@
   if (!settings.fencingEnforced) {
     options.lease.orderGap = settings.lease;
     options.lease.orderWindow = settings.lease / 2;
-    options.lease.orderTime = clients::kWeightsCallTimeout;
+    options.lease.orderTransitTime = clients::kWeightsCallTimeout;
   }
   return options;
 }
--- a/src/node/operator_service_orders.cc
+++ b/src/node/operator_service_orders.cc
@@ -142,9 +142,9 @@
     callback(responseOf(result));
   };
   if (request.method == "GET") {
-    book_.find(id, std::move(answer));
+    store_.find(id, std::move(answer));
   } else if (request.method == "DELETE") {
-    book_.cancel(id, std::move(answer));
+    store_.cancel(id, std::move(answer));
   } else {
     answer({OrderCallStatus::kNotFound,
             std::nullopt,
@@ -163,9 +163,9 @@
   OrderRequest request = readRequest(*json, mistakes);
   request.operationId = target.text("operation");
   request.author = target.text("author");
-  if (request.region.empty()) request.region = book_.region();
-  if (request.region != book_.region()) {
-    mistakes.push_back({"region", "this node is in region " + book_.region()});
+  if (request.region.empty()) request.region = store_.region();
+  if (request.region != store_.region()) {
+    mistakes.push_back({"region", "this node is in region " + store_.region()});
   }
   if (request.operationId.size() > kMaximumName) mistakes.push_back({"operation", "too long"});
   if (request.author.size() > kMaximumName) mistakes.push_back({"author", "too long"});
@@ -175,13 +175,13 @@
     callback(refusal(base::ResultCode::kOrderInvalid, mistakes));
     return;
   }
-  book_.create(std::move(*order), [callback = std::move(callback)](const OrderCallResult& result) {
+  store_.create(std::move(*order), [callback = std::move(callback)](const OrderCallResult& result) {
     callback(responseOf(result));
   });
 }
 
 void OrderCalls::list(OperatorCallback callback) {
-  book_.list([callback = std::move(callback)](const coordination::OrderListResult& result) {
+  store_.list([callback = std::move(callback)](const coordination::OrderListResult& result) {
     if (!result.orders) {
       callback(refusal(result.reason));
       return;
--- a/src/node/operator_service_orders.h
+++ b/src/node/operator_service_orders.h
@@ -5,7 +5,7 @@
 #include <string>
 
 #include "coordination/engine_catalogue.h"
-#include "coordination/order_book.h"
+#include "coordination/order_store.h"
 #include "node/operator_api.h"
 #include "node/operator_service_answer.h"
 #include "node/operator_service_target.h"
@@ -15,8 +15,8 @@
 /// Every answer but a refusal of the call itself comes from the table service.
 class OrderCalls {
  public:
-  OrderCalls(coordination::OrderBook& book, const coordination::EngineCatalogue& catalogue)
-      : book_(book), catalogue_(catalogue) {}
+  OrderCalls(coordination::OrderStore& store, const coordination::EngineCatalogue& catalogue)
+      : store_(store), catalogue_(catalogue) {}
 
   void call(const OperatorTarget& target, const OperatorRequest& request,
             OperatorCallback callback);
@@ -27,7 +27,7 @@
   void create(const OperatorTarget& target, const std::string& body, OperatorCallback callback);
   void list(OperatorCallback callback);
 
-  coordination::OrderBook& book_;
+  coordination::OrderStore& store_;
   const coordination::EngineCatalogue& catalogue_;
 };
 
--- a/src/node/weights_coordinator.cc
+++ b/src/node/weights_coordinator.cc
@@ -28,7 +28,7 @@
       rollout_(options_.rollout,
                {environment.clock, environment.timers, environment.log, environment.weights,
                 environment.replicas, environment.targets, *this, environment.members.self().name,
-                environment.longRunReplicas, environment.replicasInUse, environment.configured},
+                environment.longRunReplicas, environment.replicasInUse, environment.isConfigured},
                [this] { return lease_.grantForOrders(); }) {}
 
 WeightsCoordinator::~WeightsCoordinator() { environment_.timers.cancel(settleTimer_); }
@@ -82,7 +82,7 @@
   token_ = grant.token;
   published_ = 0;
   changingToldAt_.clear();
-  settleTimer_ = environment_.timers.schedule(grant.settle, [this] { rollout_.start(); });
+  settleTimer_ = environment_.timers.schedule(grant.settleTime, [this] { rollout_.start(); });
 }
 
 void WeightsCoordinator::onLeaseLost() {
@@ -110,7 +110,7 @@
                           coordination::encodeReplicaChange(record));
 }
 
-void WeightsCoordinator::onChanging(const std::string& instance) {
+void WeightsCoordinator::onReplicaChanging(const std::string& instance) {
   const auto now = environment_.clock.now();
   auto& toldAt = changingToldAt_[instance];
   // What was told lately still holds at all nodes; each record costs every node several messages.
@@ -119,8 +119,8 @@
   publish(instance, {});
 }
 
-void WeightsCoordinator::onChanged(const std::string& instance, const std::string& model,
-                                   base::WeightsVersion version) {
+void WeightsCoordinator::onReplicaServing(const std::string& instance, const std::string& model,
+                                          base::WeightsVersion version) {
   changingToldAt_.erase(instance);
   publish(instance, std::to_string(version) + ' ' + model);
 }
--- a/src/node/weights_coordinator.h
+++ b/src/node/weights_coordinator.h
@@ -45,12 +45,12 @@
   /// How many replicas of a service the work under way fills.
   std::function<double(const std::string& service)> replicasInUse;
   /// Whether the configuration has the service.
-  std::function<bool(const std::string& service)> configured{};
+  std::function<bool(const std::string& service)> isConfigured{};
 };
 
 class WeightsCoordinator final : public base::PeerHandler,
                                  private coordination::LeaseListener,
-                                 private coordination::ReplicaNews {
+                                 private coordination::ReplicaChangeListener {
  public:
   WeightsCoordinator(WeightsCoordinatorOptions options, WeightsCoordinatorEnvironment environment);
   ~WeightsCoordinator() override;
@@ -71,9 +71,9 @@
   void onLeaseWritten(const coordination::LeaseAnnouncement& announcement) override;
   void onLeaseAcquired(const coordination::LeaseGrant& grant) override;
   void onLeaseLost() override;
-  void onChanging(const std::string& instance) override;
-  void onChanged(const std::string& instance, const std::string& model,
-                 base::WeightsVersion version) override;
+  void onReplicaChanging(const std::string& instance) override;
+  void onReplicaServing(const std::string& instance, const std::string& model,
+                        base::WeightsVersion version) override;
   void publish(const std::string& instance, std::string value);
   /// Tells the replica's home at once: gossip takes a second in a fleet of hundreds, and requests
   /// ask the home (routing/placement.h).
--- a/tests/coordination/lease_manager_test.cc
+++ b/tests/coordination/lease_manager_test.cc
@@ -214,16 +214,17 @@
   options.margin = milliseconds(300);
   BOOST_TEST((settleTime(Succession::kLapsed, options) == base::Duration::zero()));
   options.orderGap = milliseconds(3000);
-  options.orderTime = milliseconds(800);
+  options.orderTransitTime = milliseconds(800);
   BOOST_TEST((settleTime(Succession::kFirst, options) == base::Duration::zero()));
-  BOOST_TEST((settleTime(Succession::kFormerRun, options) == options.orderTime));
-  BOOST_TEST((settleTime(Succession::kRecent, options) == options.orderGap + options.orderTime));
+  BOOST_TEST((settleTime(Succession::kFormerRun, options) == options.orderTransitTime));
+  BOOST_TEST(
+      (settleTime(Succession::kRecent, options) == options.orderGap + options.orderTransitTime));
   // The former holder sent its last order at most a window after its last write, and that was under
   // way for its time; the lease was taken its duration and margin after the write.
   for (const auto window : {milliseconds(900), milliseconds(1500), milliseconds(3600)}) {
     options.orderWindow = window;
     const auto settle = settleTime(Succession::kLapsed, options);
-    BOOST_TEST((options.duration + options.margin + settle - window - options.orderTime >=
+    BOOST_TEST((options.duration + options.margin + settle - window - options.orderTransitTime >=
                 options.orderGap));
   }
 }
--- a/tests/coordination/lease_succession_test.cc
+++ b/tests/coordination/lease_succession_test.cc
@@ -30,7 +30,7 @@
     options.renewInterval = milliseconds(750);
     options.orderGap = seconds(3);
     options.orderWindow = milliseconds(1500);
-    options.orderTime = milliseconds(800);
+    options.orderTransitTime = milliseconds(800);
     lease.emplace(
         options,
         LeaseEnvironment{node.time, node.time, node.random, node.log, node.table, node.members},
@@ -40,7 +40,7 @@
   void onLeaseWritten(const LeaseAnnouncement& /*announcement*/) override {}
   void onLeaseAcquired(const LeaseGrant& grant) override {
     ++acquired;
-    settle = grant.settle;
+    settle = grant.settleTime;
   }
   void onLeaseLost() override { ++lost; }
   bool rowSettled() const {
--- a/tests/coordination/weights_rollout_test.cc
+++ b/tests/coordination/weights_rollout_test.cc
@@ -125,7 +125,7 @@
   test_support::VirtualTime& time_;
 };
 
-struct RolloutFixture : ReplicaNews {
+struct RolloutFixture : ReplicaChangeListener {
   RolloutFixture() {
     time.advance(seconds(100));
     for (int number = 0; number < 12; ++number) add("r" + std::to_string(number));
@@ -143,9 +143,9 @@
     directory.onListed(replica);
   }
 
-  void onChanging(const std::string& instance) override { changing.insert(instance); }
-  void onChanged(const std::string& instance, const std::string& model,
-                 base::WeightsVersion version) override {
+  void onReplicaChanging(const std::string& instance) override { changing.insert(instance); }
+  void onReplicaServing(const std::string& instance, const std::string& model,
+                        base::WeightsVersion version) override {
     changing.erase(instance);
     directory.find(instance)->learnVersion(model, version);
   }
