--- a/src/bench/oracle_policy.cc
+++ b/src/bench/oracle_policy.cc
@@ -112,7 +112,7 @@
   decision.matchedBlocks = bestEstimate.cachedBlocks;
   decision.importBlocks = bestEstimate.importBlocks;
   decision.exportBlocks = exportBlocks(query, storedBlocks);
-  decision.expectedFirstToken = bestEstimate.firstToken;
+  decision.expectedTimeToFirstToken = bestEstimate.firstToken;
   return decision;
 }
 
--- a/src/live/relay_daemon.cc
+++ b/src/live/relay_daemon.cc
@@ -31,7 +31,7 @@
 #include "node/weights_coordinator.h"
 #include "node/weights_dates.h"
 #include "routing/cache_watch.h"
-#include "routing/load_sharing.h"
+#include "routing/load_exchange.h"
 
 namespace covewing::live {
 
@@ -73,7 +73,7 @@
         parts({}, {clock, timers, random, log, peers, membership}),
         placement({}, {clock, timers, random, log, peers, membership, replicas, holders}),
         weights(deployment.weights, replicas, placement),
-        loadSharing({}, {clock, timers, log, peers, membership, replicas, fleetLoad}),
+        loadExchange({}, {clock, timers, log, peers, membership, replicas, fleetLoad}),
         storeEras(clock, log),
         ownTable(deployment.table, storeEras),
         configuration(deployment.configurationRows, clock, log, targets, storeEras),
@@ -133,7 +133,7 @@
         [this](const std::string& instance, const clients::WeightsCallNotices& notices) {
           if (const auto replica = replicas.find(instance)) learnNotices(*replica, notices);
         });
-    cacheWatch.onLimitedCall(
+    cacheWatch.onRateLimitedPoll(
         [this](const routing::ReplicaRecord& replica) { placement.countCall(replica); });
     replicaEnds.onEnded([this](const routing::EndedRuns& ended) {
       quarantine.onRunsEnded(base::engineIdOf(ended.instance), ended.runs);
@@ -185,8 +185,8 @@
   /// Tells the home of a long part who holds it.
   void onCacheChange(const routing::CacheChange& change) {
     const auto least = request::RelayOptions{}.leastLookup;
-    const bool before = change.tokensBefore >= least;
-    const bool now = change.tokensNow >= least;
+    const bool before = change.previousTokens >= least;
+    const bool now = change.currentTokens >= least;
     if (before != now) parts.tell(change.part, {change.holder, change.scope}, now);
   }
 
@@ -223,10 +223,10 @@
     routing::ReplicaLoad others;
     for (const auto& record : replicas.ofService(name)) {
       own += record->ownLoad();
-      others += fleetLoad.ofOthers(base::engineIdOf(record->facts().instance), clock.now());
+      others += fleetLoad.loadOfOtherNodes(base::engineIdOf(record->facts().instance), clock.now());
     }
     const auto count = nodes();
-    const bool told = 2 * (fleetLoad.heard(clock.now()) + 1) > count;
+    const bool told = 2 * (fleetLoad.reportingNodes(clock.now()) + 1) > count;
     const auto inUse = [&](double ownWork, double othersWork, double each) {
       return (told ? ownWork + othersWork : ownWork * static_cast<double>(count)) /
              std::max(1.0, each);
@@ -265,7 +265,7 @@
     coordinator.start();
     cacheStoreNews.start();
     cacheWatch.start();
-    loadSharing.start();
+    loadExchange.start();
     quarantine.start();
     configurationWatch.start();
     replicaWatch.start();
@@ -332,7 +332,7 @@
     if (channel == base::Channel::kTableFeed) feeds.onPeerMessage(sender, payload);
     if (channel == base::Channel::kPartIndex) parts.onPeerMessage(sender, payload);
     if (channel == base::Channel::kPlacement) placement.onPeerMessage(sender, payload);
-    if (channel == base::Channel::kReplicaLoad) loadSharing.onPeerMessage(sender, payload);
+    if (channel == base::Channel::kReplicaLoad) loadExchange.onPeerMessage(sender, payload);
     if (channel == base::Channel::kAdmission) quotas.onPeerMessage(sender, payload);
     if (channel == base::Channel::kQuarantine) quarantine.onPeerMessage(sender, payload);
     if (channel == base::Channel::kCoordination) coordinator.onPeerMessage(sender, payload);
@@ -433,7 +433,7 @@
   routing::PartLookup parts;
   routing::Placement placement;
   node::CountedWeightsClient weights;
-  routing::LoadSharing loadSharing;
+  routing::LoadExchange loadExchange;
   config::StoreEras storeEras;
   config::EraCheckedTable ownTable;
   node::RouteConfiguration configuration;
--- a/src/node/cache_store_news.cc
+++ b/src/node/cache_store_news.cc
@@ -20,7 +20,7 @@
                                membership::RecordDissemination& records,
                                routing::CacheStores& stores)
     : members_(members), records_(records), stores_(stores) {
-  stores_.onAnsweredChanged(
+  stores_.onLocalAvailabilityChanged(
       [this](const std::string& store, bool answered) { publish(store, answered); });
 }
 
@@ -41,8 +41,8 @@
   const auto rest = std::string_view{record.key}.substr(kRecordPrefix.size());
   const auto separator = rest.rfind(kSeparator);
   if (separator == std::string_view::npos) return;
-  stores_.onReport(rest.substr(0, separator), rest.substr(separator + 1),
-                   record.value == kAnswered);
+  stores_.onReportedAvailability(rest.substr(0, separator), rest.substr(separator + 1),
+                                 record.value == kAnswered);
 }
 
 }  // namespace covewing::node
--- a/src/node/explain_json.cc
+++ b/src/node/explain_json.cc
@@ -49,7 +49,7 @@
   return {{"engine", candidate.name},
           {"matched_blocks", candidate.matchedBlocks},
           {"doubtful", candidate.doubtful},
-          {"expected_first_token_ms", base::toMilliseconds(candidate.expectedFirstToken)},
+          {"expected_first_token_ms", base::toMilliseconds(candidate.expectedTimeToFirstToken)},
           {"note", candidate.note}};
 }
 
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -72,10 +72,10 @@
     switch (error.reason.code) {
       case base::ResultCode::kBackEndUnreachable:
       case base::ResultCode::kBackEndLost:
-        directory_.noteUnreachable(backEnd);
+        directory_.markUnreachable(backEnd);
         return;
       case base::ResultCode::kBackEndLeaving:
-        directory_.noteLeaving(backEnd);
+        directory_.markLeaving(backEnd);
         return;
       default:
         return;
--- a/src/node/operator_service_status.cc
+++ b/src/node/operator_service_status.cc
@@ -41,14 +41,14 @@
   return list;
 }
 
-Json loadOf(const routing::KnownLoad& known, base::TimePoint now) {
+Json loadOf(const routing::ReceivedLoad& known, base::TimePoint now) {
   std::uint32_t waiting = 0;
   for (const std::uint32_t count : known.load.waiting) waiting += count;
   return {{"running", known.load.running},
           {"waiting", waiting},
           {"cached_blocks", known.load.cachedBlocks},
           {"capacity_blocks", known.load.capacityBlocks},
-          {"age_ms", base::toMilliseconds(now - known.takenAt)}};
+          {"age_ms", base::toMilliseconds(now - known.receivedAt)}};
 }
 
 Json homesOf(const routing::EngineState& engine, const membership::MemberDirectory& members) {
--- a/src/request/completion_flow.cc
+++ b/src/request/completion_flow.cc
@@ -128,7 +128,7 @@
     onNoEngine(decision.reason);
     return;
   }
-  dependencies().admission.onExpectedFirstToken(plan_.priority, decision.expectedFirstToken);
+  dependencies().admission.onExpectedFirstToken(plan_.priority, decision.expectedTimeToFirstToken);
   const routing::EngineState* engine = dependencies().fleet.find(*decision.engine);
   if (engine == nullptr) {
     onNoEngine({ResultCode::kNoBackEnd, "the engine chosen is gone"});
@@ -315,7 +315,7 @@
   routed.policy = dependencies().policy.name();
   routed.matchedBlocks = decision.matchedBlocks;
   routed.importBlocks = decision.importBlocks;
-  routed.expectedFirstToken = decision.expectedFirstToken;
+  routed.expectedFirstToken = decision.expectedTimeToFirstToken;
   const std::size_t kept = std::min(decision.candidates.size(), RequestTrace::kMaximumCandidates);
   routed.candidates.assign(decision.candidates.begin(),
                            decision.candidates.begin() + static_cast<std::ptrdiff_t>(kept));
--- a/src/routing/cache_lookup.h
+++ b/src/routing/cache_lookup.h
@@ -13,7 +13,7 @@
 namespace covewing::routing {
 
 /// What is known of one engine for one prompt.
-struct EngineKnowledge {
+struct EngineLookupResult {
   base::EngineId engine;
   /// A home answered; otherwise the fields below are zero.
   bool known = false;
@@ -32,7 +32,7 @@
   /// Leading blocks believed to be in the store of kept KV cache.
   std::uint32_t exportedBlocks = 0;
   /// One element for each engine asked about, in that order.
-  std::vector<EngineKnowledge> engines;
+  std::vector<EngineLookupResult> engines;
 };
 
 using LookupCallback = std::function<void(LookupResult)>;
--- a/src/routing/cache_lookup_client.cc
+++ b/src/routing/cache_lookup_client.cc
@@ -49,7 +49,7 @@
   pending.result.lookupId = lookupId;
   pending.callback = std::move(callback);
   for (const auto engine : engines) {
-    EngineKnowledge knowledge;
+    EngineLookupResult knowledge;
     knowledge.engine = engine;
     pending.result.engines.push_back(knowledge);
   }
--- a/src/routing/cache_stores.cc
+++ b/src/routing/cache_stores.cc
@@ -15,9 +15,10 @@
 }  // namespace
 
 bool CacheStoreState::available() const {
-  if (answered) return *answered;
-  const auto yes = std::ranges::count_if(reported, [](const auto& entry) { return entry.second; });
-  return 2 * static_cast<std::size_t>(yes) > reported.size();
+  if (localAvailability) return *localAvailability;
+  const auto yes =
+      std::ranges::count_if(reportedAvailability, [](const auto& entry) { return entry.second; });
+  return 2 * static_cast<std::size_t>(yes) > reportedAvailability.size();
 }
 
 void CacheStores::update(const config::RouteTable& table) {
@@ -47,19 +48,20 @@
   return found == stores_.end() ? nullptr : &*found;
 }
 
-void CacheStores::setAnswered(std::string_view name, bool answered) {
+void CacheStores::setLocalAvailability(std::string_view name, bool answered) {
   auto* store = find(name);
-  if (store == nullptr || store->answered == answered) return;
-  store->answered = answered;
+  if (store == nullptr || store->localAvailability == answered) return;
+  store->localAvailability = answered;
   if (listener_) listener_(store->name, answered);
 }
 
-void CacheStores::forgetAnswered(std::string_view name) {
-  if (auto* store = find(name)) store->answered.reset();
+void CacheStores::clearLocalAvailability(std::string_view name) {
+  if (auto* store = find(name)) store->localAvailability.reset();
 }
 
-void CacheStores::onReport(std::string_view name, std::string_view node, bool answered) {
-  if (auto* store = find(name)) store->reported[std::string{node}] = answered;
+void CacheStores::onReportedAvailability(std::string_view name, std::string_view node,
+                                         bool answered) {
+  if (auto* store = find(name)) store->reportedAvailability[std::string{node}] = answered;
 }
 
 const CacheStoreState* CacheStores::choose(std::uint64_t part) const {
--- a/src/routing/cache_stores.h
+++ b/src/routing/cache_stores.h
@@ -23,9 +23,9 @@
   std::uint32_t eventWatchers = 0;
   /// Whether it answered the last call of this node's watch; empty when this node does not watch
   /// it.
-  std::optional<bool> answered;
+  std::optional<bool> localAvailability;
   /// Whether it answered other nodes, by their name.
-  std::map<std::string, bool, std::less<>> reported;
+  std::map<std::string, bool, std::less<>> reportedAvailability;
 
   /// This node's own knowledge, else what most other nodes say; false while nothing is known.
   bool available() const;
@@ -38,14 +38,15 @@
   const std::vector<CacheStoreState>& all() const { return stores_; }
   const CacheStoreState* find(std::string_view name) const;
   /// What this node's own watch sees. The listener is told when it changes.
-  void setAnswered(std::string_view name, bool answered);
+  void setLocalAvailability(std::string_view name, bool answered);
   /// This node watches the store no longer.
-  void forgetAnswered(std::string_view name);
-  void onAnsweredChanged(std::function<void(const std::string& name, bool answered)> listener) {
+  void clearLocalAvailability(std::string_view name);
+  void onLocalAvailabilityChanged(
+      std::function<void(const std::string& name, bool answered)> listener) {
     listener_ = std::move(listener);
   }
   /// Another node says whether the store answers it.
-  void onReport(std::string_view name, std::string_view node, bool answered);
+  void onReportedAvailability(std::string_view name, std::string_view node, bool answered);
   /// The available store of a part; null when none is available.
   const CacheStoreState* choose(std::uint64_t part) const;
 
--- a/src/routing/cache_watch.cc
+++ b/src/routing/cache_watch.cc
@@ -78,7 +78,7 @@
       continue;
     }
     environment_.timers.cancel(watch->second.timer);
-    environment_.stores.forgetAnswered(watch->first);
+    environment_.stores.clearLocalAvailability(watch->first);
     watch = watches_.erase(watch);
   }
   hastenUnlimited();
@@ -151,7 +151,7 @@
   const auto rateLimit = rateLimitOf(name);
   const auto pause = pauseFor(rateLimit);
   watch.limited = rateLimit.has_value();
-  environment_.stores.setAnswered(name, reply.status == clients::CacheFeedStatus::kOk);
+  environment_.stores.setLocalAvailability(name, reply.status == clients::CacheFeedStatus::kOk);
   if (reply.status != clients::CacheFeedStatus::kOk) {
     schedule(name, watch, std::max(options_.backoff, pause));
     return;
@@ -175,9 +175,9 @@
     change.holder = holder;
     change.scope = cacheScope(event.salt, event.model);
     change.part = prefix::partIdOf(event.part);
-    change.tokensNow = event.tokens;
+    change.currentTokens = event.tokens;
     if (tells)
-      change.tokensBefore = environment_.holders.tokensOf(holder, change.scope, change.part);
+      change.previousTokens = environment_.holders.tokensOf(holder, change.scope, change.part);
     environment_.holders.learn(holder, change.scope, change.part, event.tokens);
     if (tells) changed_(change);
   }
--- a/src/routing/cache_watch.h
+++ b/src/routing/cache_watch.h
@@ -72,8 +72,8 @@
   base::EngineId holder;
   CacheScope scope = 0;
   std::uint64_t part = 0;
-  std::uint32_t tokensBefore = 0;
-  std::uint32_t tokensNow = 0;
+  std::uint32_t previousTokens = 0;
+  std::uint32_t currentTokens = 0;
 };
 
 class CacheWatch {
@@ -94,7 +94,7 @@
   using CallListener = std::function<void(const ReplicaRecord& replica)>;
 
   void start();
-  void onLimitedCall(CallListener listener) { limitedCall_ = std::move(listener); }
+  void onRateLimitedPoll(CallListener listener) { limitedCall_ = std::move(listener); }
   void onChange(ChangeListener listener) { changed_ = std::move(listener); }
   std::size_t watched() const { return watches_.size(); }
 
--- a/src/routing/engine_directory.cc
+++ b/src/routing/engine_directory.cc
@@ -270,7 +270,7 @@
   tracking.reportedLeaving = report.leaving;
   engine.role = report.role;
   engine.weights = report.weights;
-  engine.load = KnownLoad{report.load, now};
+  engine.load = ReceivedLoad{report.load, now};
   refresh(engine, tracking);
   if (!polls(engine.address.id)) return;
   tracking.nextSequence = report.nextSequence;
@@ -321,7 +321,7 @@
 
 // --- own observations
 
-void EngineDirectory::noteUnreachable(base::EngineId id) {
+void EngineDirectory::markUnreachable(base::EngineId id) {
   EngineState* engine = findMutable(id);
   if (engine == nullptr) return;
   auto& tracking = tracking_.at(id);
@@ -334,7 +334,7 @@
   refresh(*engine, tracking);
 }
 
-void EngineDirectory::noteLeaving(base::EngineId id) {
+void EngineDirectory::markLeaving(base::EngineId id) {
   EngineState* engine = findMutable(id);
   if (engine == nullptr) {
     const bool application = std::ranges::any_of(
@@ -348,7 +348,7 @@
   refresh(*engine, tracking);
 }
 
-void EngineDirectory::noteIncarnation(base::EngineId id, base::Incarnation incarnation) {
+void EngineDirectory::observeIncarnation(base::EngineId id, base::Incarnation incarnation) {
   EngineState* engine = findMutable(id);
   if (engine == nullptr) return;
   auto& tracking = tracking_.at(id);
--- a/src/routing/engine_directory.h
+++ b/src/routing/engine_directory.h
@@ -105,11 +105,11 @@
   base::WeightsVersion defaultVersion(std::string_view model) const override;
 
   /// A dispatch found the engine unreachable.
-  void noteUnreachable(base::EngineId id);
+  void markUnreachable(base::EngineId id);
   /// The engine or application refused work because it is leaving.
-  void noteLeaving(base::EngineId id);
+  void markLeaving(base::EngineId id);
   /// The engine named its incarnation, such as with a refused identity.
-  void noteIncarnation(base::EngineId id, base::Incarnation incarnation);
+  void observeIncarnation(base::EngineId id, base::Incarnation incarnation);
   /// The homes of an engine, best first; empty for an unknown engine.
   std::vector<base::NodeId> homes(base::EngineId engine) const;
   bool isHomeOf(base::EngineId engine) const;
--- a/src/routing/engine_ranking.cc
+++ b/src/routing/engine_ranking.cc
@@ -13,7 +13,7 @@
 
 struct Ranked {
   const EngineState* engine = nullptr;
-  EngineKnowledge knowledge;
+  EngineLookupResult knowledge;
   ServiceEstimate estimate;
 };
 
@@ -38,7 +38,7 @@
   return count == 0 ? 0 : sum / count;
 }
 
-ServiceInput serviceInput(const EngineState& engine, const EngineKnowledge& knowledge,
+ServiceInput serviceInput(const EngineState& engine, const EngineLookupResult& knowledge,
                           const RouteQuery& query, const LookupResult& result) {
   ServiceInput input;
   input.promptTokens = query.promptTokens;
@@ -92,7 +92,7 @@
   candidate.name = ranked.engine->address.name;
   candidate.matchedBlocks = ranked.knowledge.matchedBlocks;
   candidate.doubtful = ranked.knowledge.doubtful;
-  candidate.expectedFirstToken = ranked.estimate.firstToken;
+  candidate.expectedTimeToFirstToken = ranked.estimate.firstToken;
   if (!ranked.knowledge.known) candidate.note = "no home answered";
   if (ranked.estimate.importedTokens > 0) candidate.note = "import";
   return candidate;
@@ -108,7 +108,7 @@
   const Ranked& chosen = ranking[drawNearEqual(ranking, tuning.nearEqual, random)];
   RouteDecision decision = decideFor(*chosen.engine);
   decision.matchedBlocks = chosen.knowledge.matchedBlocks;
-  decision.expectedFirstToken = chosen.estimate.firstToken;
+  decision.expectedTimeToFirstToken = chosen.estimate.firstToken;
   decision.uncachedTokens = chosen.estimate.uncachedTokens;
   decision.lookupId = result.lookupId;
   decision.importedTokens = chosen.estimate.importedTokens;
--- a/src/routing/fleet_load.cc
+++ b/src/routing/fleet_load.cc
@@ -8,12 +8,12 @@
 ReplicaLoad& ReplicaLoad::operator+=(const ReplicaLoad& other) {
   requests += other.requests;
   tokens += other.tokens;
-  unreadTokens += other.unreadTokens;
+  pendingPrefillTokens += other.pendingPrefillTokens;
   return *this;
 }
 
-void FleetLoad::onNews(base::NodeId node, base::Incarnation incarnation, std::uint64_t number,
-                       LoadByReplica load, base::TimePoint now) {
+void FleetLoad::onUpdate(base::NodeId node, base::Incarnation incarnation, std::uint64_t number,
+                         LoadByReplica load, base::TimePoint now) {
   std::erase_if(nodes_, [&](const auto& entry) { return !isHeard(entry.second, now); });
   auto& known = nodes_[node];
   const std::pair told{incarnation, number};
@@ -21,7 +21,7 @@
   known = {incarnation, number, now, std::move(load)};
 }
 
-ReplicaLoad FleetLoad::ofOthers(base::EngineId replica, base::TimePoint now) const {
+ReplicaLoad FleetLoad::loadOfOtherNodes(base::EngineId replica, base::TimePoint now) const {
   ReplicaLoad sum;
   for (const auto& [id, node] : nodes_) {
     if (!isHeard(node, now)) continue;
@@ -31,7 +31,7 @@
   return sum;
 }
 
-std::size_t FleetLoad::heard(base::TimePoint now) const {
+std::size_t FleetLoad::reportingNodes(base::TimePoint now) const {
   return static_cast<std::size_t>(
       std::ranges::count_if(nodes_, [&](const auto& entry) { return isHeard(entry.second, now); }));
 }
--- a/src/routing/fleet_load.h
+++ b/src/routing/fleet_load.h
@@ -25,7 +25,7 @@
   /// Tokens of memory that the requests need.
   std::uint64_t tokens = 0;
   /// Tokens to be read of the prompts of the requests whose answers have not begun.
-  std::uint64_t unreadTokens = 0;
+  std::uint64_t pendingPrefillTokens = 0;
 
   bool operator==(const ReplicaLoad&) const = default;
   ReplicaLoad& operator+=(const ReplicaLoad& other);
@@ -45,15 +45,15 @@
 
   /// Takes what a node has under way in place of what it told before. News of an earlier run of the
   /// node, or sent before some that are known, are dropped.
-  void onNews(base::NodeId node, base::Incarnation incarnation, std::uint64_t number,
-              LoadByReplica load, base::TimePoint now);
+  void onUpdate(base::NodeId node, base::Incarnation incarnation, std::uint64_t number,
+                LoadByReplica load, base::TimePoint now);
   /// The sum over the nodes that are heard.
-  ReplicaLoad ofOthers(base::EngineId replica, base::TimePoint now) const;
+  ReplicaLoad loadOfOtherNodes(base::EngineId replica, base::TimePoint now) const;
   /// Time between two news of one node at present; zero where nothing was heard.
   base::Duration interval() const { return interval_; }
   void setInterval(base::Duration interval) { interval_ = interval; }
   /// Nodes whose news are known.
-  std::size_t heard(base::TimePoint now) const;
+  std::size_t reportingNodes(base::TimePoint now) const;
 
  private:
   struct Node {
--- a/src/routing/fleet_view.h
+++ b/src/routing/fleet_view.h
@@ -18,9 +18,9 @@
 
 /// A load report and when it came, on this node's clock. Work sent since is counted by the engine's
 /// home (routing/queue_estimate.h).
-struct KnownLoad {
+struct ReceivedLoad {
   clients::EngineLoad load;
-  base::TimePoint takenAt;
+  base::TimePoint receivedAt;
 };
 
 struct EngineState {
@@ -33,7 +33,7 @@
   /// Held dead or unreachable from here: no new work until it is seen again.
   bool unreachable = false;
   std::vector<clients::LoadedWeights> weights;
-  std::optional<KnownLoad> load;
+  std::optional<ReceivedLoad> load;
 
   bool serves(std::string_view model, std::string_view adapter, base::WeightsVersion version) const;
 };
--- a/src/routing/load_sharing.cc
+++ b/src/routing/load_exchange.cc
@@ -1,4 +1,4 @@
-#include "routing/load_sharing.h"
+#include "routing/load_exchange.h"
 
 #include <algorithm>
 #include <utility>
@@ -7,15 +7,15 @@
 
 namespace covewing::routing {
 
-LoadSharing::~LoadSharing() { environment_.timers.cancel(timer_); }
+LoadExchange::~LoadExchange() { environment_.timers.cancel(timer_); }
 
-base::Duration LoadSharing::interval() const {
+base::Duration LoadExchange::interval() const {
   const auto others = static_cast<double>(environment_.members.liveMembers().size()) - 1;
   const std::chrono::duration<double> paced{others / options_.messagesPerSecond};
   return std::max(options_.interval, std::chrono::duration_cast<base::Duration>(paced));
 }
 
-void LoadSharing::tick() {
+void LoadExchange::tick() {
   const auto pause = interval();
   environment_.fleet.setInterval(pause);
   if (pause <= kLongestUsefulLoadInterval) tellIfDue();
@@ -23,7 +23,7 @@
   timer_ = environment_.timers.schedule(std::min(pause, options_.repeat), [this] { tick(); });
 }
 
-void LoadSharing::tellIfDue() {
+void LoadExchange::tellIfDue() {
   const auto now = environment_.clock.now();
   LoadByReplica load = ownLoad();
   if (load == told_ && now - toldAt_ < options_.repeat) return;
@@ -32,7 +32,7 @@
   toldAt_ = now;
 }
 
-LoadByReplica LoadSharing::ownLoad() const {
+LoadByReplica LoadExchange::ownLoad() const {
   LoadByReplica load;
   for (const auto& [instance, record] : environment_.replicas.all()) {
     const auto own = record->ownLoad();
@@ -41,8 +41,8 @@
   return load;
 }
 
-void LoadSharing::tell(const LoadByReplica& load) {
-  const std::string message = encode(LoadNews{++lastNumber_, load});
+void LoadExchange::tell(const LoadByReplica& load) {
+  const std::string message = encode(LoadUpdate{++lastNumber_, load});
   const auto self = environment_.members.self().id;
   for (const auto& member : environment_.members.liveMembers()) {
     if (member.id != self)
@@ -50,14 +50,14 @@
   }
 }
 
-void LoadSharing::onPeerMessage(const base::PeerIdentity& sender, std::string_view payload) {
-  auto news = decodeLoadNews(payload);
+void LoadExchange::onPeerMessage(const base::PeerIdentity& sender, std::string_view payload) {
+  auto news = decodeLoadUpdate(payload);
   if (!news) {
     environment_.log.write(base::Event::kMessageRejected, {{"channel", "replica load"}});
     return;
   }
-  environment_.fleet.onNews(sender.node, sender.incarnation, news->number, std::move(news->load),
-                            environment_.clock.now());
+  environment_.fleet.onUpdate(sender.node, sender.incarnation, news->number, std::move(news->load),
+                              environment_.clock.now());
 }
 
 }  // namespace covewing::routing
--- a/src/routing/load_sharing.h
+++ b/src/routing/load_exchange.h
@@ -19,7 +19,7 @@
 
 namespace covewing::routing {
 
-struct LoadSharingOptions {
+struct LoadExchangeOptions {
   /// Least time between two messages to the same node.
   base::Duration interval = std::chrono::milliseconds(50);
   /// Messages that a node sends a second at most.
@@ -29,7 +29,7 @@
 };
 
 /// All must outlive the sharing and share its thread.
-struct LoadSharingEnvironment {
+struct LoadExchangeEnvironment {
   base::Clock& clock;
   base::TimerService& timers;
   base::EventLog& log;
@@ -39,13 +39,13 @@
   FleetLoad& fleet;
 };
 
-class LoadSharing final : public base::PeerHandler {
+class LoadExchange final : public base::PeerHandler {
  public:
-  LoadSharing(LoadSharingOptions options, LoadSharingEnvironment environment)
+  LoadExchange(LoadExchangeOptions options, LoadExchangeEnvironment environment)
       : options_(options), environment_(environment) {}
-  ~LoadSharing() override;
-  LoadSharing(const LoadSharing&) = delete;
-  LoadSharing& operator=(const LoadSharing&) = delete;
+  ~LoadExchange() override;
+  LoadExchange(const LoadExchange&) = delete;
+  LoadExchange& operator=(const LoadExchange&) = delete;
 
   void start() { tick(); }
   void onPeerMessage(const base::PeerIdentity& sender, std::string_view payload) override;
@@ -59,8 +59,8 @@
   void tell(const LoadByReplica& load);
   base::Duration interval() const;
 
-  LoadSharingOptions options_;
-  LoadSharingEnvironment environment_;
+  LoadExchangeOptions options_;
+  LoadExchangeEnvironment environment_;
   LoadByReplica told_;
   base::TimePoint toldAt_{};
   std::uint64_t lastNumber_ = 0;
--- a/src/routing/load_messages.cc
+++ b/src/routing/load_messages.cc
@@ -7,28 +7,28 @@
 namespace {
 
 /// Type number on the wire; never reused.
-constexpr std::uint64_t kLoadNewsType = 1;
+constexpr std::uint64_t kLoadUpdateType = 1;
 constexpr std::uint32_t kNewsFields = 3;
 constexpr std::uint32_t kEntryFields = 4;
 
 }  // namespace
 
-std::string encode(const LoadNews& news) {
+std::string encode(const LoadUpdate& news) {
   base::Writer writer;
-  writer.array(kNewsFields).unsignedInteger(kLoadNewsType).unsignedInteger(news.number);
+  writer.array(kNewsFields).unsignedInteger(kLoadUpdateType).unsignedInteger(news.number);
   writer.array(static_cast<std::uint32_t>(news.load.size()));
   for (const auto& [replica, load] : news.load) {
     writer.array(kEntryFields).unsignedInteger(replica.value).unsignedInteger(load.requests);
-    writer.unsignedInteger(load.tokens).unsignedInteger(load.unreadTokens);
+    writer.unsignedInteger(load.tokens).unsignedInteger(load.pendingPrefillTokens);
   }
   return writer.take();
 }
 
-std::optional<LoadNews> decodeLoadNews(std::string_view bytes) {
+std::optional<LoadUpdate> decodeLoadUpdate(std::string_view bytes) {
   base::Reader reader(bytes);
   reader.beginArray();
-  if (reader.unsignedInteger() != kLoadNewsType) return std::nullopt;
-  LoadNews news;
+  if (reader.unsignedInteger() != kLoadUpdateType) return std::nullopt;
+  LoadUpdate news;
   news.number = reader.unsignedInteger();
   const auto count = reader.beginArray();
   for (std::uint32_t index = 0; index < count && reader.ok(); ++index) {
@@ -37,7 +37,7 @@
     auto& load = news.load[replica];
     load.requests = static_cast<std::uint32_t>(reader.unsignedInteger());
     load.tokens = reader.unsignedInteger();
-    load.unreadTokens = reader.unsignedInteger();
+    load.pendingPrefillTokens = reader.unsignedInteger();
     reader.endArray();
   }
   return reader.ok() ? std::optional{std::move(news)} : std::nullopt;
--- a/src/routing/load_messages.h
+++ b/src/routing/load_messages.h
@@ -11,14 +11,14 @@
 
 namespace covewing::routing {
 
-struct LoadNews {
+struct LoadUpdate {
   /// Grows with each message of one run of the sender.
   std::uint64_t number = 0;
   LoadByReplica load;
 };
 
-std::string encode(const LoadNews& news);
+std::string encode(const LoadUpdate& news);
 /// Empty when the bytes are not news of load.
-std::optional<LoadNews> decodeLoadNews(std::string_view bytes);
+std::optional<LoadUpdate> decodeLoadUpdate(std::string_view bytes);
 
 }  // namespace covewing::routing
--- a/src/routing/replica_choice.cc
+++ b/src/routing/replica_choice.cc
@@ -144,7 +144,7 @@
 bool ReplicaChoice::loadKnown(std::size_t nodes, base::TimePoint now) const {
   if (context_.fleet.interval() > kLongestUsefulLoadInterval) return false;
   const auto others = static_cast<double>(std::max<std::size_t>(nodes, 1) - 1);
-  return static_cast<double>(context_.fleet.heard(now)) >= others * options_.leastHeard;
+  return static_cast<double>(context_.fleet.reportingNodes(now)) >= others * options_.leastHeard;
 }
 
 ReplicaChoice::Bounds ReplicaChoice::boundsOf(const ReplicaRecord& record,
@@ -168,12 +168,13 @@
   for (std::size_t index = 0; index < ordered.size(); ++index) {
     const auto& record = *ordered[index];
     ReplicaLoad load = record.ownLoad();
-    if (known) load += context_.fleet.ofOthers(base::engineIdOf(record.facts().instance), now);
+    if (known)
+      load += context_.fleet.loadOfOtherNodes(base::engineIdOf(record.facts().instance), now);
     const auto bounds = boundsOf(record, query, nodes, known);
     if (load.requests >= bounds.requests) continue;
     const bool fits = static_cast<double>(load.tokens + own) <= bounds.tokens;
     if (!fits && load.requests > 0) continue;
-    const auto wait = record.readSpeed().leastTime(load.unreadTokens);
+    const auto wait = record.readSpeed().leastTime(load.pendingPrefillTokens);
     if (wait <= query.acceptableWait) return index;
     if (wait >= shortest) continue;
     shortest = wait;
@@ -224,7 +225,7 @@
   if (store == nullptr) return;
   decision.saveTo = store->endpoint;
   // A node that does not watch the store cannot know; to ask in vain costs next to nothing.
-  if (!decision.fetchFrom && !store->answered)
+  if (!decision.fetchFrom && !store->localAvailability)
     decision.fetchFrom = CacheSource{store->name, store->endpoint, decision.matchedTokens};
 }
 
--- a/src/routing/replica_ledger.cc
+++ b/src/routing/replica_ledger.cc
@@ -132,7 +132,7 @@
 
 base::Duration ReplicaLedger::expectedWait(const PlacementWork& work, base::TimePoint now) {
   const auto current = load(now);
-  auto wait = readSpeed_.leastTime(current.unreadTokens) + timeForPlace(current, work);
+  auto wait = readSpeed_.leastTime(current.pendingPrefillTokens) + timeForPlace(current, work);
   if (now < fullUntil_) wait += runTime_;
   return std::max(wait, pacer_.untilNext(now));
 }
@@ -142,10 +142,11 @@
   const auto current = load(now);
   // What waits now is read before the new stream begins; it meets what usually comes later.
   const PaceLoad met{current.requests + 1, static_cast<std::uint64_t>(usualUnread_), 0};
-  const PaceLoad added{current.requests + 1, current.unreadTokens + work.unread, 0};
+  const PaceLoad added{current.requests + 1, current.pendingPrefillTokens + work.unread, 0};
   const auto own = pace_.expectedLongestPause(met, now);
   const auto others = pace_.expectedLongestPause(added, now);
-  const auto already = pace_.expectedLongestPause({current.requests, current.unreadTokens, 0}, now);
+  const auto already =
+      pace_.expectedLongestPause({current.requests, current.pendingPrefillTokens, 0}, now);
   if (!own || !others || !already) return {};
   const auto beyond = [](base::Duration pause, base::Duration bound) {
     const bool bounded = bound > base::Duration::zero();
--- a/src/routing/routing_policy.h
+++ b/src/routing/routing_policy.h
@@ -41,7 +41,7 @@
   /// The match comes from entries that may be outdated.
   bool doubtful = false;
   /// Expected time to first token.
-  base::Duration expectedFirstToken{};
+  base::Duration expectedTimeToFirstToken{};
   std::string note;
 };
 
@@ -53,7 +53,7 @@
   /// Leading blocks to import from, or export to, the store of kept KV cache.
   std::uint32_t importBlocks = 0;
   std::uint32_t exportBlocks = 0;
-  base::Duration expectedFirstToken{};
+  base::Duration expectedTimeToFirstToken{};
   /// Prompt tokens that the engine is expected to compute.
   std::uint32_t uncachedTokens = 0;
   /// Prompt tokens that the engine is expected to import.
--- a/src/routing/staged_lookup.cc
+++ b/src/routing/staged_lookup.cc
@@ -23,7 +23,7 @@
                    }
                    for (const auto engine : engines) {
                      if (engine == first) continue;
-                     EngineKnowledge unknown;
+                     EngineLookupResult unknown;
                      unknown.engine = engine;
                      result.engines.push_back(unknown);
                    }
@@ -41,7 +41,7 @@
 
 bool StagedLookup::settles(const LookupResult& result,
                            const prefix::Checkpoints& checkpoints) const {
-  const EngineKnowledge& best = result.engines.front();
+  const EngineLookupResult& best = result.engines.front();
   const double wanted = options_.settlingShare * checkpoints.chainLength;
   return best.known && !best.doubtful && best.matchedBlocks >= wanted &&
          best.tokensAhead <= options_.settlingTokensAhead;
--- a/tests/fuzz/routing_load_message_fuzz.cc
+++ b/tests/fuzz/routing_load_message_fuzz.cc
@@ -8,9 +8,9 @@
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   namespace routing = covewing::routing;
   const std::string_view payload(reinterpret_cast<const char*>(data), size);
-  const auto news = routing::decodeLoadNews(payload);
+  const auto news = routing::decodeLoadUpdate(payload);
   if (!news) return 0;
-  const auto again = routing::decodeLoadNews(routing::encode(*news));
+  const auto again = routing::decodeLoadUpdate(routing::encode(*news));
   if (!again || again->number != news->number || again->load != news->load) __builtin_trap();
   return 0;
 }
--- a/tests/node/cache_store_news_test.cc
+++ b/tests/node/cache_store_news_test.cc
@@ -66,10 +66,10 @@
   Gossip gossip;
   NewsNode watcher("a", gossip);
   const NewsNode other("b", gossip);
-  watcher.stores.setAnswered("store/0.0.0.9:9", true);
+  watcher.stores.setLocalAvailability("store/0.0.0.9:9", true);
   BOOST_REQUIRE(other.stores.choose(1) != nullptr);
-  BOOST_TEST(!other.stores.choose(1)->answered.has_value());
-  watcher.stores.setAnswered("store/0.0.0.9:9", false);
+  BOOST_TEST(!other.stores.choose(1)->localAvailability.has_value());
+  watcher.stores.setLocalAvailability("store/0.0.0.9:9", false);
   BOOST_TEST((other.stores.choose(1) == nullptr));
 }
 
@@ -77,9 +77,9 @@
   Gossip gossip;
   NewsNode first("a", gossip);
   NewsNode second("b", gossip);
-  first.stores.setAnswered("store/0.0.0.9:9", true);
-  first.stores.setAnswered("store/0.0.0.9:9", false);
-  second.stores.setAnswered("store/0.0.0.9:9", true);
+  first.stores.setLocalAvailability("store/0.0.0.9:9", true);
+  first.stores.setLocalAvailability("store/0.0.0.9:9", false);
+  second.stores.setLocalAvailability("store/0.0.0.9:9", true);
   BOOST_TEST(gossip.records[1].version > gossip.records[0].version);
   BOOST_TEST(gossip.records[1].key == gossip.records[0].key);
   BOOST_TEST(gossip.records[2].key != gossip.records[0].key);
--- a/tests/node/message_versions_test.cc
+++ b/tests/node/message_versions_test.cc
@@ -150,9 +150,9 @@
   ended.rateLimit = clients::RateLimitNotice::unlimited();
   ended.notSent = true;
   addPlacement(all, "PlacementEnded", ended);
-  all.push_back(sample("LoadNews", routing::encode(routing::LoadNews{4, {}}),
-                       routing::decodeLoadNews,
-                       [](const routing::LoadNews& news) { return routing::encode(news); }));
+  all.push_back(sample("LoadUpdate", routing::encode(routing::LoadUpdate{4, {}}),
+                       routing::decodeLoadUpdate,
+                       [](const routing::LoadUpdate& news) { return routing::encode(news); }));
   addQuota(all, "QuotaAsk", admission::QuotaAsk{});
   addQuota(all, "QuotaGrant", admission::QuotaGrant{});
   addQuota(all, "QuotaCorrection", admission::QuotaCorrection{});
--- a/tests/request/fakes.h
+++ b/tests/request/fakes.h
@@ -250,7 +250,7 @@
       if (std::ranges::find(query.excluded, state.address.id) != query.excluded.end()) continue;
       decision.engine = state.address.id;
       decision.incarnation = state.incarnation;
-      decision.expectedFirstToken = std::chrono::milliseconds(50);
+      decision.expectedTimeToFirstToken = std::chrono::milliseconds(50);
       decision.candidates.push_back({state.address.id, state.address.name, 0, false, {}, ""});
       decision.reason = {};
       break;
--- a/tests/routing/cache_stores_test.cc
+++ b/tests/routing/cache_stores_test.cc
@@ -42,44 +42,45 @@
 BOOST_AUTO_TEST_CASE(StoreThatNothingIsKnownOfIsNotChosen) { BOOST_TEST(chosen().empty()); }
 
 BOOST_AUTO_TEST_CASE(AvailableStoresShareThePartsAndEachPartKeepsIts) {
-  stores.setAnswered(one, true);
-  stores.setAnswered(two, true);
+  stores.setLocalAvailability(one, true);
+  stores.setLocalAvailability(two, true);
   BOOST_TEST(chosen().size() == 2U);
   const auto name = stores.choose(7)->name;
-  stores.setAnswered("store/0.0.0.9:3", true);
-  stores.setAnswered(name == one ? two : one, false);
+  stores.setLocalAvailability("store/0.0.0.9:3", true);
+  stores.setLocalAvailability(name == one ? two : one, false);
   const auto* again = stores.choose(7);
   BOOST_TEST((again->name == name || again->name == "store/0.0.0.9:3"));
 }
 
 BOOST_AUTO_TEST_CASE(NodeThatDoesNotWatchGoesByWhatMostOthersSay) {
-  stores.onReport(one, "n1", true);
-  stores.onReport(one, "n2", true);
-  stores.onReport(one, "n3", false);
+  stores.onReportedAvailability(one, "n1", true);
+  stores.onReportedAvailability(one, "n2", true);
+  stores.onReportedAvailability(one, "n3", false);
   BOOST_TEST(stores.choose(1)->name == one);
-  stores.onReport(one, "n2", false);
+  stores.onReportedAvailability(one, "n2", false);
   BOOST_TEST((stores.choose(1) == nullptr));
 }
 
 BOOST_AUTO_TEST_CASE(OwnWatchCountsForMoreThanReports) {
-  stores.onReport(one, "n1", true);
-  stores.setAnswered(one, false);
+  stores.onReportedAvailability(one, "n1", true);
+  stores.setLocalAvailability(one, false);
   BOOST_TEST((stores.choose(1) == nullptr));
-  stores.forgetAnswered(one);
+  stores.clearLocalAvailability(one);
   BOOST_TEST(stores.choose(1)->name == one);
 }
 
 BOOST_AUTO_TEST_CASE(ChangesOfTheOwnWatchAreToldOnce) {
   std::vector<bool> told;
-  stores.onAnsweredChanged(
+  stores.onLocalAvailabilityChanged(
       [&told](const std::string& /*name*/, bool value) { told.push_back(value); });
-  for (const bool answered : {true, true, false, false, true}) stores.setAnswered(one, answered);
+  for (const bool answered : {true, true, false, false, true})
+    stores.setLocalAvailability(one, answered);
   BOOST_TEST(told == (std::vector<bool>{true, false, true}), boost::test_tools::per_element());
 }
 
 BOOST_AUTO_TEST_CASE(AnotherTableKeepsWhatIsKnown) {
-  stores.setAnswered(one, true);
-  stores.onReport(two, "n1", true);
+  stores.setLocalAvailability(one, true);
+  stores.onReportedAvailability(two, "n1", true);
   stores.update(*table);
   BOOST_TEST(chosen().size() == 2U);
 }
--- a/tests/routing/cache_watch_test.cc
+++ b/tests/routing/cache_watch_test.cc
@@ -179,10 +179,10 @@
   time.advance(milliseconds(400));
   feed.calls.back().callback(reply(7, 14, 0));
   BOOST_REQUIRE(changes.size() == 2U);
-  BOOST_TEST(changes[0].tokensBefore == 50U);
-  BOOST_TEST(changes[0].tokensNow == 40U);
-  BOOST_TEST(changes[1].tokensBefore == 40U);
-  BOOST_TEST(changes[1].tokensNow == 0U);
+  BOOST_TEST(changes[0].previousTokens == 50U);
+  BOOST_TEST(changes[0].currentTokens == 40U);
+  BOOST_TEST(changes[1].previousTokens == 40U);
+  BOOST_TEST(changes[1].currentTokens == 0U);
 }
 
 // Each new watcher is sent all events that the replica still keeps.
@@ -246,7 +246,7 @@
 // A replica that takes one request a second got two calls a second from those that watch its cache.
 BOOST_AUTO_TEST_CASE(ReplicaWithARateLimitIsWatchedSeldomAndByItsHomeAlone) {
   std::size_t limitedCalls = 0;
-  watch.onLimitedCall([&](const ReplicaRecord& /*replica*/) { ++limitedCalls; });
+  watch.onRateLimitedPoll([&](const ReplicaRecord& /*replica*/) { ++limitedCalls; });
   auto limited = reply(7, 12, 50);
   limited.rateLimit = clients::RateLimitNotice::of(1);
   feed.calls.back().callback(limited);
--- a/tests/routing/engine_directory_test.cc
+++ b/tests/routing/engine_directory_test.cc
@@ -108,7 +108,7 @@
   addEngine("rules-1", "north", 4);
   directory.start();
   time.advance(100ms);
-  directory.noteUnreachable(base::engineIdOf("rules-1"));
+  directory.markUnreachable(base::engineIdOf("rules-1"));
   BOOST_TEST(engine("rules-1").unreachable);
   time.advance(700ms);
   BOOST_TEST(!engine("rules-1").unreachable);
@@ -120,7 +120,7 @@
   directory.start();
   time.advance(1s);
   BOOST_TEST(engines.polledFrom["rules-1"] == 90U);
-  directory.noteIncarnation(base::engineIdOf("rules-1"), 2);
+  directory.observeIncarnation(base::engineIdOf("rules-1"), 2);
   BOOST_TEST(engine("rules-1").incarnation == 2U);
   BOOST_TEST(!engine("rules-1").load.has_value());
   time.advance(700ms);
@@ -132,7 +132,7 @@
   addEngine("rules-1", "north", 4);
   directory.start();
   time.advance(1s);
-  directory.noteLeaving(base::engineIdOf("rules-1"));
+  directory.markLeaving(base::engineIdOf("rules-1"));
   BOOST_TEST(engine("rules-1").leaving);
   time.advance(3s);
   BOOST_TEST(engine("rules-1").leaving);
@@ -149,7 +149,7 @@
   directory.start();
   time.advance(1s);
   BOOST_TEST(directory.applicationReplicas("pairings").size() == 2U);
-  directory.noteLeaving(base::engineIdOf("pairings-1"));
+  directory.markLeaving(base::engineIdOf("pairings-1"));
   time.advance(20s);
   const auto offered = directory.applicationReplicas("pairings");
   BOOST_REQUIRE(offered.size() == 1U);
@@ -164,10 +164,10 @@
   addEngine("rules-1", "north", 4);
   directory.start();
   time.advance(1s);
-  directory.noteLeaving(base::engineIdOf("rules-1"));
+  directory.markLeaving(base::engineIdOf("rules-1"));
   time.advance(30s);
   BOOST_TEST(engine("rules-1").leaving);
-  directory.noteIncarnation(base::engineIdOf("rules-1"), 2);
+  directory.observeIncarnation(base::engineIdOf("rules-1"), 2);
   BOOST_TEST(!engine("rules-1").leaving);
 }
 
--- a/tests/routing/load_sharing_test.cc
+++ b/tests/routing/load_exchange_test.cc
@@ -1,6 +1,6 @@
 // What nodes tell each other of the work that they have under way, and what becomes of losses,
 // restarts and silence.
-#include "routing/load_sharing.h"
+#include "routing/load_exchange.h"
 
 #include <boost/test/unit_test.hpp>
 #include <map>
@@ -54,9 +54,9 @@
            std::vector<membership::Member> ownFirst)
       : members(std::move(ownFirst)),
         link(network, {members.self().id, 1, members.self().endpoint}),
-        sharing(std::make_unique<LoadSharing>(
-            LoadSharingOptions{},
-            LoadSharingEnvironment{time, time, log, link, members, replicas, fleet})) {
+        sharing(std::make_unique<LoadExchange>(
+            LoadExchangeOptions{},
+            LoadExchangeEnvironment{time, time, log, link, members, replicas, fleet})) {
     for (std::size_t number = 0; number < kReplicas; ++number) {
       Replica replica;
       replica.instance = replicaName(number);
@@ -71,7 +71,7 @@
   Link link;
   ReplicaDirectory replicas;
   FleetLoad fleet;
-  std::unique_ptr<LoadSharing> sharing;
+  std::unique_ptr<LoadExchange> sharing;
 };
 
 void Link::send(const base::Endpoint& destination, base::Channel channel, std::string payload) {
@@ -100,7 +100,7 @@
 
   LoadNode& node(std::size_t number) { return *network.nodes.at(number); }
   ReplicaLoad othersAt(std::size_t viewer, std::size_t replica) {
-    return node(viewer).fleet.ofOthers(replicaId(replica), time.now());
+    return node(viewer).fleet.loadOfOtherNodes(replicaId(replica), time.now());
   }
   /// What all nodes but one have under way in truth.
   ReplicaLoad trueOthers(std::size_t viewer, std::size_t replica) {
@@ -145,10 +145,10 @@
   build(3);
   node(1).record(0).onDispatched(900);
   time.advance(milliseconds(100));
-  BOOST_TEST(node(0).fleet.heard(time.now()) == 2U);
+  BOOST_TEST(node(0).fleet.reportingNodes(time.now()) == 2U);
   node(1).sharing.reset();
   time.advance(seconds(3));
-  BOOST_TEST(node(0).fleet.heard(time.now()) == 1U);
+  BOOST_TEST(node(0).fleet.reportingNodes(time.now()) == 1U);
   BOOST_TEST(othersAt(0, 0).requests == 0U);
 }
 
@@ -156,11 +156,11 @@
   build(2);
   auto& fleet = node(0).fleet;
   const auto sender = base::nodeIdOf("other");
-  fleet.onNews(sender, 5, 9, {{replicaId(0), {3, 30, {}}}}, time.now());
-  fleet.onNews(sender, 5, 8, {{replicaId(0), {7, 70, {}}}}, time.now());
-  fleet.onNews(sender, 4, 10, {{replicaId(0), {8, 80, {}}}}, time.now());
+  fleet.onUpdate(sender, 5, 9, {{replicaId(0), {3, 30, {}}}}, time.now());
+  fleet.onUpdate(sender, 5, 8, {{replicaId(0), {7, 70, {}}}}, time.now());
+  fleet.onUpdate(sender, 4, 10, {{replicaId(0), {8, 80, {}}}}, time.now());
   BOOST_TEST(othersAt(0, 0).requests == 3U);
-  fleet.onNews(sender, 6, 1, {}, time.now());
+  fleet.onUpdate(sender, 6, 1, {}, time.now());
   BOOST_TEST(othersAt(0, 0).requests == 0U);
 }
 
@@ -189,7 +189,7 @@
   build(2);
   node(0).sharing->onPeerMessage({base::nodeIdOf("x"), 1, {}}, "nonsense");
   BOOST_TEST(log.count(base::Event::kMessageRejected) == 1U);
-  BOOST_TEST(!decodeLoadNews("").has_value());
+  BOOST_TEST(!decodeLoadUpdate("").has_value());
 }
 
 // A history of random work under loss, checked against the truth once it has been quiet for long
--- a/tests/routing/pace_load_test.cc
+++ b/tests/routing/pace_load_test.cc
@@ -160,7 +160,7 @@
     if (rule_ == Rule::kLeastWork) {
       return **std::ranges::min_element(order, {}, [this](Replica* replica) {
         const auto load = replica->ledger.load(now_);
-        return load.unreadTokens + 100 * load.requests;
+        return load.pendingPrefillTokens + 100 * load.requests;
       });
     }
     order.resize(kAsked);
--- a/tests/routing/replica_choice_test.cc
+++ b/tests/routing/replica_choice_test.cc
@@ -50,7 +50,7 @@
 
   /// The other one of two nodes has this under way at the replica, and nothing else.
   void tell(const std::string& name, ReplicaLoad load) {
-    fleet.onNews(base::nodeIdOf("other"), 1, ++newsNumber, {{base::engineIdOf(name), load}}, now);
+    fleet.onUpdate(base::nodeIdOf("other"), 1, ++newsNumber, {{base::engineIdOf(name), load}}, now);
   }
 
   std::uint64_t newsNumber = 0;
@@ -305,7 +305,7 @@
   for (int sent = 0; sent < 5; ++sent) first->onDispatched(10'000);
   // An even share among eight nodes is 7,500 tokens.
   BOOST_TEST((choice.choose(query(), 8, now).replica != first));
-  for (int other = 0; other < 7; ++other) fleet.onNews(base::NodeId{100U + other}, 1, 1, {}, now);
+  for (int other = 0; other < 7; ++other) fleet.onUpdate(base::NodeId{100U + other}, 1, 1, {}, now);
   BOOST_TEST((choice.choose(query(), 8, now).replica == first));
 }
 
@@ -323,10 +323,10 @@
       std::map<std::string, std::uint32_t>{{"r1", 400}, {"r2", 300}, {"r3", 350}, {"r4", 500}};
   LoadByReplica load;
   for (const auto& [name, wait] : queues) load[base::engineIdOf(name)] = {1, 100, 20U * wait};
-  fleet.onNews(base::nodeIdOf("other"), 1, 1, load, now);
+  fleet.onUpdate(base::nodeIdOf("other"), 1, 1, load, now);
   BOOST_TEST((choice.choose(query(), 2, now).replica == replicas.find("r2")));
-  load[base::engineIdOf("r4")].unreadTokens = 2000;
-  fleet.onNews(base::nodeIdOf("other"), 1, 2, load, now);
+  load[base::engineIdOf("r4")].pendingPrefillTokens = 2000;
+  fleet.onUpdate(base::nodeIdOf("other"), 1, 2, load, now);
   BOOST_TEST((choice.choose(query(), 2, now).replica == replicas.find("r4")));
 }
 
@@ -366,7 +366,7 @@
   contents.services = {service};
   stores.update(config::RouteTable{contents});
   BOOST_TEST(!choose().saveTo.has_value());
-  stores.setAnswered("store/0.0.0.9:9", true);
+  stores.setLocalAvailability("store/0.0.0.9:9", true);
   BOOST_TEST((choose().saveTo == base::Endpoint{9, 9}));
   hold("store/0.0.0.9:9", 1);
   const auto decision = choose();
@@ -382,7 +382,7 @@
   contents.services = {service};
   stores.update(config::RouteTable{contents});
   BOOST_TEST(!choose().fetchFrom.has_value());
-  stores.onReport("store/0.0.0.9:9", "other", true);
+  stores.onReportedAvailability("store/0.0.0.9:9", "other", true);
   auto decision = choose();
   BOOST_REQUIRE(decision.fetchFrom.has_value());
   BOOST_TEST((decision.fetchFrom->endpoint == base::Endpoint{9, 9}));
--- a/tests/routing/staged_lookup_test.cc
+++ b/tests/routing/staged_lookup_test.cc
@@ -17,7 +17,7 @@
     LookupResult result;
     result.lookupId = asked.size();
     for (const auto engine : engines) {
-      EngineKnowledge knowledge = best;
+      EngineLookupResult knowledge = best;
       knowledge.engine = engine;
       result.engines.push_back(knowledge);
     }
@@ -28,7 +28,7 @@
     announced = lookupId;
   }
 
-  EngineKnowledge best{{}, true, false, 8, 0, 0, 0};
+  EngineLookupResult best{{}, true, false, 8, 0, 0, 0};
   std::vector<std::vector<base::EngineId>> asked;
   std::uint64_t announced = 0;
 };
@@ -103,16 +103,16 @@
 }
 
 BOOST_AUTO_TEST_CASE(AsksAboutAllWhereItDoesNotSettle) {
-  const EngineKnowledge good = lookup.best;
+  const EngineLookupResult good = lookup.best;
   std::size_t lookups = 0;
-  const auto expectTwoStages = [&](const EngineKnowledge& best) {
+  const auto expectTwoStages = [&](const EngineLookupResult& best) {
     lookup.best = best;
     ask();
     lookups += 2;
     BOOST_REQUIRE(lookup.asked.size() == lookups);
     BOOST_TEST(lookup.asked.back().size() == 3U);
   };
-  EngineKnowledge best = good;
+  EngineLookupResult best = good;
   best.known = false;
   expectTwoStages(best);
   best = good;
