--- a/src/admission/admission_options.h
+++ b/src/admission/admission_options.h
@@ -24,10 +24,10 @@
 struct QuotaOptions {
   /// Time without an answer after which an ask is repeated, and after the last repeat the home
   /// counts as unreachable.
-  base::Duration askTimeout = std::chrono::milliseconds(40);
-  std::uint32_t askRepeats = 1;
+  base::Duration requestTimeout = std::chrono::milliseconds(40);
+  std::uint32_t requestRetries = 1;
   /// How long a home that did not answer is not asked again.
-  base::Duration unreachableFor = std::chrono::seconds(1);
+  base::Duration unresponsiveHomeBackoff = std::chrono::seconds(1);
   /// Life of leased concurrency slots without renewal.
   base::Duration slotLease = std::chrono::seconds(3);
   /// Life of leased rate tokens.
@@ -40,23 +40,23 @@
   base::Duration longestPromise = std::chrono::seconds(5);
   /// Part of a full bucket that a tenant's new home starts with: the former home may have granted
   /// the whole just before.
-  double freshShare = 1.0;
+  double initialBucketShare = 1.0;
   /// A home that started less than this ago starts with an empty bucket: after a restart of all
   /// nodes each takes itself for every tenant's home until it sees the others.
-  base::Duration formingTime{};
+  base::Duration clusterFormationTime{};
   /// For so long after its start a node assumes that there are more nodes than it sees.
-  base::Duration joiningTime{};
-  std::size_t nodesWhileJoining = 1;
+  base::Duration joinPeriod{};
+  std::size_t assumedNodesWhileJoining = 1;
   /// Part of the limits that a node grants when it is asked in place of a silent home, which other
   /// nodes may still reach.
   double actingShare = 0.2;
   /// A tenant with less than this part of its bucket left is close to its limit.
-  double scarceShare = 0.25;
+  double nearLimitShare = 0.25;
   /// Part of its local share that a node grants while it sees other nodes but no home answers.
   double missedHomeShare = 0.25;
   /// Part by which a home that does not see all nodes grants more than belongs to those it sees. A
   /// few machines that are replaced cost tenants little then.
-  double unseenTolerance = 0.0;
+  double partialViewTolerance = 0.0;
 };
 
 /// The window of requests that wait for their first token.
--- a/src/admission/admission_queue.cc
+++ b/src/admission/admission_queue.cc
@@ -26,9 +26,9 @@
 
 QueueEntry mended(QueueEntry entry, TimePoint now) {
   entry.arrivedAt = std::clamp(entry.arrivedAt, now - kFurthest, now);
-  entry.latestInTime = std::clamp(entry.latestInTime, now - kFurthest, now + kFurthest);
-  entry.latestUseful = std::clamp(entry.latestUseful, entry.latestInTime,
-                                  std::max(entry.latestInTime, now + kFurthest));
+  entry.softStartDeadline = std::clamp(entry.softStartDeadline, now - kFurthest, now + kFurthest);
+  entry.hardStartDeadline = std::clamp(entry.hardStartDeadline, entry.softStartDeadline,
+                                       std::max(entry.softStartDeadline, now + kFurthest));
   return entry;
 }
 
@@ -38,13 +38,13 @@
     : options_(options), load_(options.rateMemory) {}
 
 bool AdmissionQueue::useless(const QueueEntry& entry, const LoadNow& load) {
-  return load.now > entry.latestUseful || load.room.neverFits(entry.cost);
+  return load.now > entry.hardStartDeadline || load.room.neverFits(entry.cost);
 }
 
 AdmissionQueue::Rank AdmissionQueue::rankOf(const Waiting& waiting, const LoadNow& load) const {
   const QueueEntry& entry = waiting.entry;
   Rank rank{useless(entry, load),
-            load.now > entry.latestInTime,
+            load.now > entry.softStartDeadline,
             true,
             entry.urgency,
             shares_.used(entry.urgency, entry.tenant, load.now),
@@ -71,7 +71,7 @@
           std::min(tokens + reserve.tokens, whole.tokens)};
 }
 
-bool AdmissionQueue::mayBegin(const Waiting& waiting, const Rank& rank, const Room& room,
+bool AdmissionQueue::mayBegin(const Waiting& waiting, const Rank& rank, const ReplicaCapacity& room,
                               const LoadNow& load) const {
   const FreeRoom free = load.room.free();
   const FreeRoom need = needOf(waiting, rank, load);
@@ -92,23 +92,23 @@
   // The replica has room, and yet cannot begin it in time, by what it has to read: others may pass
   // for half of the time left, and then only those that read little. Without shortage nothing is
   // held back: what has to wait then is larger than the replica can read in time.
-  const Duration allowance = head.entry.latestInTime - head.since;
+  const Duration allowance = head.entry.softStartDeadline - head.since;
   if (!rank.late && !load.room.halfFree() && load.now - head.since > allowance / 2) {
-    passing.mostUnread = head.entry.cost.unread / kLittleRead;
+    passing.mostUnread = head.entry.cost.prefillTokens / kLittleRead;
   }
   return passing;
 }
 
 bool AdmissionQueue::passes(const Waiting& waiting, const Passing& passing, const LoadNow& load) {
   const QueueCost& cost = waiting.entry.cost;
-  if (passing.mostUnread && cost.unread > *passing.mostUnread) return false;
+  if (passing.mostUnread && cost.prefillTokens > *passing.mostUnread) return false;
   if (!passing.limited) return true;
   if (load.now + load.room.runOf(cost) <= passing.headBegins.at) return true;
   return passing.headBegins.spare.slots >= 1 &&
          passing.headBegins.spare.tokens >= static_cast<std::int64_t>(cost.tokens);
 }
 
-std::size_t AdmissionQueue::choose(const std::vector<Rank>& ranks, const Room& room,
+std::size_t AdmissionQueue::choose(const std::vector<Rank>& ranks, const ReplicaCapacity& room,
                                    const LoadNow& load) const {
   const std::size_t none = waiting_.size();
   if (waiting_.empty() || load.room.full()) return none;
@@ -135,16 +135,16 @@
   const double left =
       rank.served ? 1.0 - load.askedBefore.at(LoadNow::placeOf(rank.urgency, rank.late)) : 1.0;
   const Duration wait = fromSeconds((workAhead + own) / std::max(left, LoadNow::kLeastReckoned));
-  if (!rank.late && load.now + wait <= entry.latestInTime) return {wait, true};
+  if (!rank.late && load.now + wait <= entry.softStartDeadline) return {wait, true};
   // Late service takes what all requests in time leave.
   const double leftByAll = 1.0 - load.askedLong;
   if (leftByAll < kLeastLeft) return {wait, false};
   const Duration lateWait = fromSeconds((workAhead + own) / leftByAll);
-  return {std::max(wait, lateWait), load.now + lateWait <= entry.latestUseful};
+  return {std::max(wait, lateWait), load.now + lateWait <= entry.hardStartDeadline};
 }
 
-QueueOffer AdmissionQueue::offer(const QueueEntry& entry, const Room& room, bool mayQueue,
-                                 TimePoint now) {
+QueueOffer AdmissionQueue::offer(const QueueEntry& entry, const ReplicaCapacity& room,
+                                 bool mayQueue, TimePoint now) {
   const LoadNow load = load_.look(room, now);
   const auto known = std::find_if(waiting_.begin(), waiting_.end(),
                                   [&](const Waiting& each) { return each.entry.id == entry.id; });
@@ -154,8 +154,8 @@
   // One that gave way and asks again before it was told is a new request.
   withdraw(entry.id);
   Waiting waiting{mended(entry, now), now, {}};
-  waiting.due = waiting.entry.latestInTime - (now - waiting.entry.arrivedAt);
-  if (now <= waiting.entry.latestInTime && !useless(waiting.entry, load)) {
+  waiting.due = waiting.entry.softStartDeadline - (now - waiting.entry.arrivedAt);
+  if (now <= waiting.entry.softStartDeadline && !useless(waiting.entry, load)) {
     load_.onArrival(entry, askedBefore(waiting.entry, now), load);
   }
   waiting_.push_back(waiting);
@@ -214,7 +214,7 @@
   return removed;
 }
 
-std::optional<QueueEntry> AdmissionQueue::next(const Room& room, TimePoint now) {
+std::optional<QueueEntry> AdmissionQueue::next(const ReplicaCapacity& room, TimePoint now) {
   if (waiting_.empty()) return std::nullopt;
   const LoadNow load = load_.look(room, now);
   const std::size_t place = choose(ranks(load), room, load);
@@ -224,7 +224,8 @@
   return entry;
 }
 
-std::vector<QueueRefusal> AdmissionQueue::expired(const Room& room, TimePoint now) {
+std::vector<QueueRefusal> AdmissionQueue::removeExpired(const ReplicaCapacity& room,
+                                                        TimePoint now) {
   std::vector<QueueRefusal> refusals;
   if (waiting_.empty() && displaced_.empty()) return refusals;
   const LoadNow load = load_.look(room, now);
@@ -264,7 +265,7 @@
   if (load.room.halfFree()) return false;
   const Forecast expected = forecast(waiting, rank, workAhead, load);
   if (expected.servable) return false;
-  const Duration left = entry.latestInTime - load.now;
+  const Duration left = entry.softStartDeadline - load.now;
   return rank.late || base::toSeconds(expected.wait) > kClearlyLate * base::toSeconds(left);
 }
 
--- a/src/admission/admission_queue.h
+++ b/src/admission/admission_queue.h
@@ -9,7 +9,7 @@
 /// first; within one urgency the tenant that has had least of its share; within one tenant the
 /// least time left against what the request takes. A request that cannot be served by what is ahead
 /// of it is refused at once. The queue knows nothing of caches, messages or the network; whether
-/// the replica has room is asked of the caller (`Room`).
+/// the replica has room is asked of the caller (`ReplicaCapacity`).
 ///
 /// Bounds, stated as what callers lose:
 /// - A less urgent kind that can be in time is served a tenth of what it asks for, however much the
@@ -39,9 +39,9 @@
 namespace covewing::admission {
 
 enum class QueueVerdict : std::uint8_t {
-  /// The request gets room now; the caller counts it in `Room` from here on.
+  /// The request gets room now; the caller counts it in `ReplicaCapacity` from here on.
   kGranted,
-  /// It waits; a later call of `next`, `expired` or `withdraw` ends that.
+  /// It waits; a later call of `next`, `removeExpired` or `withdraw` ends that.
   kQueued,
   /// It cannot be served here.
   kRefused,
@@ -81,12 +81,13 @@
 
   /// A request asks for room. With `mayQueue` false it is granted or refused at once, and a refusal
   /// says what the wait would be; either way it counts as an arrival of its urgency.
-  QueueOffer offer(const QueueEntry& entry, const Room& room, bool mayQueue, base::TimePoint now);
+  QueueOffer offer(const QueueEntry& entry, const ReplicaCapacity& room, bool mayQueue,
+                   base::TimePoint now);
   /// Something ended at the replica, or time passed: the request that gets room now, removed from
   /// the queue. Call again, with `room` counting it, until empty.
-  std::optional<QueueEntry> next(const Room& room, base::TimePoint now);
+  std::optional<QueueEntry> next(const ReplicaCapacity& room, base::TimePoint now);
   /// The requests that can no longer be served by what is ahead of them, removed from the queue.
-  std::vector<QueueRefusal> expired(const Room& room, base::TimePoint now);
+  std::vector<QueueRefusal> removeExpired(const ReplicaCapacity& room, base::TimePoint now);
   /// The request no longer waits; false when it is not queued.
   bool withdraw(std::uint64_t id);
   /// Takes all entries out, in order: the replica ended, leaves or changes its weights.
@@ -137,8 +138,9 @@
   Rank rankOf(const Waiting& waiting, const LoadNow& load) const;
   std::vector<Rank> ranks(const LoadNow& load) const;
   /// The one that gets room now; the queue's size where there is none.
-  std::size_t choose(const std::vector<Rank>& ranks, const Room& room, const LoadNow& load) const;
-  bool mayBegin(const Waiting& waiting, const Rank& rank, const Room& room,
+  std::size_t choose(const std::vector<Rank>& ranks, const ReplicaCapacity& room,
+                     const LoadNow& load) const;
+  bool mayBegin(const Waiting& waiting, const Rank& rank, const ReplicaCapacity& room,
                 const LoadNow& load) const;
   /// What must be free for it to begin: its own and what is kept for more urgent ones.
   static FreeRoom needOf(const Waiting& waiting, const Rank& rank, const LoadNow& load);
@@ -160,7 +162,7 @@
   AdmissionQueueOptions options_;
   /// In no order.
   std::vector<Waiting> waiting_;
-  /// Gave way when the queue was full; told by `expired`.
+  /// Gave way when the queue was full; told by `removeExpired`.
   std::vector<Waiting> displaced_;
   ReplicaLoad load_;
   TenantShares shares_;
--- a/src/admission/queue_entry.h
+++ b/src/admission/queue_entry.h
@@ -14,7 +14,7 @@
   /// Tokens of memory, growth of its output included.
   std::uint32_t tokens = 0;
   /// Tokens of the prompt to be read.
-  std::uint32_t unread = 0;
+  std::uint32_t prefillTokens = 0;
   /// Expected time from its start to its end; zero: not known.
   base::Duration run{};
 };
@@ -31,9 +31,9 @@
   /// that is known.
   base::TimePoint arrivedAt{};
   /// The answer is in time if the request begins by then.
-  base::TimePoint latestInTime{};
+  base::TimePoint softStartDeadline{};
   /// Beginning after this is of no use to the caller.
-  base::TimePoint latestUseful{};
+  base::TimePoint hardStartDeadline{};
   QueueCost cost;
   /// Share of the tenant in shortage against other tenants of the same urgency; 0 counts as 1.
   std::uint32_t weight = 1;
@@ -48,20 +48,20 @@
 }
 
 /// What the home knows of the replica's room now.
-class Room {
+class ReplicaCapacity {
  public:
-  virtual ~Room() = default;
+  virtual ~ReplicaCapacity() = default;
   /// Whether the replica can begin this request now, in time where `inTime` is asked for.
   virtual bool fits(const QueueEntry& entry, bool inTime) const = 0;
   /// Requests that the replica runs at once; 0: not known.
   virtual std::uint32_t slots() const = 0;
   /// Requests that run or have been granted.
-  virtual std::uint32_t taken() const = 0;
+  virtual std::uint32_t slotsInUse() const = 0;
   /// Memory for requests in tokens, 0: not known; and what running requests take of it.
   virtual std::uint64_t memory() const = 0;
-  virtual std::uint64_t memoryTaken() const = 0;
+  virtual std::uint64_t memoryInUse() const = 0;
   /// How long a request runs here on average.
-  virtual base::Duration runTime() const = 0;
+  virtual base::Duration meanRunTime() const = 0;
 };
 
 }  // namespace covewing::admission
--- a/src/admission/quota_ledger.cc
+++ b/src/admission/quota_ledger.cc
@@ -23,9 +23,9 @@
 
 }  // namespace
 
-QuotaGrant QuotaLedger::handle(const Borrower& borrower, const QuotaAsk& ask,
-                               const HomeStanding& standing, TimePoint now) {
-  QuotaGrant grant;
+QuotaLeaseReply QuotaLedger::handle(const Borrower& borrower, const QuotaLeaseRequest& ask,
+                                    const HomeStanding& standing, TimePoint now) {
+  QuotaLeaseReply grant;
   grant.tenant = ask.tenant;
   grant.sequence = ask.sequence;
   Account& tenant = account(ask, standing, now);
@@ -38,7 +38,7 @@
   grantTokens(tenant, ask, now, grant);
   grantSlots(tenant, borrower, ask, now, grant);
   grant.balance = std::llround(tenant.tokens);
-  grant.scarce = tenant.tokens < options_.scarceShare * tenant.size();
+  grant.nearLimit = tenant.tokens < options_.nearLimitShare * tenant.size();
   return grant;
 }
 
@@ -56,15 +56,15 @@
   account.refilledAt = now;
 }
 
-QuotaLedger::Account& QuotaLedger::account(const QuotaAsk& ask, const HomeStanding& standing,
-                                           TimePoint now) {
+QuotaLedger::Account& QuotaLedger::account(const QuotaLeaseRequest& ask,
+                                           const HomeStanding& standing, TimePoint now) {
   const auto [found, created] = accounts_.try_emplace(ask.tenant);
   Account& tenant = found->second;
   if (created) {
     tenant.revision = ask.revision;
     tenant.limits = ask.limits;
     tenant.share = standing.share;
-    tenant.tokens = tenant.size() * standing.freshShare;
+    tenant.tokens = tenant.size() * standing.initialBucketShare;
     tenant.refilledAt = std::min(standing.since, now);
   }
   refill(tenant, now);
@@ -77,8 +77,8 @@
   return tenant;
 }
 
-void QuotaLedger::grantTokens(Account& account, const QuotaAsk& ask, TimePoint now,
-                              QuotaGrant& grant) const {
+void QuotaLedger::grantTokens(Account& account, const QuotaLeaseRequest& ask, TimePoint now,
+                              QuotaLeaseReply& grant) const {
   if (account.limits.ratePerSecond <= 0) {
     grant.tokens = ask.tokensWanted;
     return;
@@ -98,7 +98,8 @@
   account.tokens -= granted;
 }
 
-void QuotaLedger::promise(Account& account, double needed, TimePoint now, QuotaGrant& grant) const {
+void QuotaLedger::promise(Account& account, double needed, TimePoint now,
+                          QuotaLeaseReply& grant) const {
   while (!account.promises.empty() && account.promises.front().at <= now)
     account.promises.pop_front();
   double ahead = needed;
@@ -110,8 +111,9 @@
     account.promises.push_back({now + grant.comeBackAfter, needed});
 }
 
-void QuotaLedger::grantSlots(Account& account, const Borrower& borrower, const QuotaAsk& ask,
-                             TimePoint now, QuotaGrant& grant) const {
+void QuotaLedger::grantSlots(Account& account, const Borrower& borrower,
+                             const QuotaLeaseRequest& ask, TimePoint now,
+                             QuotaLeaseReply& grant) const {
   SlotLease& own = account.leases[borrower.node];
   own.slots = ask.slotsHeld;
   // The holder counts from before it sent its ask, so it stops using the lease earlier.
--- a/src/admission/quota_ledger.h
+++ b/src/admission/quota_ledger.h
@@ -33,7 +33,7 @@
   /// Part of the limits that it grants, 0 to 1.
   double share = 1.0;
   /// Part of a full bucket that an account which is new here starts with, at `since`.
-  double freshShare = 1.0;
+  double initialBucketShare = 1.0;
   /// Before this another node may have been the home.
   base::TimePoint since{};
 };
@@ -42,8 +42,8 @@
  public:
   explicit QuotaLedger(const QuotaOptions& options) : options_(options) {}
 
-  QuotaGrant handle(const Borrower& borrower, const QuotaAsk& ask, const HomeStanding& standing,
-                    base::TimePoint now);
+  QuotaLeaseReply handle(const Borrower& borrower, const QuotaLeaseRequest& ask,
+                         const HomeStanding& standing, base::TimePoint now);
   /// Does nothing for a tenant without an account.
   void correct(const QuotaCorrection& correction);
   /// Forgets accounts that are as good as new.
@@ -84,13 +84,13 @@
   };
 
   static void refill(Account& account, base::TimePoint now);
-  Account& account(const QuotaAsk& ask, const HomeStanding& standing, base::TimePoint now);
-  void grantTokens(Account& account, const QuotaAsk& ask, base::TimePoint now,
-                   QuotaGrant& grant) const;
+  Account& account(const QuotaLeaseRequest& ask, const HomeStanding& standing, base::TimePoint now);
+  void grantTokens(Account& account, const QuotaLeaseRequest& ask, base::TimePoint now,
+                   QuotaLeaseReply& grant) const;
   /// Says when the tokens are there.
-  void promise(Account& account, double needed, base::TimePoint now, QuotaGrant& grant) const;
-  void grantSlots(Account& account, const Borrower& borrower, const QuotaAsk& ask,
-                  base::TimePoint now, QuotaGrant& grant) const;
+  void promise(Account& account, double needed, base::TimePoint now, QuotaLeaseReply& grant) const;
+  void grantSlots(Account& account, const Borrower& borrower, const QuotaLeaseRequest& ask,
+                  base::TimePoint now, QuotaLeaseReply& grant) const;
 
   QuotaOptions options_;
   std::map<base::TenantId, Account> accounts_;
--- a/src/admission/quota_messages.cc
+++ b/src/admission/quota_messages.cc
@@ -45,7 +45,7 @@
 }
 
 std::optional<QuotaMessage> readAsk(base::Reader& reader) {
-  QuotaAsk ask;
+  QuotaLeaseRequest ask;
   ask.tenant.value = reader.unsignedInteger();
   ask.revision = reader.unsignedInteger();
   ask.limits.ratePerSecond = readScaled(reader);
@@ -62,7 +62,7 @@
 }
 
 std::optional<QuotaMessage> readGrant(base::Reader& reader) {
-  QuotaGrant grant;
+  QuotaLeaseReply grant;
   grant.tenant.value = reader.unsignedInteger();
   grant.sequence = reader.unsignedInteger();
   grant.tokens = readCount(reader);
@@ -71,7 +71,7 @@
   grant.comeBackAfter = readWait(reader);
   grant.balance = reader.signedInteger();
   grant.contended = reader.boolean();
-  grant.scarce = reader.boolean();
+  grant.nearLimit = reader.boolean();
   if (!reader.ok()) return std::nullopt;
   return grant;
 }
@@ -87,7 +87,7 @@
 
 }  // namespace
 
-std::string encode(const QuotaAsk& ask) {
+std::string encode(const QuotaLeaseRequest& ask) {
   base::Writer writer;
   writer.array(kAskFields)
       .unsignedInteger(kAskType)
@@ -105,7 +105,7 @@
   return writer.take();
 }
 
-std::string encode(const QuotaGrant& grant) {
+std::string encode(const QuotaLeaseReply& grant) {
   base::Writer writer;
   writer.array(kGrantFields)
       .unsignedInteger(kGrantType)
@@ -117,7 +117,7 @@
       .unsignedInteger(milliseconds(grant.comeBackAfter))
       .signedInteger(grant.balance)
       .boolean(grant.contended)
-      .boolean(grant.scarce);
+      .boolean(grant.nearLimit);
   return writer.take();
 }
 
--- a/src/admission/quota_messages.h
+++ b/src/admission/quota_messages.h
@@ -16,7 +16,7 @@
 
 /// A node asks a tenant's home for a share of its limits. It carries the limits as the asker has
 /// them in force; the home uses those of the highest revision that it has seen.
-struct QuotaAsk {
+struct QuotaLeaseRequest {
   base::TenantId tenant;
   base::Revision revision = 0;
   QuotaLimits limits;
@@ -34,7 +34,7 @@
 };
 
 /// The home's answer.
-struct QuotaGrant {
+struct QuotaLeaseReply {
   base::TenantId tenant;
   std::uint64_t sequence = 0;
   std::uint32_t tokens = 0;
@@ -49,7 +49,7 @@
   /// Slots are scarce: return idle ones at once.
   bool contended = false;
   /// The tenant is close to its limit.
-  bool scarce = false;
+  bool nearLimit = false;
 };
 
 /// Tells the home of tokens that were granted and not used, or used without a grant. A lost
@@ -60,10 +60,10 @@
   std::uint32_t charged = 0;
 };
 
-using QuotaMessage = std::variant<QuotaAsk, QuotaGrant, QuotaCorrection>;
+using QuotaMessage = std::variant<QuotaLeaseRequest, QuotaLeaseReply, QuotaCorrection>;
 
-std::string encode(const QuotaAsk& ask);
-std::string encode(const QuotaGrant& grant);
+std::string encode(const QuotaLeaseRequest& ask);
+std::string encode(const QuotaLeaseReply& grant);
 std::string encode(const QuotaCorrection& correction);
 /// Empty when the payload is malformed.
 std::optional<QuotaMessage> decodeQuotaMessage(std::string_view payload);
--- a/src/admission/replica_load.cc
+++ b/src/admission/replica_load.cc
@@ -43,7 +43,7 @@
                  load.now + load.room.runOf(entry.cost)});
 }
 
-LoadNow ReplicaLoad::look(const Room& room, base::TimePoint now) {
+LoadNow ReplicaLoad::look(const ReplicaCapacity& room, base::TimePoint now) {
   LoadNow load(room, now);
   runs_.trim(load.room.taken);
   load.askedLong = longRates_.askedBefore(ArrivalRates::kUrgencies, now);
--- a/src/admission/replica_load.h
+++ b/src/admission/replica_load.h
@@ -19,7 +19,7 @@
 
 /// The load at one moment; the same for all entries of a queue at one decision.
 struct LoadNow {
-  LoadNow(const Room& figures, base::TimePoint at) : room(figures), now(at) {}
+  LoadNow(const ReplicaCapacity& figures, base::TimePoint at) : room(figures), now(at) {}
 
   /// Least part of the replica that is reckoned with for an urgency: more urgent requests ask for
   /// all of it only for moments.
@@ -49,7 +49,7 @@
   /// The replica ended or was emptied: nothing runs.
   void clearRuns() { runs_.clear(); }
   /// Also forgets the runs that ended, by the number that the room tells.
-  LoadNow look(const Room& room, base::TimePoint now);
+  LoadNow look(const ReplicaCapacity& room, base::TimePoint now);
   /// When `need` is free if nothing more is granted.
   FutureRoom whenFree(const FreeRoom& need, const LoadNow& load) const;
   /// Whether the request goes before more urgent ones by the least share of its kind.
--- a/src/admission/retry_window.cc
+++ b/src/admission/retry_window.cc
@@ -123,7 +123,7 @@
   return sentIn_.has_value();
 }
 
-void RetryReservation::onNeverArrived() {
+void RetryReservation::onNotDelivered() {
   if (sentIn_) window_->takeBack(*std::exchange(sentIn_, std::nullopt));
 }
 
--- a/src/admission/retry_window.h
+++ b/src/admission/retry_window.h
@@ -106,7 +106,7 @@
   /// False when the retry no longer keeps to the bound and must not be sent.
   bool send(base::TimePoint now);
   /// What was sent last never reached a replica: the next one is sent in its place.
-  void onNeverArrived();
+  void onNotDelivered();
 
  private:
   /// Null after a move.
--- a/src/admission/return_times.cc
+++ b/src/admission/return_times.cc
@@ -31,13 +31,13 @@
   // Those who come back get what fresh ones leave: otherwise they only push these out, and 0.85 of
   // the urgent began in time when they first asked, in place of 0.98 (bursts).
   const double left = std::max(leftByUrgent - load.askedFresh.at(place), LoadNow::kLeastReckoned);
-  const base::Duration allowance = std::max(base::Duration(0), entry.latestInTime - since);
+  const base::Duration allowance = std::max(base::Duration(0), entry.softStartDeadline - since);
   const Window window{fromSeconds(workAhead / left) - allowance, kLongest,
                       fromSeconds(work / left)};
   const base::Duration after =
       next(returns_, entry, window, load.now)
           .value_or(kLongest / 2 + part(kLongest / 2, fractionOf(entry.id)));
-  const base::Duration useful = entry.latestUseful - load.now;
+  const base::Duration useful = entry.hardStartDeadline - load.now;
   if (after <= useful || askedBefore(entry, since)) return after;
   // One that asked for the first time may try once more before its answer is of no use, at the rate
   // at which room falls free: what is expected may change, and the caller loses nothing. Of the
--- a/src/admission/room_figures.cc
+++ b/src/admission/room_figures.cc
@@ -26,12 +26,12 @@
       static_cast<base::Duration::rep>(std::clamp(seconds, 0.0, kMostSeconds) * 1e6));
 }
 
-RoomFigures::RoomFigures(const Room& room)
+RoomFigures::RoomFigures(const ReplicaCapacity& room)
     : slots(room.slots()),
-      taken(room.taken()),
+      taken(room.slotsInUse()),
       memory(std::min<std::uint64_t>(room.memory(), kNoLimit)),
-      memoryTaken(room.memoryTaken()),
-      runTime(room.runTime()) {
+      memoryTaken(room.memoryInUse()),
+      runTime(room.meanRunTime()) {
   runTime = runTime <= base::Duration::zero() ? kAssumedRun : std::min(runTime, kLongestRun);
 }
 
--- a/src/admission/room_figures.h
+++ b/src/admission/room_figures.h
@@ -15,7 +15,7 @@
 base::Duration fromSeconds(double seconds);
 
 struct RoomFigures {
-  explicit RoomFigures(const Room& room);
+  explicit RoomFigures(const ReplicaCapacity& room);
 
   /// How long the request is expected to run.
   base::Duration runOf(const QueueCost& cost) const;
--- a/src/admission/tenant_quotas.cc
+++ b/src/admission/tenant_quotas.cc
@@ -90,23 +90,23 @@
   const auto live = static_cast<double>(std::max<std::size_t>(1, directory.liveMembers().size()));
   const auto known = static_cast<double>(fleetSize());
   HomeStanding standing;
-  standing.share = std::min(1.0, live / std::max(1.0, known) * (1 + options_.unseenTolerance));
+  standing.share = std::min(1.0, live / std::max(1.0, known) * (1 + options_.partialViewTolerance));
   // Another node is the home by this node's view: the asker could not reach it, others may.
   const bool acting = tenantHome(tenant, directory).id != directory.self().id;
   if (acting) standing.share *= options_.actingShare;
-  standing.freshShare = justStarted() ? 0.0 : options_.freshShare;
+  standing.initialBucketShare = justStarted() ? 0.0 : options_.initialBucketShare;
   standing.since = acting ? now : membershipChangedAt_;
   return standing;
 }
 
 bool TenantQuotas::justStarted() const {
-  return environment_.clock.now() - startedAt_ < options_.formingTime;
+  return environment_.clock.now() - startedAt_ < options_.clusterFormationTime;
 }
 
 std::size_t TenantQuotas::fleetSize() const {
   const std::size_t seen = std::max<std::size_t>(1, environment_.directory.liveMembers().size());
-  const bool joining = environment_.clock.now() - startedAt_ < options_.joiningTime;
-  const std::size_t assumed = joining ? options_.nodesWhileJoining : 1;
+  const bool joining = environment_.clock.now() - startedAt_ < options_.joinPeriod;
+  const std::size_t assumed = joining ? options_.assumedNodesWhileJoining : 1;
   return std::max({seen, environment_.knownNodes(), assumed});
 }
 
@@ -153,9 +153,9 @@
   const Duration earliest = share.refusal.until - environment_.clock.now();
   // Spread up to what the home promised, so that those refused here do not come back together.
   const double spread = base::toSeconds(share.refusal.comeBackAfter) * environment_.random.unit();
-  return {QuotaOutcome::kRateLimited,    std::max(earliest, seconds(spread)),
-          QuotaDecider::kEarlierRefusal, true,
-          share.refusal.balance,         homeName(share)};
+  return {QuotaOutcome::kRateLimited,   std::max(earliest, seconds(spread)),
+          QuotaDecider::kCachedRefusal, true,
+          share.refusal.balance,        homeName(share)};
 }
 
 void TenantQuotas::acquire(WaitId id, const QuotaDemand& demand, Callback callback) {
@@ -171,7 +171,7 @@
   scheduleReview();
   const TimePoint now = environment_.clock.now();
   if (share.waiters.empty() && takeLocally(share, demand.tokens)) {
-    callback({QuotaOutcome::kGranted, {}, QuotaDecider::kLease, share.scarce, 0, {}});
+    callback({QuotaOutcome::kGranted, {}, QuotaDecider::kLease, share.nearLimit, 0, {}});
     return;
   }
   if (now < share.refusal.until && demand.tokens >= share.refusal.tokens) {
@@ -218,7 +218,7 @@
     ledger_.correct(correction);
     return;
   }
-  ++counts_.returns;
+  ++counts_.corrections;
   environment_.transport.send(home.endpoint, base::Channel::kAdmission, encode(correction));
 }
 
@@ -229,7 +229,7 @@
 
 void TenantQuotas::send(TenantId tenant, Share& share, bool answerWanted) {
   const membership::Member& home = homeOf(tenant, share);
-  QuotaAsk message;
+  QuotaLeaseRequest message;
   message.tenant = tenant;
   message.revision = share.revision;
   message.limits = share.limits;
@@ -252,12 +252,12 @@
   share.asked = answerWanted ? message.sequence : 0;
   const membership::Member& self = environment_.directory.self();
   if (home.id == self.id) {
-    const QuotaGrant grant = ledger_.handle({self.id, self.incarnation}, message,
-                                            standingFor(tenant), environment_.clock.now());
+    const QuotaLeaseReply grant = ledger_.handle({self.id, self.incarnation}, message,
+                                                 standingFor(tenant), environment_.clock.now());
     if (answerWanted) onGrant(grant);
     return;
   }
-  ++(answerWanted ? counts_.asks : counts_.returns);
+  ++(answerWanted ? counts_.leaseRequests : counts_.corrections);
   environment_.transport.send(home.endpoint, base::Channel::kAdmission, encode(message));
 }
 
@@ -268,7 +268,7 @@
     return;
   }
   noteMembership();
-  if (const auto* grant = std::get_if<QuotaGrant>(&*message)) {
+  if (const auto* grant = std::get_if<QuotaLeaseReply>(&*message)) {
     // A late answer, too, shows that the home is there.
     silentUntil_.erase(sender.node);
     onGrant(*grant);
@@ -278,16 +278,17 @@
     ledger_.correct(*correction);
     return;
   }
-  const auto& request = std::get<QuotaAsk>(*message);
+  const auto& request = std::get<QuotaLeaseRequest>(*message);
   scheduleReview();
-  const QuotaGrant grant = ledger_.handle({sender.node, sender.incarnation}, request,
-                                          standingFor(request.tenant), environment_.clock.now());
+  const QuotaLeaseReply grant =
+      ledger_.handle({sender.node, sender.incarnation}, request, standingFor(request.tenant),
+                     environment_.clock.now());
   if (!request.answerWanted) return;
-  ++counts_.answers;
+  ++counts_.replies;
   environment_.transport.send(sender.endpoint, base::Channel::kAdmission, encode(grant));
 }
 
-void TenantQuotas::onGrant(const QuotaGrant& grant) {
+void TenantQuotas::onGrant(const QuotaLeaseReply& grant) {
   const auto found = shares_.find(grant.tenant);
   // Late, repeated and foreign answers carry a sequence that nobody waits for.
   if (found == shares_.end() || grant.sequence == 0 || found->second.asked != grant.sequence) {
@@ -298,7 +299,7 @@
   share.silentHomes = 0;
   share.bridgedUntil = {};
   share.contended = grant.contended;
-  share.scarce = grant.scarce;
+  share.nearLimit = grant.nearLimit;
   share.tokens += grant.tokens;
   if (grant.tokens > 0) share.tokensExpireAt = share.askedAt + options_.tokenLease;
   share.slots += grant.slots;
@@ -330,7 +331,7 @@
   }
 }
 
-void TenantQuotas::onRefusal(TenantId tenant, Share& share, const QuotaGrant& grant) {
+void TenantQuotas::onRefusal(TenantId tenant, Share& share, const QuotaLeaseReply& grant) {
   const TimePoint now = environment_.clock.now();
   const std::uint32_t refusedTokens = share.waiters.front().tokens;
   share.refusal = {now + std::min(grant.tokensAfter, options_.refusalMemory), refusedTokens,
@@ -354,7 +355,7 @@
   while (!share.waiters.empty() && takeLocally(share, share.waiters.front().tokens)) {
     const Waiter waiter = std::move(share.waiters.front());
     share.waiters.pop_front();
-    waiter.callback({QuotaOutcome::kGranted, {}, QuotaDecider::kHome, share.scarce, 0, {}});
+    waiter.callback({QuotaOutcome::kGranted, {}, QuotaDecider::kHome, share.nearLimit, 0, {}});
   }
 }
 
@@ -390,20 +391,20 @@
     // Another node may see the home: the caller need not wait for this node's share.
     const double whole = tokens / share.limits.ratePerSecond;
     return {QuotaOutcome::kRateLimited,
-            std::max(seconds(whole), options_.askTimeout),
+            std::max(seconds(whole), options_.requestTimeout),
             QuotaDecider::kLocalShare,
             true,
             0,
             {}};
   }
   ++share.inUse;
-  ++counts_.bridged;
+  ++counts_.localGrants;
   return {QuotaOutcome::kGranted, {}, QuotaDecider::kLocalShare, true, 0, {}};
 }
 
 void TenantQuotas::onSilentHome(TenantId tenant, Share& share) {
-  ++counts_.silentHomes;
-  silentUntil_[share.home] = environment_.clock.now() + options_.unreachableFor;
+  ++counts_.unresponsiveHomes;
+  silentUntil_[share.home] = environment_.clock.now() + options_.unresponsiveHomeBackoff;
   share.asked = 0;
   if (++share.silentHomes < kHomesInLine && mayDecide(tenant, homeOf(tenant, share))) {
     ask(tenant, share, true);
@@ -414,14 +415,14 @@
 
 void TenantQuotas::bridge(Share& share) {
   share.silentHomes = 0;
-  share.bridgedUntil = environment_.clock.now() + options_.unreachableFor;
+  share.bridgedUntil = environment_.clock.now() + options_.unresponsiveHomeBackoff;
   const std::deque<Waiter> waiting = std::exchange(share.waiters, {});
   for (const Waiter& waiter : waiting) waiter.callback(bridgeOne(share, waiter.tokens));
 }
 
 void TenantQuotas::scheduleReview() {
   if (reviewTimer_ != 0) return;
-  reviewTimer_ = environment_.timers.schedule(options_.askTimeout, [this] {
+  reviewTimer_ = environment_.timers.schedule(options_.requestTimeout, [this] {
     reviewTimer_ = 0;
     review();
   });
@@ -442,8 +443,8 @@
 bool TenantQuotas::reviewShare(TenantId tenant, Share& share) {
   const TimePoint now = environment_.clock.now();
   expire(share);
-  if (share.asked != 0 && now - share.askedAt >= options_.askTimeout) {
-    if (share.repeats < options_.askRepeats) {
+  if (share.asked != 0 && now - share.askedAt >= options_.requestTimeout) {
+    if (share.repeats < options_.requestRetries) {
       ++share.repeats;
       send(tenant, share, true);
     } else {
--- a/src/admission/tenant_quotas.h
+++ b/src/admission/tenant_quotas.h
@@ -38,7 +38,7 @@
 enum class QuotaOutcome : std::uint8_t { kGranted, kRateLimited, kConcurrencyLimited };
 
 /// Who decided about a request.
-enum class QuotaDecider : std::uint8_t { kLease, kHome, kEarlierRefusal, kLocalShare };
+enum class QuotaDecider : std::uint8_t { kLease, kHome, kCachedRefusal, kLocalShare };
 
 struct QuotaVerdict {
   QuotaOutcome outcome = QuotaOutcome::kGranted;
@@ -46,7 +46,7 @@
   base::Duration retryAfter{};
   QuotaDecider decider = QuotaDecider::kLease;
   /// Granted to a tenant that is close to its limit.
-  bool scarce = false;
+  bool nearLimit = false;
   /// Tokens left when a home refused; the home's name.
   std::int64_t balance = 0;
   std::string home;
@@ -54,14 +54,14 @@
 
 /// Counts since the start, for metrics and for the share of control traffic.
 struct QuotaCounts {
-  std::uint64_t asks = 0;
-  std::uint64_t answers = 0;
+  std::uint64_t leaseRequests = 0;
+  std::uint64_t replies = 0;
   /// Messages that return slots or correct what was granted.
-  std::uint64_t returns = 0;
+  std::uint64_t corrections = 0;
   /// Requests granted from the local share.
-  std::uint64_t bridged = 0;
+  std::uint64_t localGrants = 0;
   /// Homes that were passed over because they did not answer.
-  std::uint64_t silentHomes = 0;
+  std::uint64_t unresponsiveHomes = 0;
   std::uint64_t malformed = 0;
 };
 
@@ -124,7 +124,7 @@
     base::TimePoint slotsExpireAt;
     std::uint32_t inUse = 0;
     bool contended = false;
-    bool scarce = false;
+    bool nearLimit = false;
     /// Own demand, tokens a second, decayed.
     double demand = 0;
     base::TimePoint demandAt;
@@ -166,8 +166,8 @@
   void ask(base::TenantId tenant, Share& share, bool answerWanted);
   void send(base::TenantId tenant, Share& share, bool answerWanted);
   void correct(const QuotaCorrection& correction, const membership::Member& home);
-  void onGrant(const QuotaGrant& grant);
-  void onRefusal(base::TenantId tenant, Share& share, const QuotaGrant& grant);
+  void onGrant(const QuotaLeaseReply& grant);
+  void onRefusal(base::TenantId tenant, Share& share, const QuotaLeaseReply& grant);
   QuotaVerdict knownRefusal(const Share& share);
   std::string homeName(const Share& share) const;
   /// The home did not answer: asks the next in line, or goes on alone.
--- a/src/live/relay_daemon.cc
+++ b/src/live/relay_daemon.cc
@@ -136,7 +136,7 @@
     cacheWatch.onRateLimitedPoll(
         [this](const routing::ReplicaRecord& replica) { placement.countCall(replica); });
     replicaEnds.onEnded([this](const routing::EndedRuns& ended) {
-      quarantine.onRunsEnded(base::engineIdOf(ended.instance), ended.runs);
+      quarantine.onReplicaCrash(base::engineIdOf(ended.instance), ended.runs);
     });
     configuration.onTable([this](const config::RouteTable& table) {
       applyLimits(table.limits());
--- a/src/live/relay_metrics.cc
+++ b/src/live/relay_metrics.cc
@@ -241,11 +241,11 @@
   raise(impl_->questions.Add({{"outcome", "rate_limited"}}), placement.home.rateLimited);
   impl_->renderQueues(placement);
   const auto& quotas = snapshot.quotas;
-  raise(impl_->quotaMessages.Add({{"kind", "question"}}), quotas.asks);
-  raise(impl_->quotaMessages.Add({{"kind", "answer"}}), quotas.answers);
-  raise(impl_->quotaMessages.Add({{"kind", "correction"}}), quotas.returns);
-  raise(impl_->quotaMessages.Add({{"kind", "silent_home"}}), quotas.silentHomes);
-  raise(impl_->quotaMessages.Add({{"kind", "own_share"}}), quotas.bridged);
+  raise(impl_->quotaMessages.Add({{"kind", "question"}}), quotas.leaseRequests);
+  raise(impl_->quotaMessages.Add({{"kind", "answer"}}), quotas.replies);
+  raise(impl_->quotaMessages.Add({{"kind", "correction"}}), quotas.corrections);
+  raise(impl_->quotaMessages.Add({{"kind", "silent_home"}}), quotas.unresponsiveHomes);
+  raise(impl_->quotaMessages.Add({{"kind", "own_share"}}), quotas.localGrants);
   for (std::size_t number = 1; number < kChannelNumbers; ++number) {
     const auto& traffic = snapshot.traffic.at(number);
     const std::string channel{channelName(static_cast<base::Channel>(number))};
--- a/src/live/relay_part_options.cc
+++ b/src/live/relay_part_options.cc
@@ -24,7 +24,7 @@
 constexpr double kFreshShare = 0.25;
 /// Where a link loses 5% of the packets, a question in a thousand finds its home silent with two
 /// repeats, and one in a hundred with one; then two homes grant at once.
-constexpr std::uint32_t kAskRepeats = 2;
+constexpr std::uint32_t kQuotaRequestRetries = 2;
 /// A node that restarts with all others sees most of them after some 0.3 s.
 constexpr base::Duration kJoining = std::chrono::milliseconds(800);
 /// Nodes assumed by the limits of tenants meanwhile. Each node that has just started takes itself
@@ -77,13 +77,13 @@
   admission::QuotaOptions options;
   // A node sees few requests of a tenant between two asks: what it leases ahead lapses unused.
   options.tokenBatch = {};
-  options.askRepeats = kAskRepeats;
-  options.unreachableFor = kSilentHomePassedOver;
-  options.freshShare = kFreshShare;
-  options.formingTime = node::NodeCountOptions{}.forming;
-  options.joiningTime = kJoining;
-  options.nodesWhileJoining = kNodesWhileJoining;
-  options.unseenTolerance = kUnseenTolerance;
+  options.requestRetries = kQuotaRequestRetries;
+  options.unresponsiveHomeBackoff = kSilentHomePassedOver;
+  options.initialBucketShare = kFreshShare;
+  options.clusterFormationTime = node::NodeCountOptions{}.forming;
+  options.joinPeriod = kJoining;
+  options.assumedNodesWhileJoining = kNodesWhileJoining;
+  options.partialViewTolerance = kUnseenTolerance;
   return options;
 }
 
--- a/src/quarantine/crash_evidence.cc
+++ b/src/quarantine/crash_evidence.cc
@@ -12,8 +12,8 @@
   return crashes_.back();
 }
 
-void CrashEvidence::onRunsEnded(base::EngineId replica, const Fingerprints& runs,
-                                base::TimePoint now) {
+void CrashEvidence::onReplicaCrash(base::EngineId replica, const Fingerprints& runs,
+                                   base::TimePoint now) {
   forgetOld(now);
   auto& crash = crashOf(replica, now);
   for (const auto run : runs) {
--- a/src/quarantine/crash_evidence.h
+++ b/src/quarantine/crash_evidence.h
@@ -47,7 +47,7 @@
   explicit CrashEvidence(CrashEvidenceOptions options = {}) : options_(options) {}
 
   /// Takes runs that ended with a replica. Each node reports its own, and may repeat them.
-  void onRunsEnded(base::EngineId replica, const Fingerprints& runs, base::TimePoint now);
+  void onReplicaCrash(base::EngineId replica, const Fingerprints& runs, base::TimePoint now);
   /// A run of the request came to its end: earlier crashes count no more against it.
   void onServed(base::RequestFingerprint request, base::TimePoint now);
   /// The request is known as a culprit: its crashes, past ones and those before `until`, are
--- a/src/quarantine/quarantine_messages.cc
+++ b/src/quarantine/quarantine_messages.cc
@@ -48,8 +48,8 @@
   return std::chrono::milliseconds(std::min(reader.unsignedInteger(), kLatestMilliseconds));
 }
 
-RunsEnded readEnded(base::Reader& reader) {
-  RunsEnded message;
+CrashReport readEnded(base::Reader& reader) {
+  CrashReport message;
   message.replica.value = reader.unsignedInteger();
   message.runs = read<base::RequestFingerprint>(reader);
   return message;
@@ -85,7 +85,7 @@
 
 }  // namespace
 
-std::string encode(const RunsEnded& message) {
+std::string encode(const CrashReport& message) {
   base::Writer writer;
   writer.array(kEndedFields).unsignedInteger(kEndedType).unsignedInteger(message.replica.value);
   write(writer, message.runs);
--- a/src/quarantine/quarantine_messages.h
+++ b/src/quarantine/quarantine_messages.h
@@ -15,7 +15,7 @@
 namespace covewing::quarantine {
 
 /// To the homes of the runs' requests: runs of the sender that ended with a replica.
-struct RunsEnded {
+struct CrashReport {
   base::EngineId replica;
   Fingerprints runs;
 };
@@ -50,9 +50,10 @@
   std::uint64_t version() const;
 };
 
-using QuarantineMessage = std::variant<RunsEnded, RequestSuspected, RequestServed, QuarantineEntry>;
+using QuarantineMessage =
+    std::variant<CrashReport, RequestSuspected, RequestServed, QuarantineEntry>;
 
-std::string encode(const RunsEnded& message);
+std::string encode(const CrashReport& message);
 std::string encode(const RequestSuspected& message);
 std::string encode(const RequestServed& message);
 /// Also the value of an entry in gossip and in the table service.
--- a/src/quarantine/request_quarantine.cc
+++ b/src/quarantine/request_quarantine.cc
@@ -66,8 +66,8 @@
       verdicts_, [this](const auto& verdict) { return find(verdict.first).has_value(); }));
 }
 
-void RequestQuarantine::onRunsEnded(base::EngineId replica, const Fingerprints& runs) {
-  const RunsEnded ended{replica, runs};
+void RequestQuarantine::onReplicaCrash(base::EngineId replica, const Fingerprints& runs) {
+  const CrashReport ended{replica, runs};
   if (reports_.size() >= options_.mostReports) reports_.pop_front();
   reports_.push_back({ended, environment_.clock.now()});
   repeatedly([this, ended] { report(ended); });
@@ -91,19 +91,19 @@
   scheduleFollowing();
 }
 
-void RequestQuarantine::report(const RunsEnded& ended) {
+void RequestQuarantine::report(const CrashReport& ended) {
   std::map<base::Endpoint, Fingerprints> runsOf;
   for (const auto run : ended.runs) {
     for (const auto& home : homesOf(run)) runsOf[home].push_back(run);
   }
-  for (const auto& [home, own] : runsOf) send(home, encode(RunsEnded{ended.replica, own}));
+  for (const auto& [home, own] : runsOf) send(home, encode(CrashReport{ended.replica, own}));
 }
 
-void RequestQuarantine::take(const RunsEnded& ended) {
+void RequestQuarantine::take(const CrashReport& ended) {
   Fingerprints news;
   for (const auto run : ended.runs) {
     const auto before = evidence_.crashesAgainst(run).size();
-    evidence_.onRunsEnded(ended.replica, {run}, environment_.clock.now());
+    evidence_.onReplicaCrash(ended.replica, {run}, environment_.clock.now());
     const auto after = evidence_.crashesAgainst(run).size();
     if (after > before && after > 1 && after <= options_.mostAnnounced) news.push_back(run);
   }
@@ -145,7 +145,7 @@
 void RequestQuarantine::count(const RequestSuspected& suspected) {
   if (ageOf(suspected.announcedAt) > options_.evidence.memory) return;
   for (const auto replica : suspected.replicas)
-    evidence_.onRunsEnded(replica, {suspected.request}, environment_.clock.now());
+    evidence_.onReplicaCrash(replica, {suspected.request}, environment_.clock.now());
   object(suspected.request);
   scheduleVerdict();
 }
--- a/src/quarantine/request_quarantine.h
+++ b/src/quarantine/request_quarantine.h
@@ -90,7 +90,7 @@
   /// Empty when the request may be sent.
   std::optional<QuarantineStatus> find(base::RequestFingerprint request) const;
   /// Runs of this node ended with a replica.
-  void onRunsEnded(base::EngineId replica, const Fingerprints& runs);
+  void onReplicaCrash(base::EngineId replica, const Fingerprints& runs);
   /// A run of this node came to its end.
   void onServed(base::RequestFingerprint request);
   /// Requests that are refused now.
@@ -109,18 +109,18 @@
 
   /// Runs of this node that ended with a replica.
   struct Report {
-    RunsEnded ended;
+    CrashReport ended;
     base::TimePoint at{};
   };
 
   /// Sends each home those of the runs that are its own.
-  void report(const RunsEnded& ended);
+  void report(const CrashReport& ended);
   /// Reports to the homes again when members came or went: a home that died took what it knew with
   /// it, and without its evidence a culprit would need three more crashes.
   void followHomes();
   void scheduleFollowing();
   /// As a home: runs of any node ended with a replica.
-  void take(const RunsEnded& ended);
+  void take(const CrashReport& ended);
   void take(const RequestSuspected& suspected);
   void take(const RequestServed& served);
   /// Counts the crashes against the request, unless the suspicion is old.
--- a/src/request/relay_flow.cc
+++ b/src/request/relay_flow.cc
@@ -69,7 +69,7 @@
 
 void RelayFlow::onAllowance(const admission::QuotaVerdict& verdict) {
   if (verdict.outcome == admission::QuotaOutcome::kGranted) {
-    if (verdict.scarce) {
+    if (verdict.nearLimit) {
       holdUntil_ = std::min(holdUntil_, dependencies_.clock.now() + options_.holdAtLimit);
       usefulUntil_ = std::min(usefulUntil_, holdUntil_);
     }
--- a/src/request/relay_flow_retries.cc
+++ b/src/request/relay_flow_retries.cc
@@ -121,7 +121,7 @@
   if (!mayRunAgain || refusals_ > options_.mostRefusals) return "attempts used up";
   if (timeLeft() < kLeastTimeForAttempt) return "no time left";
   if (loss == Loss::kNeverArrived) {
-    if (retry_) retry_->onNeverArrived();
+    if (retry_) retry_->onNotDelivered();
     return {};
   }
   auto reserved =
--- a/src/request/tenant_allowance.cc
+++ b/src/request/tenant_allowance.cc
@@ -15,7 +15,7 @@
       return "this node's lease";
     case admission::QuotaDecider::kHome:
       return "the tenant's home";
-    case admission::QuotaDecider::kEarlierRefusal:
+    case admission::QuotaDecider::kCachedRefusal:
       return "an earlier refusal by the tenant's home";
     case admission::QuotaDecider::kLocalShare:
       return "this node's share, as no home answers";
--- a/src/routing/placement_home.cc
+++ b/src/routing/placement_home.cc
@@ -97,8 +97,8 @@
   entry.urgency = terms.urgency;
   entry.tenant = terms.tenant;
   entry.arrivedAt = now - terms.age;
-  entry.latestInTime = now + terms.inTime;
-  entry.latestUseful = now + terms.useful;
+  entry.softStartDeadline = now + terms.inTime;
+  entry.hardStartDeadline = now + terms.useful;
   entry.cost = {demand.work.tokens, demand.work.unread, {}};
   return entry;
 }
@@ -250,7 +250,7 @@
 }
 
 void PlacementHome::refuseExpired(ReplicaQueue& state) {
-  const auto refusals = state.queue.expired(roomOf(state), environment_.clock.now());
+  const auto refusals = state.queue.removeExpired(roomOf(state), environment_.clock.now());
   for (const auto& refusal : refusals) {
     const auto waiting = std::move(state.waiting.extract(refusal.id).mapped());
     ++counters_.refusedLater;
--- a/src/routing/replica_room.cc
+++ b/src/routing/replica_room.cc
@@ -15,12 +15,12 @@
   return replica_.slots == 0 ? 0 : replica_.slots + kOverlap;
 }
 
-std::uint32_t ReplicaRoom::taken() const {
+std::uint32_t ReplicaRoom::slotsInUse() const {
   if (rateBinds()) return ledger_.pacer().mayPass(now_) ? 0 : 1;
   return ledger_.load(now_).requests;
 }
 
-base::Duration ReplicaRoom::runTime() const {
+base::Duration ReplicaRoom::meanRunTime() const {
   return rateBinds() ? ledger_.pacer().interval() : ledger_.runTime();
 }
 
@@ -38,7 +38,7 @@
   if (mayGoElsewhere && ledger_.pauseExcess(demand.work, demand.terms, now_).count() > 0)
     return false;
   const bool stays = demand.terms.mayQueue && inTime;
-  const auto longest = stays ? entry.latestInTime - now_ : demand.patience;
+  const auto longest = stays ? entry.softStartDeadline - now_ : demand.patience;
   return ledger_.expectedWait(demand.work, now_) <= longest;
 }
 
--- a/src/routing/replica_room.h
+++ b/src/routing/replica_room.h
@@ -24,7 +24,7 @@
 };
 
 /// The room for one demand at a time; lives for one decision.
-class ReplicaRoom final : public admission::Room {
+class ReplicaRoom final : public admission::ReplicaCapacity {
  public:
   /// Finds the demand of an entry; all entries that are offered have one.
   using DemandOf = std::function<const RoomDemand&(std::uint64_t id)>;
@@ -40,10 +40,10 @@
 
   bool fits(const admission::QueueEntry& entry, bool inTime) const override;
   std::uint32_t slots() const override;
-  std::uint32_t taken() const override;
+  std::uint32_t slotsInUse() const override;
   std::uint64_t memory() const override { return rateBinds() ? 0 : replica_.memory; }
-  std::uint64_t memoryTaken() const override { return ledger_.load(now_).tokens; }
-  base::Duration runTime() const override;
+  std::uint64_t memoryInUse() const override { return ledger_.load(now_).tokens; }
+  base::Duration meanRunTime() const override;
 
  private:
   /// The replica's rate limit allows fewer requests than its slots. Its room is then that of a
--- a/tests/admission/admission_load_test.cc
+++ b/tests/admission/admission_load_test.cc
@@ -262,8 +262,8 @@
     if (!wasEmpty) empty = std::max(empty, at - seconds(14));
     if (!wasFilled) filled = std::max(filled, at - seconds(14));
     wasEmpty = wasEmpty || queued == 0;
-    wasFilled = wasFilled || replica.taken() >= 0.9 * replica.slots() ||
-                static_cast<double>(replica.memoryTaken()) >= 0.9 * kReplicaMemory;
+    wasFilled = wasFilled || replica.slotsInUse() >= 0.9 * replica.slots() ||
+                static_cast<double>(replica.memoryInUse()) >= 0.9 * kReplicaMemory;
   };
   // Load that the whole replica bears, and load that fills it.
   for (const double load : {0.8, 1.2}) {
--- a/tests/admission/admission_queue_test.cc
+++ b/tests/admission/admission_queue_test.cc
@@ -37,7 +37,7 @@
   }
   /// Fills all slots with runs of a second by another tenant, not known to the queue.
   void fill() {
-    while (replica.taken() < replica.slots()) replica.start(entry(0, 0, 0, 0), now);
+    while (replica.slotsInUse() < replica.slots()) replica.start(entry(0, 0, 0, 0), now);
   }
   std::uint64_t next() {
     const std::optional<QueueEntry> granted = queue.next(replica, now);
@@ -86,10 +86,10 @@
   Fixture one(8, 0);
   one.fill();
   QueueEntry late = one.entry(1, 0);
-  late.latestInTime = one.now + milliseconds(500);
+  late.softStartDeadline = one.now + milliseconds(500);
   one.offer(late);
   QueueEntry inTime = one.entry(2, 1);
-  inTime.latestInTime = one.now + seconds(3);
+  inTime.softStartDeadline = one.now + seconds(3);
   one.offer(inTime);
   one.pass(seconds(1));
   BOOST_TEST(one.next() == 2U);
@@ -100,7 +100,7 @@
   one.fill();
   one.offer(one.entry(1));
   QueueEntry shorter = one.entry(2);
-  shorter.latestInTime = one.now + milliseconds(1500);
+  shorter.softStartDeadline = one.now + milliseconds(1500);
   one.offer(shorter);
   one.pass(seconds(1));
   BOOST_TEST(one.next() == 2U);
@@ -164,7 +164,7 @@
   std::size_t granted = 0;
   while (one.offer(one.entry(++id, 2)).verdict == QueueVerdict::kGranted) ++granted;
   BOOST_TEST(granted >= 3U);
-  BOOST_TEST(granted < 8U - one.replica.taken() + granted);
+  BOOST_TEST(granted < 8U - one.replica.slotsInUse() + granted);
   BOOST_TEST((one.offer(one.entry(++id, 0)).verdict == QueueVerdict::kGranted));
 }
 
@@ -198,7 +198,7 @@
     one.pass(milliseconds(50));
   }
   QueueEntry large = one.entry(1000, 0, 1, 6000);
-  large.latestInTime = one.now + milliseconds(1900);
+  large.softStartDeadline = one.now + milliseconds(1900);
   BOOST_TEST((one.offer(large).verdict == QueueVerdict::kQueued));
   bool began = false;
   for (int step = 0; step < 38 && !began; ++step) {
@@ -227,7 +227,7 @@
 /// Room is free, but the replica has too much to read to begin a long prompt in time.
 struct ReadingReplica : VirtualReplica {
   bool fits(const QueueEntry& entry, bool /*inTime*/) const override {
-    return entry.cost.unread < 1000;
+    return entry.cost.prefillTokens < 1000;
   }
 };
 
@@ -303,8 +303,8 @@
   }
   while (one.offer(one.entry(++id)).verdict == QueueVerdict::kQueued) {
   }
-  returned.latestInTime = one.now + seconds(2);
-  returned.latestUseful = one.now + seconds(4);
+  returned.softStartDeadline = one.now + seconds(2);
+  returned.hardStartDeadline = one.now + seconds(4);
   BOOST_TEST((one.offer(returned).verdict == QueueVerdict::kQueued));
   BOOST_TEST((one.offer(one.entry(++id)).verdict == QueueVerdict::kRefused));
 }
@@ -316,7 +316,7 @@
   for (std::uint64_t id = 5; id <= 60; ++id) {
     BOOST_TEST((one.offer(one.entry(id, 2, 1, 2500)).verdict == QueueVerdict::kQueued));
   }
-  BOOST_TEST(one.queue.expired(one.replica, one.now).empty());
+  BOOST_TEST(one.queue.removeExpired(one.replica, one.now).empty());
 }
 
 BOOST_AUTO_TEST_CASE(AnIdleReplicaOfUnknownSlotsRefusesNone) {
@@ -340,7 +340,7 @@
   }
   // All that runs ends early, within the time in which more are expected.
   one.replica.endRuns(one.now + seconds(2));
-  BOOST_TEST(one.replica.taken() == 0U);
+  BOOST_TEST(one.replica.slotsInUse() == 0U);
   BOOST_TEST((one.offer(one.entry(++id, 2, 1, 8000)).verdict == QueueVerdict::kGranted));
 }
 
@@ -350,7 +350,7 @@
   one.offer(one.entry(1));
   one.pass(seconds(5));
   BOOST_TEST(one.next() == 0U);
-  BOOST_TEST(one.queue.expired(one.replica, one.now).size() == 1U);
+  BOOST_TEST(one.queue.removeExpired(one.replica, one.now).size() == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(LargerThanTheMemoryThatIsLeftItHoldsBackNobody) {
@@ -362,7 +362,7 @@
   one.replica.setRoom(4, 5000);
   one.pass(seconds(1));
   BOOST_TEST(one.next() == 3U);
-  const std::vector<QueueRefusal> refusals = one.queue.expired(one.replica, one.now);
+  const std::vector<QueueRefusal> refusals = one.queue.removeExpired(one.replica, one.now);
   BOOST_REQUIRE(refusals.size() == 1U);
   BOOST_TEST(refusals[0].id == 2U);
 }
@@ -389,7 +389,7 @@
   int served = 0;
   for (int step = 0; step < 4000; ++step) {
     one.pass(milliseconds(50));
-    one.queue.expired(one.replica, one.now);
+    one.queue.removeExpired(one.replica, one.now);
     if (step % 30 == 0) {
       ++asked;
       seldom.insert(++id);
@@ -408,7 +408,7 @@
   Fixture one(8, 0);
   one.fill();
   QueueEntry late = one.entry(1);
-  late.latestInTime = one.now - milliseconds(1);
+  late.softStartDeadline = one.now - milliseconds(1);
   BOOST_TEST((one.offer(late).verdict == QueueVerdict::kQueued));
   one.pass(seconds(1));
   BOOST_TEST(one.next() == 1U);
@@ -424,7 +424,7 @@
     one.offer(one.entry(++id));
   }
   QueueEntry late = one.entry(++id);
-  late.latestInTime = one.now - milliseconds(1);
+  late.softStartDeadline = one.now - milliseconds(1);
   BOOST_TEST((one.offer(late).verdict == QueueVerdict::kRefused));
 }
 
@@ -452,9 +452,9 @@
   Fixture one(1);
   one.fill();
   one.offer(one.entry(1));
-  BOOST_TEST(one.queue.expired(one.replica, one.now).empty());
+  BOOST_TEST(one.queue.removeExpired(one.replica, one.now).empty());
   one.now += seconds(5);
-  const std::vector<QueueRefusal> refusals = one.queue.expired(one.replica, one.now);
+  const std::vector<QueueRefusal> refusals = one.queue.removeExpired(one.replica, one.now);
   BOOST_REQUIRE(refusals.size() == 1U);
   BOOST_TEST(refusals[0].id == 1U);
   BOOST_TEST((refusals[0].waited == seconds(5)));
@@ -466,7 +466,7 @@
   one.fill();
   one.offer(one.entry(1, 2));
   for (std::uint64_t id = 2; id <= 6; ++id) one.offer(one.entry(id, 0));
-  const std::vector<QueueRefusal> refusals = one.queue.expired(one.replica, one.now);
+  const std::vector<QueueRefusal> refusals = one.queue.removeExpired(one.replica, one.now);
   BOOST_REQUIRE(refusals.size() >= 1U);
   BOOST_TEST(refusals.back().id == 1U);
   BOOST_TEST(refusals.back().ahead >= 1U);
@@ -480,7 +480,7 @@
   BOOST_TEST((one.offer(one.entry(3, 3)).verdict == QueueVerdict::kRefused));
   BOOST_TEST((one.offer(one.entry(4, 0)).verdict == QueueVerdict::kQueued));
   BOOST_TEST(one.queue.size() == 2U);
-  const std::vector<QueueRefusal> refusals = one.queue.expired(one.replica, one.now);
+  const std::vector<QueueRefusal> refusals = one.queue.removeExpired(one.replica, one.now);
   BOOST_REQUIRE(refusals.size() == 1U);
   BOOST_TEST(refusals[0].id == 2U);
 }
@@ -521,8 +521,8 @@
   BOOST_TEST((one.offer(large).verdict == QueueVerdict::kRefused));
   QueueEntry extreme = one.entry(2, std::numeric_limits<std::uint32_t>::max());
   extreme.arrivedAt = TimePoint::min();
-  extreme.latestInTime = TimePoint::max();
-  extreme.latestUseful = TimePoint::min();
+  extreme.softStartDeadline = TimePoint::max();
+  extreme.hardStartDeadline = TimePoint::min();
   extreme.cost.run = Duration::min();
   extreme.weight = 0;
   BOOST_TEST(
@@ -535,18 +535,18 @@
       (one.queue.offer(extreme, one.replica, true, one.now).verdict == QueueVerdict::kQueued));
   one.now -= seconds(50);
   one.offer(one.entry(4));
-  one.queue.expired(one.replica, one.now);
+  one.queue.removeExpired(one.replica, one.now);
   BOOST_TEST(one.queue.size() <= 2U);
 }
 
 BOOST_AUTO_TEST_CASE(ReplicaOfWhichNothingIsKnownGrantsWhatFits) {
-  struct Unknown : Room {
+  struct Unknown : ReplicaCapacity {
     bool fits(const QueueEntry& /*entry*/, bool /*inTime*/) const override { return true; }
     std::uint32_t slots() const override { return 0; }
-    std::uint32_t taken() const override { return 0; }
+    std::uint32_t slotsInUse() const override { return 0; }
     std::uint64_t memory() const override { return 0; }
-    std::uint64_t memoryTaken() const override { return 0; }
-    Duration runTime() const override { return Duration::zero(); }
+    std::uint64_t memoryInUse() const override { return 0; }
+    Duration meanRunTime() const override { return Duration::zero(); }
   } unknown;
   Fixture one;
   for (std::uint64_t id = 1; id <= 50; ++id) {
@@ -567,12 +567,12 @@
     for (std::uint64_t step = 1; step <= 3000; ++step) {
       one.pass(milliseconds(random.below(120)));
       while (const std::uint64_t id = one.next()) ends(id);
-      for (const QueueRefusal& each : one.queue.expired(one.replica, one.now)) {
+      for (const QueueRefusal& each : one.queue.removeExpired(one.replica, one.now)) {
         BOOST_TEST(each.retryAfter.count() >= 0);
         ends(each.id);
       }
       QueueEntry entry = one.entry(step, random.below(4), random.below(6), random.below(10000));
-      entry.latestInTime = one.now + milliseconds(random.below(3000)) - milliseconds(300);
+      entry.softStartDeadline = one.now + milliseconds(random.below(3000)) - milliseconds(300);
       entry.cost.run = milliseconds(random.below(2000));
       const QueueOffer offer = one.offer(entry, random.below(4) != 0);
       BOOST_TEST(offer.wait.count() >= 0);
@@ -584,8 +584,8 @@
         BOOST_TEST(waiting.empty());
       }
       BOOST_TEST(one.queue.size() <= 12U);
-      BOOST_TEST(one.replica.taken() <= 6U);
-      BOOST_TEST(one.replica.memoryTaken() <= 9000U);
+      BOOST_TEST(one.replica.slotsInUse() <= 6U);
+      BOOST_TEST(one.replica.memoryInUse() <= 9000U);
     }
   }
 }
--- a/tests/admission/load_play.h
+++ b/tests/admission/load_play.h
@@ -21,14 +21,16 @@
 class ServiceOrder {
  public:
   virtual ~ServiceOrder() = default;
-  virtual QueueOffer offer(const QueueEntry& entry, const Room& room, base::TimePoint now) {
+  virtual QueueOffer offer(const QueueEntry& entry, const ReplicaCapacity& room,
+                           base::TimePoint now) {
     return queue_.offer(entry, room, true, now);
   }
-  virtual std::optional<QueueEntry> next(const Room& room, base::TimePoint now) {
+  virtual std::optional<QueueEntry> next(const ReplicaCapacity& room, base::TimePoint now) {
     return queue_.next(room, now);
   }
-  virtual std::vector<QueueRefusal> expired(const Room& room, base::TimePoint now) {
-    return queue_.expired(room, now);
+  virtual std::vector<QueueRefusal> removeExpired(const ReplicaCapacity& room,
+                                                  base::TimePoint now) {
+    return queue_.removeExpired(room, now);
   }
   virtual std::size_t size() const { return queue_.size(); }
 
@@ -43,11 +45,12 @@
   enum class Kind : std::uint8_t { kPolling, kFirstCome, kUrgency };
   explicit PlainOrder(Kind kind) : kind_(kind) {}
 
-  QueueOffer offer(const QueueEntry& entry, const Room& /*room*/, base::TimePoint now) override {
+  QueueOffer offer(const QueueEntry& entry, const ReplicaCapacity& /*room*/,
+                   base::TimePoint now) override {
     waiting_.push_back({entry, now, now});
     return {QueueVerdict::kQueued, base::Duration::zero(), waiting_.size() - 1};
   }
-  std::optional<QueueEntry> next(const Room& room, base::TimePoint now) override {
+  std::optional<QueueEntry> next(const ReplicaCapacity& room, base::TimePoint now) override {
     if (kind_ == Kind::kPolling) return poll(room, now);
     if (waiting_.empty()) return std::nullopt;
     auto head = waiting_.begin();
@@ -58,12 +61,13 @@
     }
     return room.fits(head->entry, false) ? std::optional(take(head)) : std::nullopt;
   }
-  std::vector<QueueRefusal> expired(const Room& /*room*/, base::TimePoint now) override {
+  std::vector<QueueRefusal> removeExpired(const ReplicaCapacity& /*room*/,
+                                          base::TimePoint now) override {
     std::vector<QueueRefusal> refusals;
     std::erase_if(waiting_, [&](const One& one) {
-      const base::Duration allowance = one.entry.latestInTime - one.since;
+      const base::Duration allowance = one.entry.softStartDeadline - one.since;
       const bool over = kind_ == Kind::kPolling ? now - one.since > allowance * 48 / 100
-                                                : now > one.entry.latestUseful;
+                                                : now > one.entry.hardStartDeadline;
       if (over) refusals.push_back({one.entry.id, std::chrono::milliseconds(300), {}, 0});
       return over;
     });
@@ -82,7 +86,7 @@
     waiting_.erase(one);
     return entry;
   }
-  std::optional<QueueEntry> poll(const Room& room, base::TimePoint now) {
+  std::optional<QueueEntry> poll(const ReplicaCapacity& room, base::TimePoint now) {
     for (auto one = waiting_.begin(); one != waiting_.end(); ++one) {
       if (one->nextPoll > now) continue;
       if (room.fits(one->entry, true)) return take(one);
@@ -153,7 +157,7 @@
       arrive(at);
       grantAll();
       if (at.count() % (10 * kStep.count()) != 0) continue;
-      for (const QueueRefusal& each : order_->expired(replica_, now_)) {
+      for (const QueueRefusal& each : order_->removeExpired(replica_, now_)) {
         refused(each.id, each.retryAfter);
       }
     }
@@ -200,8 +204,8 @@
     }
   }
   void ask(Caller& caller) {
-    caller.entry.latestInTime = now_ + caller.stream->allowance;
-    caller.entry.latestUseful = caller.first + caller.stream->useful;
+    caller.entry.softStartDeadline = now_ + caller.stream->allowance;
+    caller.entry.hardStartDeadline = caller.first + caller.stream->useful;
     const QueueOffer offer = order_->offer(caller.entry, replica_, now_);
     if (offer.verdict == QueueVerdict::kGranted) start(caller);
     if (offer.verdict == QueueVerdict::kRefused) refused(caller.entry.id, offer.wait);
@@ -213,7 +217,7 @@
   }
   void start(const Caller& caller) {
     replica_.start(caller.entry, now_);
-    const bool inTime = now_ <= caller.entry.latestInTime;
+    const bool inTime = now_ <= caller.entry.softStartDeadline;
     count(caller, [&](Got& got) {
       ++(!inTime ? got.late : caller.refusals == 0 ? got.inTime : got.inTimeLater);
     });
--- a/tests/admission/quota_fleet_test.cc
+++ b/tests/admission/quota_fleet_test.cc
@@ -22,13 +22,13 @@
 QuotaOptions relayOptions() {
   QuotaOptions options;
   options.tokenBatch = {};
-  options.askRepeats = 2;
-  options.freshShare = 0.25;
-  options.formingTime = seconds(5);
-  options.joiningTime = milliseconds(800);
-  options.nodesWhileJoining = 32;
-  options.unreachableFor = milliseconds(500);
-  options.unseenTolerance = 0.03;
+  options.requestRetries = 2;
+  options.initialBucketShare = 0.25;
+  options.clusterFormationTime = seconds(5);
+  options.joinPeriod = milliseconds(800);
+  options.assumedNodesWhileJoining = 32;
+  options.unresponsiveHomeBackoff = milliseconds(500);
+  options.partialViewTolerance = 0.03;
   return options;
 }
 
--- a/tests/admission/tenant_quotas_test.cc
+++ b/tests/admission/tenant_quotas_test.cc
@@ -220,7 +220,7 @@
 
 RC_BOOST_PROP(AnAskComesBackAsSent,
               (std::uint64_t tenant, std::uint32_t held, std::uint32_t wanted, bool answer)) {
-  QuotaAsk ask;
+  QuotaLeaseRequest ask;
   ask.tenant.value = tenant;
   ask.revision = 7;
   ask.limits.ratePerSecond = 12.5;
@@ -233,7 +233,7 @@
   ask.answerWanted = answer;
   const auto decoded = decodeQuotaMessage(encode(ask));
   RC_ASSERT(decoded.has_value());
-  const auto& got = std::get<QuotaAsk>(*decoded);
+  const auto& got = std::get<QuotaLeaseRequest>(*decoded);
   RC_ASSERT(got.tenant == ask.tenant);
   RC_ASSERT(got.limits.ratePerSecond == 12.5);
   RC_ASSERT(got.limits.concurrency == 9U);
--- a/tests/admission/virtual_replica.h
+++ b/tests/admission/virtual_replica.h
@@ -10,23 +10,23 @@
 
 namespace covewing::admission {
 
-class VirtualReplica : public Room {
+class VirtualReplica : public ReplicaCapacity {
  public:
   explicit VirtualReplica(std::uint32_t slots = 24, std::uint64_t memory = 87000)
       : slots_(slots), memory_(memory) {}
 
   bool fits(const QueueEntry& entry, bool /*inTime*/) const override {
-    return runs_.size() < slots_ && (memory_ == 0 || memoryTaken() + entry.cost.tokens <= memory_);
+    return runs_.size() < slots_ && (memory_ == 0 || memoryInUse() + entry.cost.tokens <= memory_);
   }
   std::uint32_t slots() const override { return slots_; }
-  std::uint32_t taken() const override { return static_cast<std::uint32_t>(runs_.size()); }
+  std::uint32_t slotsInUse() const override { return static_cast<std::uint32_t>(runs_.size()); }
   std::uint64_t memory() const override { return memory_; }
-  std::uint64_t memoryTaken() const override {
+  std::uint64_t memoryInUse() const override {
     std::uint64_t tokens = 0;
     for (const Run& run : runs_) tokens += run.tokens;
     return tokens;
   }
-  base::Duration runTime() const override { return runTime_; }
+  base::Duration meanRunTime() const override { return runTime_; }
 
   void start(const QueueEntry& entry, base::TimePoint now) {
     runs_.push_back({now + entry.cost.run, entry.cost.tokens});
--- a/tests/fuzz/quarantine_message_fuzz.cc
+++ b/tests/fuzz/quarantine_message_fuzz.cc
@@ -9,9 +9,9 @@
 
 namespace quarantine = covewing::quarantine;
 
-void checkAgain(const quarantine::RunsEnded& message) {
+void checkAgain(const quarantine::CrashReport& message) {
   const auto again = quarantine::decodeQuarantineMessage(quarantine::encode(message));
-  const auto* ended = again ? std::get_if<quarantine::RunsEnded>(&*again) : nullptr;
+  const auto* ended = again ? std::get_if<quarantine::CrashReport>(&*again) : nullptr;
   if (ended == nullptr || ended->runs != message.runs) __builtin_trap();
 }
 
--- a/tests/node/message_versions_test.cc
+++ b/tests/node/message_versions_test.cc
@@ -153,10 +153,10 @@
   all.push_back(sample("LoadUpdate", routing::encode(routing::LoadUpdate{4, {}}),
                        routing::decodeLoadUpdate,
                        [](const routing::LoadUpdate& news) { return routing::encode(news); }));
-  addQuota(all, "QuotaAsk", admission::QuotaAsk{});
-  addQuota(all, "QuotaGrant", admission::QuotaGrant{});
+  addQuota(all, "QuotaLeaseRequest", admission::QuotaLeaseRequest{});
+  addQuota(all, "QuotaLeaseReply", admission::QuotaLeaseReply{});
   addQuota(all, "QuotaCorrection", admission::QuotaCorrection{});
-  addQuarantine(all, "RunsEnded", quarantine::RunsEnded{{1}, {{2}}});
+  addQuarantine(all, "CrashReport", quarantine::CrashReport{{1}, {{2}}});
   addQuarantine(all, "RequestSuspected",
                 quarantine::RequestSuspected{{1}, {{2}}, milliseconds(500)});
   addQuarantine(all, "RequestServed", quarantine::RequestServed{{1}});
--- a/tests/quarantine/crash_evidence_test.cc
+++ b/tests/quarantine/crash_evidence_test.cc
@@ -19,7 +19,7 @@
   void report(std::uint64_t replica, const std::vector<std::uint64_t>& runs) {
     Fingerprints fingerprints;
     for (const auto run : runs) fingerprints.push_back({run});
-    evidence.onRunsEnded({replica}, fingerprints, now);
+    evidence.onReplicaCrash({replica}, fingerprints, now);
   }
   std::uint64_t culprit() {
     const auto found = evidence.findCulprit(now);
@@ -151,7 +151,7 @@
       const auto beside = 3 + random.below(20);
       for (std::uint64_t count = 0; count < beside; ++count) runs.push_back({++fresh});
       comingAgain.assign(runs.begin() + 1, runs.end());
-      wave.onRunsEnded({replica}, runs, base::TimePoint{seconds(replica)});
+      wave.onReplicaCrash({replica}, runs, base::TimePoint{seconds(replica)});
       while (const auto culprit = wave.findCulprit(base::TimePoint{seconds(replica)})) {
         wave.onQuarantined(culprit->request, base::TimePoint{seconds(1000)});
         found = found || culprit->request.value == kCulprit;
--- a/tests/quarantine/quarantine_messages_test.cc
+++ b/tests/quarantine/quarantine_messages_test.cc
@@ -8,9 +8,9 @@
 BOOST_AUTO_TEST_SUITE(QuarantineMessagesTest)
 
 BOOST_AUTO_TEST_CASE(MessagesComeBackAsTheyWere) {
-  const auto ended = decodeQuarantineMessage(encode(RunsEnded{{7}, {{1}, {2}}}));
+  const auto ended = decodeQuarantineMessage(encode(CrashReport{{7}, {{1}, {2}}}));
   BOOST_REQUIRE(ended.has_value());
-  const auto& runs = std::get<RunsEnded>(*ended);
+  const auto& runs = std::get<CrashReport>(*ended);
   BOOST_TEST(runs.replica.value == 7U);
   BOOST_TEST((runs.runs == Fingerprints{{1}, {2}}));
   const auto served = decodeQuarantineMessage(encode(RequestServed{{3}}));
@@ -48,7 +48,7 @@
     BOOST_TEST(!decodeQuarantineMessage(bytes).has_value());
     BOOST_TEST(!decodeQuarantineEntry(bytes).has_value());
   }
-  auto cut = encode(RunsEnded{{7}, {{1}, {2}}});
+  auto cut = encode(CrashReport{{7}, {{1}, {2}}});
   cut.pop_back();
   BOOST_TEST(!decodeQuarantineMessage(cut).has_value());
 }
--- a/tests/quarantine/request_quarantine_test.cc
+++ b/tests/quarantine/request_quarantine_test.cc
@@ -93,7 +93,7 @@
   }
   /// A replica ends under runs of one node.
   void crash(std::size_t node, const Fingerprints& runs) {
-    at(node).onRunsEnded({++replicas}, runs);
+    at(node).onReplicaCrash({++replicas}, runs);
   }
   std::size_t refusing(base::RequestFingerprint request) {
     return static_cast<std::size_t>(std::ranges::count_if(
@@ -434,7 +434,7 @@
   for (std::size_t replica = 0; replica < kReplicas; ++replica) {
     ++fleet.replicas;
     for (std::size_t count = 0; count < kRuns; ++count)
-      fleet.at(fleet.random.below(300)).onRunsEnded({fleet.replicas}, {{++run}});
+      fleet.at(fleet.random.below(300)).onReplicaCrash({fleet.replicas}, {{++run}});
   }
   fleet.time.advance(seconds(5));
   BOOST_TEST_MESSAGE(fleet.messages << " messages");
--- a/tests/request/relay_fixture.h
+++ b/tests/request/relay_fixture.h
@@ -289,7 +289,7 @@
   void quarantineAfter(std::size_t crashes, const std::string& path) {
     const auto run = fingerprintOf({{}, {}, '/' + path + "/x", {}, {}}, "tenant");
     for (std::size_t count = 0; count < crashes; ++count)
-      quarantine.onRunsEnded({++replicasEnded}, {run});
+      quarantine.onReplicaCrash({++replicasEnded}, {run});
     time.advance(std::chrono::milliseconds(301));
   }
   void quarantineRequest(const std::string& path) { quarantineAfter(3, path); }
