--- a/src/live/relay_daemon.cc
+++ b/src/live/relay_daemon.cc
@@ -184,7 +184,7 @@
 
   /// Tells the home of a long part who holds it.
   void onCacheChange(const routing::CacheChange& change) {
-    const auto least = request::RelayOptions{}.leastLookup;
+    const auto least = request::RelayOptions{}.minimumLookupTokens;
     const bool before = change.previousTokens >= least;
     const bool now = change.currentTokens >= least;
     if (before != now) parts.tell(change.part, {change.holder, change.scope}, now);
@@ -345,7 +345,7 @@
     callerServer.announceClose();
     coordinator.drain([] {});
     membership.setDraining(true);
-    log.write(base::Event::kNodeDraining, {{"open", std::to_string(service.open())}});
+    log.write(base::Event::kNodeDraining, {{"open", std::to_string(service.openRequests())}});
     drainStep();
   }
 
@@ -354,19 +354,19 @@
     const bool noticed = elapsed >= kNoticedAfter;
     const bool overdue = elapsed >= settings.grace - kGraceMargin;
     if (noticed) {
-      service.refuseNew();
+      service.refuseNewRequests();
       callerServer.closeIdleConnections();
     }
     if (overdue || (noticed && callerServer.openExchanges() == 0)) {
       membership.leave();
-      log.write(base::Event::kNodeStopped, {{"open", std::to_string(service.open())}});
+      log.write(base::Event::kNodeStopped, {{"open", std::to_string(service.openRequests())}});
       drained();
       return;
     }
     timers.schedule(kDrainInterval, [this] { drainStep(); });
   }
 
-  void onRelayed(const config::Route& route, const request::RelayOutcome& outcome) override {
+  void onRelayFinished(const config::Route& route, const request::RelayOutcome& outcome) override {
     metrics.onRelayed(route, outcome);
   }
 
@@ -379,7 +379,7 @@
     if (const auto confirmed = configuration.confirmedAt())
       snapshot.configurationAge = now - *confirmed;
     snapshot.members = membership.liveMembers().size();
-    snapshot.openRequests = service.open();
+    snapshot.openRequests = service.openRequests();
     snapshot.callerConnections = callerServer.openConnections();
     snapshot.knownParts = holders.size();
     snapshot.placement = placement.counters();
--- a/src/live/relay_dialect.h
+++ b/src/live/relay_dialect.h
@@ -18,10 +18,10 @@
   /// Header that names a request, in requests and in answers.
   virtual std::string_view requestIdHeader() const = 0;
   /// Reads a caller's request; empty with the reason when it is malformed. `body` is moved in.
-  virtual std::optional<request::RelayArrival> readRequest(const HttpRequest& request,
-                                                           std::string body,
-                                                           base::TimePoint arrivedAt,
-                                                           base::Reason& reason) const = 0;
+  virtual std::optional<request::IncomingRequest> readRequest(const HttpRequest& request,
+                                                              std::string body,
+                                                              base::TimePoint arrivedAt,
+                                                              base::Reason& reason) const = 0;
   /// The node's own final answer to a request.
   virtual HttpResponse refusal(const request::RelayRefusal& refusal,
                                std::string_view requestId) const = 0;
--- a/src/live/relay_gateway.cc
+++ b/src/live/relay_gateway.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-class ExchangeCaller final : public request::RelayCaller {
+class ExchangeCaller final : public request::ResponseWriter {
  public:
   ExchangeCaller(HttpExchangePtr exchange, const RelayDialect& dialect)
       : exchange_(std::move(exchange)), dialect_(dialect) {}
@@ -21,7 +21,7 @@
     exchange_->respond(
         dialect_.refusal(refusal, exchange_->request().header(dialect_.requestIdHeader())));
   }
-  void cut() override { exchange_->abort(); }
+  void abort() override { exchange_->abort(); }
   void onPressure(std::function<void(bool)> listener) override {
     exchange_->onPressure(std::move(listener));
   }
@@ -51,7 +51,7 @@
   const auto flow = service_.begin(std::move(*arrival), std::move(caller));
   if (flow.expired()) return;
   exchange->onDisconnect([flow] {
-    if (const auto open = flow.lock()) open->onCallerGone();
+    if (const auto open = flow.lock()) open->onCallerDisconnected();
   });
 }
 
--- a/src/live/relay_metrics.cc
+++ b/src/live/relay_metrics.cc
@@ -155,13 +155,13 @@
   auto labels = kindLabel(route);
   impl_->attempts.Add(labels).Increment(outcome.attempts);
   impl_->countRetries(outcome);
-  if (outcome.firstByteAfter > base::Duration::zero()) {
-    impl_->firstByte.Add(labels, kSecondsBuckets).Observe(base::toSeconds(outcome.firstByteAfter));
+  if (outcome.timeToFirstByte > base::Duration::zero()) {
+    impl_->firstByte.Add(labels, kSecondsBuckets).Observe(base::toSeconds(outcome.timeToFirstByte));
   }
   impl_->duration.Add(labels, kSecondsBuckets).Observe(base::toSeconds(outcome.duration));
   impl_->tokens.Add({{"source", "cached"}}).Increment(outcome.cachedTokens);
   impl_->tokens.Add({{"source", "fetched"}}).Increment(outcome.fetchedTokens);
-  impl_->tokens.Add({{"source", "read"}}).Increment(outcome.readTokens);
+  impl_->tokens.Add({{"source", "read"}}).Increment(outcome.prefillTokens);
   if (outcome.code == base::ResultCode::kRateLimited)
     impl_->quotaRefusals.Add({{"priority", priorityLabel(outcome.tenantPriority)}}).Increment();
   labels.emplace("code", base::describe(outcome.code).name);
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -285,7 +285,8 @@
 
 void NodeImpl::finishDraining() {
   drainTimer_.stop();
-  requests_.refuseOpen({base::ResultCode::kNodeDraining, "the bound of the planned stop passed"});
+  requests_.failOpenRequests(
+      {base::ResultCode::kNodeDraining, "the bound of the planned stop passed"});
   members_.leave();
   environment_.log.write(base::Event::kNodeStopped, {{"node", options_.name}});
   if (drained_ != nullptr) std::exchange(drained_, nullptr)();
--- a/src/request/relay_flow.cc
+++ b/src/request/relay_flow.cc
@@ -10,7 +10,7 @@
 
 namespace {
 
-base::RequestFingerprint fingerprintOf(const RelayArrival& arrival,
+base::RequestFingerprint fingerprintOf(const IncomingRequest& arrival,
                                        const RelayAssignment& assignment) {
   return request::fingerprintOf(*arrival.request, assignment.tenant == nullptr
                                                       ? std::string_view{}
@@ -20,8 +20,8 @@
 }  // namespace
 
 RelayFlow::RelayFlow(RelayDependencies dependencies, const RelayOptions& options,
-                     RelayArrival arrival, RelayAssignment assignment,
-                     std::unique_ptr<RelayCaller> caller, Hooks hooks)
+                     IncomingRequest arrival, RelayAssignment assignment,
+                     std::unique_ptr<ResponseWriter> caller, Hooks hooks)
     : dependencies_(dependencies),
       options_(options),
       arrival_(std::move(arrival)),
@@ -54,7 +54,7 @@
   usefulUntil_ = arrival_.arrivedAt + held;
   dependencies_.retries.onRequest(assignment_.service->name, now);
   if (runsLong())
-    dependencies_.runTimes.onLongRun(assignment_.service->name, expectedOutput(), now);
+    dependencies_.runTimes.onLongRun(assignment_.service->name, expectedOutputTokens(), now);
   deadlineTimer_ = dependencies_.timers.schedule(deadline_ - now, [this] { onDeadline(); });
   caller_->onPressure([this](bool high) {
     paused_ = high;
@@ -83,21 +83,22 @@
 
 std::uint32_t RelayFlow::wantedTokens() const {
   if (!arrival_.prompt) return 0;
-  return arrival_.prompt->promptTokens + arrival_.prompt->mostOutputTokens;
+  return arrival_.prompt->promptTokens + arrival_.prompt->maximumOutputTokens;
 }
 
 std::uint32_t RelayFlow::promptTokens() const {
   return arrival_.prompt ? arrival_.prompt->promptTokens : 0;
 }
 
-std::uint32_t RelayFlow::expectedOutput() const {
-  return arrival_.prompt ? arrival_.prompt->expectedOutput() : 0;
+std::uint32_t RelayFlow::expectedOutputTokens() const {
+  return arrival_.prompt ? arrival_.prompt->expectedOutputTokens() : 0;
 }
 
 bool RelayFlow::runsLong() const {
   // Where much of the prompt is shared, what is cached counts for more.
-  if (!arrival_.prompt || arrival_.prompt->chain.sharedTokens() > expectedOutput()) return false;
-  return dependencies_.runTimes.isLong(assignment_.service->name, expectedOutput());
+  if (!arrival_.prompt || arrival_.prompt->chain.sharedTokens() > expectedOutputTokens())
+    return false;
+  return dependencies_.runTimes.isLong(assignment_.service->name, expectedOutputTokens());
 }
 
 routing::ReplicaQuery RelayFlow::query() const {
--- a/src/request/relay_flow.h
+++ b/src/request/relay_flow.h
@@ -62,7 +62,7 @@
   std::size_t mostPassedOver = 8;
   /// A request that would read so many shared tokens asks first who holds them. A lookup costs a
   /// few milliseconds, as reading so many tokens does.
-  std::uint32_t leastLookup = 512;
+  std::uint32_t minimumLookupTokens = 512;
   /// With fewer holders the home of a first part is told of more, so that they share the fetches.
   std::size_t fewHolders = 3;
   /// Refusals by replicas after which a request is refused as well.
@@ -88,13 +88,13 @@
   std::string service;
   /// Dispatches after the first, by what led to them.
   RetryCounts retries{};
-  base::Duration firstByteAfter{};
+  base::Duration timeToFirstByte{};
   base::Duration duration{};
-  bool callerGone = false;
+  bool callerDisconnected = false;
   /// Shared tokens of the prompts of all attempts, by where the node expected them to come from.
   std::uint64_t cachedTokens = 0;
   std::uint64_t fetchedTokens = 0;
-  std::uint64_t readTokens = 0;
+  std::uint64_t prefillTokens = 0;
   /// Empty without a tenant, or where it has none of its own.
   std::optional<std::uint32_t> tenantPriority;
 };
@@ -102,7 +102,7 @@
 class RelayObserver {
  public:
   virtual ~RelayObserver() = default;
-  virtual void onRelayed(const config::Route& route, const RelayOutcome& outcome) = 0;
+  virtual void onRelayFinished(const config::Route& route, const RelayOutcome& outcome) = 0;
 };
 
 /// All must outlive the flows and share their thread.
@@ -144,7 +144,7 @@
  public:
   /// Says whether the request may still be sent: its key may have been taken away, or the
   /// configuration may no longer be confirmed. Asked before each dispatch.
-  using DispatchCheck = std::function<std::optional<RelayRefusal>(const RelayArrival&)>;
+  using DispatchCheck = std::function<std::optional<RelayRefusal>(const IncomingRequest&)>;
   /// Called once when the request is over; the flow may be destroyed inside.
   using Finished = std::function<void(RelayFlow&)>;
   /// The number of nodes that share the replicas.
@@ -156,15 +156,15 @@
     Finished finished;
   };
 
-  RelayFlow(RelayDependencies dependencies, const RelayOptions& options, RelayArrival arrival,
-            RelayAssignment assignment, std::unique_ptr<RelayCaller> caller, Hooks hooks);
+  RelayFlow(RelayDependencies dependencies, const RelayOptions& options, IncomingRequest arrival,
+            RelayAssignment assignment, std::unique_ptr<ResponseWriter> caller, Hooks hooks);
   ~RelayFlow() override;
   RelayFlow(const RelayFlow&) = delete;
   RelayFlow& operator=(const RelayFlow&) = delete;
 
   void start();
   /// The caller went away: work for it ends at once.
-  void onCallerGone();
+  void onCallerDisconnected();
   /// A version of weights was named or dated, or the clock has jumped: the attempt may have to
   /// begin earlier than was known when it was sent.
   void onWeightsChanged();
@@ -214,7 +214,7 @@
   /// Tokens of the prompt and the longest answer.
   std::uint32_t wantedTokens() const;
   std::uint32_t promptTokens() const;
-  std::uint32_t expectedOutput() const;
+  std::uint32_t expectedOutputTokens() const;
   /// The request is one of those that are kept together because they run long.
   bool runsLong() const;
   routing::ReplicaQuery query() const;
@@ -323,15 +323,15 @@
   void refuse(const RelayRefusal& refusal);
   void passRefusal(const clients::RelayedAnswer& answer);
   void cut(std::string_view why);
-  void finish(unsigned status, base::ResultCode code, bool callerGone);
-  RelayOutcome outcomeOf(unsigned status, base::ResultCode code, bool callerGone) const;
+  void finish(unsigned status, base::ResultCode code, bool callerDisconnected);
+  RelayOutcome outcomeOf(unsigned status, base::ResultCode code, bool callerDisconnected) const;
 
   RelayDependencies dependencies_;
   const RelayOptions& options_;
-  RelayArrival arrival_;
+  IncomingRequest arrival_;
   RelayAssignment assignment_;
   base::RequestFingerprint fingerprint_;
-  std::unique_ptr<RelayCaller> caller_;
+  std::unique_ptr<ResponseWriter> caller_;
   Hooks hooks_;
   base::TimePoint deadline_{};
   base::TimePoint holdUntil_{};
@@ -371,7 +371,7 @@
   EventSplitter events_;
   bool paused_ = false;
   bool over_ = false;
-  base::Duration firstByteAfter_{};
+  base::Duration timeToFirstByte_{};
   /// From the arrival to the latest dispatch.
   base::Duration heldFor_{};
   /// Where the request was sent last, and what its stream was like there.
@@ -382,7 +382,7 @@
   unsigned status_ = 0;
   std::uint64_t cachedTokens_ = 0;
   std::uint64_t fetchedTokens_ = 0;
-  std::uint64_t readTokens_ = 0;
+  std::uint64_t prefillTokens_ = 0;
 
   base::TimerId deadlineTimer_ = 0;
   base::TimerId holdTimer_ = 0;
--- a/src/request/relay_flow_answer.cc
+++ b/src/request/relay_flow_answer.cc
@@ -168,7 +168,7 @@
 void RelayFlow::beginAnswer(std::optional<std::uint64_t> length) {
   headDelivered_ = true;
   status_ = attempt_->answer->status;
-  firstByteAfter_ = dependencies_.clock.now() - arrival_.arrivedAt;
+  timeToFirstByte_ = dependencies_.clock.now() - arrival_.arrivedAt;
   clients::RelayedAnswer head = *attempt_->answer;
   head.length = length;
   caller_->begin(head);
@@ -222,8 +222,8 @@
   }
   caller_->end();
   if (arrival_.prompt && successful(status_)) {
-    const auto began = arrival_.arrivedAt + firstByteAfter_;
-    dependencies_.runTimes.onEnd(assignment_.service->name, expectedOutput(),
+    const auto began = arrival_.arrivedAt + timeToFirstByte_;
+    dependencies_.runTimes.onEnd(assignment_.service->name, expectedOutputTokens(),
                                  dependencies_.clock.now() - began);
   }
   finish(status_, base::ResultCode::kOk, false);
--- a/src/request/relay_flow_dispatch.cc
+++ b/src/request/relay_flow_dispatch.cc
@@ -10,7 +10,7 @@
 namespace {
 
 /// The deepest shared part of the prompt, as a number that is equal on all nodes.
-std::string sharedPart(const RelayArrival& arrival) {
+std::string sharedPart(const IncomingRequest& arrival) {
   if (!arrival.prompt) return {};
   const auto part = arrival.prompt->chain.deepestShared();
   return part ? std::to_string(*part) : std::string{};
@@ -146,7 +146,7 @@
   if (!arrival_.prompt) return;
   cachedTokens_ += decision.matchedTokens;
   fetchedTokens_ += decision.heldTokens() - decision.matchedTokens;
-  readTokens_ += unreadSharedTokens(decision);
+  prefillTokens_ += unreadSharedTokens(decision);
 }
 
 }  // namespace covewing::request
--- a/src/request/relay_flow_end.cc
+++ b/src/request/relay_flow_end.cc
@@ -32,7 +32,7 @@
   }
 }
 
-void RelayFlow::onCallerGone() {
+void RelayFlow::onCallerDisconnected() {
   if (over_) return;
   finish(status_, base::ResultCode::kOk, true);
 }
@@ -73,28 +73,29 @@
                                                        {"replica", lastReplica_},
                                                        {"last_event", events_.lastEventId()}});
   endAttempt();
-  caller_->cut();
+  caller_->abort();
   finish(status_, base::ResultCode::kStreamBroken, false);
 }
 
-RelayOutcome RelayFlow::outcomeOf(unsigned status, base::ResultCode code, bool callerGone) const {
+RelayOutcome RelayFlow::outcomeOf(unsigned status, base::ResultCode code,
+                                  bool callerDisconnected) const {
   RelayOutcome outcome;
   outcome.status = status;
   outcome.code = code;
   outcome.attempts = dispatches_;
   outcome.service = assignment_.service->name;
   outcome.retries = retries_;
-  outcome.firstByteAfter = firstByteAfter_;
+  outcome.timeToFirstByte = timeToFirstByte_;
   outcome.duration = dependencies_.clock.now() - arrival_.arrivedAt;
-  outcome.callerGone = callerGone;
+  outcome.callerDisconnected = callerDisconnected;
   outcome.cachedTokens = cachedTokens_;
   outcome.fetchedTokens = fetchedTokens_;
-  outcome.readTokens = readTokens_;
+  outcome.prefillTokens = prefillTokens_;
   if (assignment_.tenant != nullptr) outcome.tenantPriority = assignment_.tenant->priority;
   return outcome;
 }
 
-void RelayFlow::finish(unsigned status, base::ResultCode code, bool callerGone) {
+void RelayFlow::finish(unsigned status, base::ResultCode code, bool callerDisconnected) {
   if (over_) return;
   const auto self = shared_from_this();
   over_ = true;
@@ -105,9 +106,9 @@
   allowance_.end(runs_ + (running ? 1 : 0));
   dependencies_.timers.cancel(deadlineTimer_);
   dependencies_.timers.cancel(holdTimer_);
-  const auto outcome = outcomeOf(status, code, callerGone);
+  const auto outcome = outcomeOf(status, code, callerDisconnected);
   dependencies_.log.write(
-      callerGone ? base::Event::kCallerDisconnected : base::Event::kRelayFinished,
+      callerDisconnected ? base::Event::kCallerDisconnected : base::Event::kRelayFinished,
       {{"request", arrival_.request->id},
        {"route", assignment_.route->name},
        {"status", std::to_string(status)},
@@ -117,12 +118,12 @@
        {"urgency", std::to_string(urgency())},
        {"replica", lastReplica_},
        {"held_ms", millisecondsText(heldFor_)},
-       {"first_byte_ms", millisecondsText(firstByteAfter_)},
+       {"first_byte_ms", millisecondsText(timeToFirstByte_)},
        {"longest_pause_ms", millisecondsText(lastStream_.longestPause)},
        {"target_ms", millisecondsText(assignment_.route->targetLatency)},
        {"pause_target_ms", millisecondsText(assignment_.route->gapTarget)},
        {"total_ms", millisecondsText(outcome.duration)}});
-  dependencies_.observer.onRelayed(*assignment_.route, outcome);
+  dependencies_.observer.onRelayFinished(*assignment_.route, outcome);
   caller_.reset();
   hooks_.finished(*this);
 }
--- a/src/request/relay_flow_parts.cc
+++ b/src/request/relay_flow_parts.cc
@@ -8,8 +8,9 @@
 
 bool RelayFlow::shouldLookUp(const routing::ReplicaDecision& decision) const {
   if (lookedUp_ || !decision.replica || !arrival_.prompt) return false;
-  if (!knowsAllCaches()) return arrival_.prompt->chain.sharedTokens() >= options_.leastLookup;
-  return unreadSharedTokens(decision) >= options_.leastLookup;
+  if (!knowsAllCaches())
+    return arrival_.prompt->chain.sharedTokens() >= options_.minimumLookupTokens;
+  return unreadSharedTokens(decision) >= options_.minimumLookupTokens;
 }
 
 bool RelayFlow::knowsAllCaches() const {
@@ -26,7 +27,7 @@
   const auto& chain = arrival_.prompt->chain;
   std::vector<std::size_t> wanted{chain.sharedParts() - 1};
   const auto& first = chain.parts().front();
-  const bool worthAsking = wanted.front() > 0 && first.tokens >= options_.leastLookup;
+  const bool worthAsking = wanted.front() > 0 && first.tokens >= options_.minimumLookupTokens;
   const bool known = knowsAllCaches() && dependencies_.holders.anyHolds(scope, first.id);
   if (worthAsking && !known) wanted.push_back(0);
   return wanted;
@@ -72,7 +73,8 @@
 }
 
 void RelayFlow::tellHome(const routing::ReplicaDecision& decision) {
-  if (!arrival_.prompt || arrival_.prompt->chain.sharedTokens() < options_.leastLookup) return;
+  if (!arrival_.prompt || arrival_.prompt->chain.sharedTokens() < options_.minimumLookupTokens)
+    return;
   const routing::PartHolder holder{base::engineIdOf(decision.replica->facts().instance),
                                    decision.scope};
   const auto& chain = arrival_.prompt->chain;
@@ -112,7 +114,7 @@
 }
 
 base::Duration RelayFlow::patience() const {
-  const bool longPrompt = arrival_.prompt->chain.sharedTokens() >= options_.leastLookup;
+  const bool longPrompt = arrival_.prompt->chain.sharedTokens() >= options_.minimumLookupTokens;
   const double share = longPrompt ? options_.longPromptPatienceShare : options_.patienceShare;
   return std::chrono::duration_cast<base::Duration>(assignment_.route->targetLatency * share);
 }
@@ -126,7 +128,7 @@
   standing.inTimeUntil = arrival_.arrivedAt + route.targetLatency;
   standing.usefulUntil = usefulUntil_;
   standing.longestPause = route.gapTarget;
-  standing.outputTokens = expectedOutput();
+  standing.outputTokens = expectedOutputTokens();
   if (headDelivered_) {
     // A stream that is taken up again is late already: its caller waits for the next event.
     standing.inTimeUntil = dependencies_.clock.now() + route.targetLatency;
--- a/src/request/relay_request.h
+++ b/src/request/relay_request.h
@@ -17,20 +17,22 @@
 namespace covewing::request {
 
 /// What a caller says of its prompt.
-struct PromptFacts {
+struct PromptMetadata {
   std::string model;
   prefix::PartChain chain;
   std::uint32_t promptTokens = 0;
-  std::uint32_t mostOutputTokens = 0;
+  std::uint32_t maximumOutputTokens = 0;
   /// The caller's guess at the tokens that will be made; often far off.
-  std::optional<std::uint32_t> outputHint;
+  std::optional<std::uint32_t> outputLengthHint;
 
   /// The hint, or half of the most where there is none.
-  std::uint32_t expectedOutput() const { return outputHint.value_or(mostOutputTokens / 2); }
+  std::uint32_t expectedOutputTokens() const {
+    return outputLengthHint.value_or(maximumOutputTokens / 2);
+  }
 };
 
 /// One request as it was read.
-struct RelayArrival {
+struct IncomingRequest {
   clients::RelayedRequestPtr request;
   std::string host;
   /// Path without the query.
@@ -41,9 +43,9 @@
   std::optional<base::Duration> deadline;
   base::TimePoint arrivedAt{};
   /// Empty for requests without a prompt.
-  std::optional<PromptFacts> prompt;
+  std::optional<PromptMetadata> prompt;
   /// Tokens of the prompt and of the longest answer; empty when the caller states none.
-  std::optional<std::uint32_t> statedTokens;
+  std::optional<std::uint32_t> declaredTokens;
   /// The caller takes a stream up behind this event.
   std::string lastEventId;
 };
@@ -58,11 +60,11 @@
   bool closeConnection = false;
 };
 
-/// The caller's end. After `end`, `refuse` or `cut` nothing follows. Calls after the caller went
+/// The caller's end. After `end`, `refuse` or `abort` nothing follows. Calls after the caller went
 /// away do nothing.
-class RelayCaller {
+class ResponseWriter {
  public:
-  virtual ~RelayCaller() = default;
+  virtual ~ResponseWriter() = default;
   /// Starts an answer; with a length the body is sent as it is, else in chunks.
   virtual void begin(const clients::RelayedAnswer& answer) = 0;
   virtual void write(std::string_view bytes) = 0;
@@ -70,7 +72,7 @@
   virtual void end() = 0;
   virtual void refuse(const RelayRefusal& refusal) = 0;
   /// Closes the connection, so that the caller sees an incomplete answer.
-  virtual void cut() = 0;
+  virtual void abort() = 0;
   /// Called with true when the caller does not keep up, with false when it does again.
   virtual void onPressure(std::function<void(bool)> listener) = 0;
 };
--- a/src/request/relay_service.cc
+++ b/src/request/relay_service.cc
@@ -26,8 +26,8 @@
   return confirmedAt && dependencies_.clock.now() - *confirmedAt < options_.confirmationBound;
 }
 
-std::weak_ptr<RelayFlow> RelayService::begin(RelayArrival arrival,
-                                             std::unique_ptr<RelayCaller> caller) {
+std::weak_ptr<RelayFlow> RelayService::begin(IncomingRequest arrival,
+                                             std::unique_ptr<ResponseWriter> caller) {
   RelayAssignment assignment;
   if (const auto refusal = assign(arrival, assignment)) {
     dependencies_.log.write(
@@ -43,7 +43,7 @@
     return {};
   }
   RelayFlow::Hooks hooks;
-  hooks.check = [this, assignment](const RelayArrival& again) {
+  hooks.check = [this, assignment](const IncomingRequest& again) {
     return recheck(again, assignment);
   };
   hooks.nodes = nodes_;
@@ -65,7 +65,7 @@
   for (const auto& flow : flows) flow->onWeightsChanged();
 }
 
-std::optional<RelayRefusal> RelayService::assign(const RelayArrival& arrival,
+std::optional<RelayRefusal> RelayService::assign(const IncomingRequest& arrival,
                                                  RelayAssignment& assignment) {
   if (refusingNew_) {
     return refusalOf(base::ResultCode::kNodeDraining, "this node is stopping",
@@ -90,18 +90,18 @@
 }
 
 std::optional<admission::QuotaDemand> RelayService::demandOf(
-    const RelayArrival& arrival, const RelayAssignment& assignment) const {
+    const IncomingRequest& arrival, const RelayAssignment& assignment) const {
   if (assignment.tenant == nullptr || !assignment.tenant->rate) return std::nullopt;
   const auto& rate = *assignment.tenant->rate;
   admission::QuotaDemand demand;
   demand.tenant = base::tenantIdOf(assignment.tenant->name);
   demand.revision = assignment.table->version();
   demand.limits = options_.quotaWindow.limitsFor(rate);
-  demand.tokens = rate.countOf(arrival.statedTokens);
+  demand.tokens = rate.countOf(arrival.declaredTokens);
   return demand;
 }
 
-std::optional<RelayRefusal> RelayService::checkKey(const RelayArrival& arrival,
+std::optional<RelayRefusal> RelayService::checkKey(const IncomingRequest& arrival,
                                                    RelayAssignment& assignment) {
   if (assignment.route->isPublic || !assignment.table->hasTenants()) return std::nullopt;
   if (!confirmed()) return unconfirmed();
@@ -112,7 +112,7 @@
   return std::nullopt;
 }
 
-std::optional<RelayRefusal> RelayService::recheck(const RelayArrival& arrival,
+std::optional<RelayRefusal> RelayService::recheck(const IncomingRequest& arrival,
                                                   const RelayAssignment& assignment) const {
   if (assignment.tenant == nullptr) return std::nullopt;
   if (!confirmed()) return unconfirmed();
--- a/src/request/relay_service.h
+++ b/src/request/relay_service.h
@@ -50,25 +50,25 @@
 
   /// Takes a request up. The flow, empty when the request was refused, is told by its owner when
   /// the caller goes away.
-  std::weak_ptr<RelayFlow> begin(RelayArrival arrival, std::unique_ptr<RelayCaller> caller);
-  std::size_t open() const { return flows_.size(); }
+  std::weak_ptr<RelayFlow> begin(IncomingRequest arrival, std::unique_ptr<ResponseWriter> caller);
+  std::size_t openRequests() const { return flows_.size(); }
   /// A version of weights was named or dated, or the clock has jumped: requests under way that must
   /// begin earlier than was known when they were sent are taken back by then, or at once.
   void onWeightsChanged();
   /// From now on new requests are refused as not run: the node stops before they would be over.
-  void refuseNew() { refusingNew_ = true; }
+  void refuseNewRequests() { refusingNew_ = true; }
   /// Whether keys may be accepted now.
   bool confirmed() const;
 
  private:
-  std::optional<RelayRefusal> assign(const RelayArrival& arrival, RelayAssignment& assignment);
-  std::optional<RelayRefusal> checkKey(const RelayArrival& arrival, RelayAssignment& assignment);
+  std::optional<RelayRefusal> assign(const IncomingRequest& arrival, RelayAssignment& assignment);
+  std::optional<RelayRefusal> checkKey(const IncomingRequest& arrival, RelayAssignment& assignment);
   /// Asked again before each dispatch.
-  std::optional<RelayRefusal> recheck(const RelayArrival& arrival,
+  std::optional<RelayRefusal> recheck(const IncomingRequest& arrival,
                                       const RelayAssignment& assignment) const;
   RelayRefusal unconfirmed() const;
   /// What the request takes of its tenant's limit; empty without one.
-  std::optional<admission::QuotaDemand> demandOf(const RelayArrival& arrival,
+  std::optional<admission::QuotaDemand> demandOf(const IncomingRequest& arrival,
                                                  const RelayAssignment& assignment) const;
   const config::Service* pickService(const config::RouteTable& table, const config::Route& route);
 
--- a/src/request/request_manager.cc
+++ b/src/request/request_manager.cc
@@ -80,7 +80,7 @@
   return std::make_unique<FlowHandle>(std::move(flow));
 }
 
-void RequestManager::refuseOpen(const Reason& reason) {
+void RequestManager::failOpenRequests(const Reason& reason) {
   std::vector<std::shared_ptr<RequestFlow>> flows;
   for (const auto& [number, weak] : open_) {
     if (auto flow = weak.lock()) flows.push_back(std::move(flow));
--- a/src/request/request_manager.h
+++ b/src/request/request_manager.h
@@ -35,7 +35,7 @@
   /// From now on new requests are refused; those in flight go on.
   void startDraining() { draining_ = true; }
   /// Ends the requests still open, each with its final error.
-  void refuseOpen(const base::Reason& reason);
+  void failOpenRequests(const base::Reason& reason);
   bool draining() const { return draining_; }
   /// Called before each request is looked at, so that a node that was paused notices it first.
   void setBeforeRequest(std::function<void()> callback) { beforeRequest_ = std::move(callback); }
--- a/tests/live/relay_fleet.h
+++ b/tests/live/relay_fleet.h
@@ -30,10 +30,10 @@
 class PlainDialect final : public RelayDialect {
  public:
   std::string_view requestIdHeader() const override { return kRequestIdHeader; }
-  std::optional<request::RelayArrival> readRequest(const HttpRequest& request, std::string body,
-                                                   base::TimePoint arrivedAt,
-                                                   base::Reason& /*reason*/) const override {
-    request::RelayArrival arrival;
+  std::optional<request::IncomingRequest> readRequest(const HttpRequest& request, std::string body,
+                                                      base::TimePoint arrivedAt,
+                                                      base::Reason& /*reason*/) const override {
+    request::IncomingRequest arrival;
     arrival.host = request.header("Host");
     arrival.path = request.path();
     arrival.key = request.header("X-Key");
--- a/tests/live/relay_reference_test.cc
+++ b/tests/live/relay_reference_test.cc
@@ -50,7 +50,7 @@
   RelayMetrics metrics;
   config::Route route;
   request::RelayOutcome outcome;
-  outcome.firstByteAfter = std::chrono::milliseconds(1);
+  outcome.timeToFirstByte = std::chrono::milliseconds(1);
   outcome.service = "app";
   outcome.retries.front() = 1;
   metrics.onRelayed(route, outcome);
--- a/tests/node/node_test.cc
+++ b/tests/node/node_test.cc
@@ -52,7 +52,7 @@
 
 BOOST_AUTO_TEST_CASE(StaleAfterAPauseFollowsTheTemplate) {
   startAndSettle();
-  table.standing = request::FakeTable::Behaviour::kUnavailable;
+  table.defaultBehaviour = request::FakeTable::Behaviour::kUnavailable;
   time.pause(seconds(30));
   const auto active = complete();
   time.advance(seconds(4));
--- a/tests/node/weights_dates_test.cc
+++ b/tests/node/weights_dates_test.cc
@@ -91,10 +91,10 @@
 }
 
 BOOST_AUTO_TEST_CASE(LostAnswersAndOutagesAreTriedAgain) {
-  table.planned = {FakeTable::Behaviour::kUnavailable, FakeTable::Behaviour::kLoseAnswer};
+  table.nextBehaviours = {FakeTable::Behaviour::kUnavailable, FakeTable::Behaviour::kLoseAnswer};
   seeing.write("m", 4);
   time.advance(seconds(10));
-  table.planned = {FakeTable::Behaviour::kUnavailable};
+  table.nextBehaviours = {FakeTable::Behaviour::kUnavailable};
   BOOST_TEST(lookUp(4).has_value());
 }
 
@@ -118,7 +118,7 @@
 // A node knows the service's clock from answers that were under way for some time: what it makes of
 // it is late by that. A date that is read with such a clock was up to 0.8 s too late.
 BOOST_AUTO_TEST_CASE(AgeIsNeverLessThanTheTruthWhereTheNodesClockOfTheServiceIsLate) {
-  table.clockLead = seconds(1000);
+  table.clockOffset = seconds(1000);
   seeing.write("m", 4);
   time.advance(seconds(5));
   WeightsDates late{table, time, time, [this] { return *serviceTime() - milliseconds(800); }};
--- a/tests/platform/http_dialect_test.cc
+++ b/tests/platform/http_dialect_test.cc
@@ -27,7 +27,7 @@
           {}};
 }
 
-std::optional<request::RelayArrival> read(const live::HttpRequest& request) {
+std::optional<request::IncomingRequest> read(const live::HttpRequest& request) {
   base::Reason reason;
   return HttpDialect{}.readRequest(request, "body", {}, reason);
 }
@@ -47,8 +47,8 @@
   BOOST_TEST((arrival->deadline == std::chrono::seconds(6)));
   BOOST_TEST(arrival->prompt->model == "daka510000");
   BOOST_TEST(arrival->prompt->promptTokens == 1460U);
-  BOOST_TEST(arrival->prompt->mostOutputTokens == 80U);
-  BOOST_TEST(arrival->prompt->expectedOutput() == 25U);
+  BOOST_TEST(arrival->prompt->maximumOutputTokens == 80U);
+  BOOST_TEST(arrival->prompt->expectedOutputTokens() == 25U);
   BOOST_TEST(arrival->prompt->chain.sharedTokens() == 1210U);
   BOOST_TEST(arrival->lastEventId == "12");
 }
@@ -84,20 +84,20 @@
 }
 
 BOOST_AUTO_TEST_CASE(StatedTokensAreThoseOfThePromptAndTheLongestAnswer) {
-  BOOST_TEST(read(callerRequest())->statedTokens.value() == 1540U);
+  BOOST_TEST(read(callerRequest())->declaredTokens.value() == 1540U);
   auto withoutModel = callerRequest();
   std::erase_if(withoutModel.headers,
                 [](const auto& field) { return field.name == "X-Covewing-Model"; });
-  BOOST_TEST(read(withoutModel)->statedTokens.value() == 1540U);
+  BOOST_TEST(read(withoutModel)->declaredTokens.value() == 1540U);
   auto withoutUsage = callerRequest();
   std::erase_if(withoutUsage.headers,
                 [](const auto& field) { return field.name == "X-Covewing-Token-Usage"; });
-  BOOST_TEST(!read(withoutUsage)->statedTokens.has_value());
+  BOOST_TEST(!read(withoutUsage)->declaredTokens.has_value());
   auto huge = callerRequest();
   for (auto& field : huge.headers) {
     if (field.name == "X-Covewing-Token-Usage") field.value = "4294967295,4294967295";
   }
-  BOOST_TEST(read(huge)->statedTokens.value() == 4294967295U);
+  BOOST_TEST(read(huge)->declaredTokens.value() == 4294967295U);
 }
 
 BOOST_AUTO_TEST_CASE(WhatOnlyTheNodeMaySetNeverTravelsFromACaller) {
--- a/tests/request/claim_committer_test.cc
+++ b/tests/request/claim_committer_test.cc
@@ -41,7 +41,7 @@
 BOOST_FIXTURE_TEST_SUITE(ClaimCommitterTest, ClaimFixture)
 
 BOOST_AUTO_TEST_CASE(LostAnswerIsReadBackAndOwned) {
-  table.planned = {Behaviour::kLoseAnswer};
+  table.nextBehaviours = {Behaviour::kLoseAnswer};
   claim(store, "r1", "k");
   time.advance(milliseconds(100));
   BOOST_TEST((results.at("r1").status == ClaimStatus::kOwned));
@@ -50,7 +50,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(LostRequestIsSentAgain) {
-  table.planned = {Behaviour::kLoseRequest};
+  table.nextBehaviours = {Behaviour::kLoseRequest};
   claim(store, "r1", "k");
   time.advance(milliseconds(100));
   BOOST_TEST((results.at("r1").status == ClaimStatus::kOwned));
@@ -58,7 +58,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(FirstCommitLandingLateStillCountsAsOurs) {
-  table.planned = {Behaviour::kLoseRequest};
+  table.nextBehaviours = {Behaviour::kLoseRequest};
   claim(store, "r1", "k");
   time.advance(milliseconds(1));
   // The read-back sees nothing; then the first transaction takes effect before the second.
@@ -75,7 +75,7 @@
   for (const Behaviour first : behaviours) {
     for (const Behaviour second : behaviours) {
       results.clear();
-      table.planned = {first, second};
+      table.nextBehaviours = {first, second};
       const std::string name = "k" + std::to_string(++key);
       claim(store, "r1", name);
       claim(otherNode, "r2", name);
@@ -117,13 +117,13 @@
 }
 
 BOOST_AUTO_TEST_CASE(AnsweredAtTheLimitAndReleasedWhenItTurnsOutOurs) {
-  table.planned = {Behaviour::kLoseAnswer};
-  table.standing = Behaviour::kUnavailable;
+  table.nextBehaviours = {Behaviour::kLoseAnswer};
+  table.defaultBehaviour = Behaviour::kUnavailable;
   claim(store, "r1", "k");
   time.advance(seconds(2));
   BOOST_TEST((results.at("r1").status == ClaimStatus::kUnavailable));
   BOOST_TEST(table.rows.size() == 1U);
-  table.standing = Behaviour::kNormal;
+  table.defaultBehaviour = Behaviour::kNormal;
   time.advance(seconds(20));
   BOOST_TEST(table.rows.empty());
   claim(otherNode, "r2", "k");
--- a/tests/request/claim_expiry_test.cc
+++ b/tests/request/claim_expiry_test.cc
@@ -59,11 +59,11 @@
 
 BOOST_AUTO_TEST_CASE(UnavailableServiceIsTriedAgain) {
   addClaims(0, 4);
-  table.standing = FakeTable::Behaviour::kUnavailable;
+  table.defaultBehaviour = FakeTable::Behaviour::kUnavailable;
   expiry.start();
   time.advance(hours(10));
   BOOST_TEST(claims() == 4U);
-  table.standing = FakeTable::Behaviour::kNormal;
+  table.defaultBehaviour = FakeTable::Behaviour::kNormal;
   time.advance(hours(14));
   BOOST_TEST(claims() == 0U);
 }
--- a/tests/request/claim_store_test.cc
+++ b/tests/request/claim_store_test.cc
@@ -231,7 +231,7 @@
   }
   // Silence of the service is left out: its client answers each call.
   for (const std::uint8_t behaviour : service) {
-    fleet.table.planned.push_back(static_cast<Behaviour>(behaviour % 5));
+    fleet.table.nextBehaviours.push_back(static_cast<Behaviour>(behaviour % 5));
   }
   std::size_t number = 0;
   for (const std::uint8_t choice : claims) {
--- a/tests/request/completion_flow_test.cc
+++ b/tests/request/completion_flow_test.cc
@@ -334,7 +334,7 @@
 BOOST_AUTO_TEST_CASE(BoundOfThePlannedStopGivesAFinalError) {
   const auto active = complete();
   engines.last().chunk(0);
-  manager.refuseOpen({ResultCode::kNodeDraining, "bound"});
+  manager.failOpenRequests({ResultCode::kNodeDraining, "bound"});
   BOOST_REQUIRE(sink.refused.has_value());
   BOOST_TEST((sink.refused->outcome == Outcome::kUnknown));
   BOOST_TEST(manager.openRequests() == 0U);
--- a/tests/request/fakes.h
+++ b/tests/request/fakes.h
@@ -39,14 +39,14 @@
   explicit FakeTable(VirtualTime& time) : time_(time) {}
 
   /// The next calls behave like this, one entry a call; then normally.
-  std::deque<Behaviour> planned;
-  Behaviour standing = Behaviour::kNormal;
+  std::deque<Behaviour> nextBehaviours;
+  Behaviour defaultBehaviour = Behaviour::kNormal;
   std::map<std::string, clients::TableRow> rows;
   std::vector<clients::TableTransaction> commits;
   std::uint64_t reads = 0;
   base::Duration latency = std::chrono::milliseconds(1);
   /// The service's clock less that of the nodes; told in answers where it is given.
-  std::optional<base::Duration> clockLead;
+  std::optional<base::Duration> clockOffset;
 
   void read(std::vector<std::string> keys, clients::TableCallback callback) override {
     ++reads;
@@ -56,7 +56,7 @@
       reply.status = clients::TableStatus::kOk;
       reply.revision = revision_;
       reply.rows = currentRows(keys);
-      if (clockLead) reply.serviceTime = time_.now().time_since_epoch() + *clockLead;
+      if (clockOffset) reply.serviceTime = time_.now().time_since_epoch() + *clockOffset;
     }
     answer(behaviour, std::move(reply), std::move(callback));
   }
@@ -98,9 +98,9 @@
 
  private:
   Behaviour next() {
-    if (planned.empty()) return standing;
-    const Behaviour behaviour = planned.front();
-    planned.pop_front();
+    if (nextBehaviours.empty()) return defaultBehaviour;
+    const Behaviour behaviour = nextBehaviours.front();
+    nextBehaviours.pop_front();
     return behaviour;
   }
   static clients::TableReply refusalOf(Behaviour behaviour) {
--- a/tests/request/limited_fleet.h
+++ b/tests/request/limited_fleet.h
@@ -148,7 +148,7 @@
                                             clients::RelayHandler& handler) override {
     return played.start(number, replica, handler);
   }
-  void onRelayed(const config::Route& /*route*/, const RelayOutcome& /*outcome*/) override {}
+  void onRelayFinished(const config::Route& /*route*/, const RelayOutcome& /*outcome*/) override {}
 
   std::size_t number;
   LimitedReplicas& played;
@@ -240,7 +240,7 @@
   }
 
   void request(std::size_t node) {
-    RelayArrival arrival;
+    IncomingRequest arrival;
     arrival.host = "example";
     arrival.path = "/safe/x";
     arrival.key = "key";
@@ -302,7 +302,7 @@
   LimitedCalls calls;
 
  private:
-  class Caller final : public RelayCaller {
+  class Caller final : public ResponseWriter {
    public:
     explicit Caller(LimitedFleet& fleet) : fleet_(fleet), since_(fleet.time.now()) {}
     void begin(const clients::RelayedAnswer& /*answer*/) override {}
@@ -313,7 +313,7 @@
       fleet_.calls.refusedAfter += fleet_.time.now() - since_;
       fleet_.calls.comeBackAt.push_back(fleet_.time.now() + refusal.retryAfter);
     }
-    void cut() override {}
+    void abort() override {}
     void onPressure(std::function<void(bool)> /*listener*/) override {}
 
    private:
--- a/tests/request/proxied_flow_test.cc
+++ b/tests/request/proxied_flow_test.cc
@@ -77,7 +77,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(NoClaimNoDispatch) {
-  table.standing = Behaviour::kUnavailable;
+  table.defaultBehaviour = Behaviour::kUnavailable;
   const auto active = proxy("POST", "payment-1");
   time.advance(seconds(3));
   BOOST_TEST(applications.calls.empty());
--- a/tests/request/relay_fixture.h
+++ b/tests/request/relay_fixture.h
@@ -112,7 +112,7 @@
   bool open() const { return finals == 0; }
 };
 
-class FakeCaller final : public RelayCaller {
+class FakeCaller final : public ResponseWriter {
  public:
   explicit FakeCaller(CallerView& view) : view_(view) {}
   void begin(const clients::RelayedAnswer& answer) override { view_.head = answer; }
@@ -125,7 +125,7 @@
     view_.refusal = refusal;
     ++view_.finals;
   }
-  void cut() override {
+  void abort() override {
     view_.cut = true;
     ++view_.finals;
   }
@@ -264,7 +264,7 @@
   /// Takes up a request of the route with this path.
   CallerView& request(const std::string& path, const std::string& key = "key",
                       std::string body = {}) {
-    RelayArrival arrival;
+    IncomingRequest arrival;
     arrival.host = "example";
     arrival.path = '/' + path + "/x";
     arrival.key = key;
@@ -272,12 +272,12 @@
     arrival.request = std::make_shared<const clients::RelayedRequest>(clients::RelayedRequest{
         "id-" + std::to_string(++requests), "POST", arrival.path, {}, std::move(body)});
     if (path == "once" || path == "resumable") {
-      PromptFacts prompt;
+      PromptMetadata prompt;
       prompt.model = "m";
       prompt.chain = *prefix::PartChain::parse(promptText);
       prompt.promptTokens = prompt.chain.totalTokens();
-      prompt.mostOutputTokens = 20;
-      arrival.statedTokens = prompt.promptTokens + prompt.mostOutputTokens;
+      prompt.maximumOutputTokens = 20;
+      arrival.declaredTokens = prompt.promptTokens + prompt.maximumOutputTokens;
       arrival.prompt = std::move(prompt);
     }
     views.push_back(std::make_unique<CallerView>());
@@ -294,7 +294,7 @@
   }
   void quarantineRequest(const std::string& path) { quarantineAfter(3, path); }
 
-  void onRelayed(const config::Route& /*route*/, const RelayOutcome& outcome) override {
+  void onRelayFinished(const config::Route& /*route*/, const RelayOutcome& outcome) override {
     outcomes.push_back(outcome);
   }
 
--- a/tests/request/relay_flow_test.cc
+++ b/tests/request/relay_flow_test.cc
@@ -24,7 +24,7 @@
   BOOST_TEST(caller.body == "hello");
   BOOST_TEST(caller.ended);
   BOOST_TEST(caller.head->length.value() == 5U);
-  BOOST_TEST(service.open() == 0U);
+  BOOST_TEST(service.openRequests() == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(ReplicaIsToldWhoItMustBeAndHowMuchTimeIsLeft) {
@@ -256,10 +256,10 @@
 
 BOOST_AUTO_TEST_CASE(CallerThatGoesAwayEndsTheCall) {
   auto& caller = request("unsafe");
-  flow.lock()->onCallerGone();
+  flow.lock()->onCallerDisconnected();
   BOOST_TEST(!client.last().open);
   BOOST_TEST(caller.open());
-  BOOST_TEST(service.open() == 0U);
+  BOOST_TEST(service.openRequests() == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(HeadOfStreamWaitsForItsFirstEvent) {
@@ -348,7 +348,7 @@
       BOOST_TEST(caller.finals == 1);
     }
   }
-  BOOST_TEST(service.open() == 0U);
+  BOOST_TEST(service.openRequests() == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(RequestThatHasNotBegunWhenItsWeightsAreOutOfDateEnds) {
@@ -646,7 +646,7 @@
 
 BOOST_FIXTURE_TEST_CASE(CallerThatLeavesDuringTheLookupIsNotServed, LookupFixture) {
   request("once");
-  flow.lock()->onCallerGone();
+  flow.lock()->onCallerDisconnected();
   answer("m1", "w1");
   time.advance(milliseconds(50));
   BOOST_TEST(client.sent.empty());
--- a/tests/request/relay_queue_test.cc
+++ b/tests/request/relay_queue_test.cc
@@ -84,11 +84,11 @@
   fillReplicas();
   request("once");
   BOOST_TEST(waiting() == 1U);
-  flow.lock()->onCallerGone();
+  flow.lock()->onCallerDisconnected();
   BOOST_TEST(waiting() == 0U);
   while (!names.empty()) endOne();
   BOOST_TEST(client.sent.empty());
-  BOOST_TEST(service.open() == 0U);
+  BOOST_TEST(service.openRequests() == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(RequestThatCannotBeServedInTimeIsRefusedAsNotRunWithTheTimeOfTheHome) {
--- a/tests/request/relay_service_test.cc
+++ b/tests/request/relay_service_test.cc
@@ -69,7 +69,7 @@
 
 BOOST_AUTO_TEST_CASE(StoppingNodeRefusesNewRequestsAndFinishesOpenOnes) {
   auto& before = request("unsafe");
-  service.refuseNew();
+  service.refuseNewRequests();
   auto& after = request("unsafe");
   BOOST_TEST(after.refusal->status == 503U);
   BOOST_TEST(after.refusal->closeConnection);
@@ -130,8 +130,8 @@
     BOOST_TEST(!request("safe").refusal.has_value());
     const auto second = flow;
     BOOST_TEST(request("safe").refusal->status == 429U);
-    first.lock()->onCallerGone();
-    second.lock()->onCallerGone();
+    first.lock()->onCallerDisconnected();
+    second.lock()->onCallerDisconnected();
     time.advance(milliseconds(600));
   }
 }
@@ -184,8 +184,8 @@
     if (client.sent.size() < requests) break;
   }
   BOOST_REQUIRE(client.sent.size() == requests - 1);
-  flow.lock()->onCallerGone();
-  BOOST_TEST(service.open() == requests - 1);
+  flow.lock()->onCallerDisconnected();
+  BOOST_TEST(service.openRequests() == requests - 1);
   time.advance(seconds(2));
   BOOST_TEST(client.sent.size() == requests - 1);
 }
--- a/tests/request/retry_bound_test.cc
+++ b/tests/request/retry_bound_test.cc
@@ -132,7 +132,7 @@
   for (const char* name : {"a", "b", "c"}) replicas.onRemoved(name);
   client.last().breakOff();
   BOOST_TEST(retries.use("app", time.now()).reserved == 1U);
-  flow.lock()->onCallerGone();
+  flow.lock()->onCallerDisconnected();
   BOOST_TEST(retries.use("app", time.now()).reserved == 0U);
   BOOST_TEST(retries.use("app", time.now()).sent == 0U);
 }
