--- a/src/coordination/rollout_plan.cc
+++ b/src/coordination/rollout_plan.cc
@@ -7,7 +7,7 @@
 #include <utility>
 
 #include "coordination/capacity_account.h"
-#include "routing/replica_choice.h"
+#include "routing/replica_selector.h"
 
 namespace covewing::coordination {
 
--- a/src/coordination/weights_rollout.cc
+++ b/src/coordination/weights_rollout.cc
@@ -49,7 +49,7 @@
 void WeightsRollout::advance(const std::string& instance, Change& change) {
   const auto now = environment_.clock.now();
   const auto record = environment_.directory.find(instance);
-  if (record == nullptr || record->gone()) {
+  if (record == nullptr || record->terminated()) {
     ordersTaken_.erase(instance);
     return finishGone(instance, change);
   }
@@ -145,7 +145,7 @@
       finish(instance, "fenced off");
       return;
     case clients::WeightsOrderStatus::kOtherInstance:
-      if (const auto record = environment_.directory.find(instance)) record->setGone();
+      if (const auto record = environment_.directory.find(instance)) record->setTerminated();
       [[fallthrough]];
     case clients::WeightsOrderStatus::kInvalid:
       finish(instance, "refused");
--- a/src/coordination/weights_rollout_pace.cc
+++ b/src/coordination/weights_rollout_pace.cc
@@ -74,7 +74,7 @@
     const bool reachable = !record->health().ejected(now) && !survey_.silent(instance);
     if (record->versionOf(model) == 0 || !reachable || !usable(*record)) continue;
     view.served.push_back(record);
-    if (record->notices().resting(now) && !changes_.contains(instance)) ++view.resting;
+    if (record->notices().backingOff(now) && !changes_.contains(instance)) ++view.resting;
     if (record->versionOf(model) == targets.back().version)
       versions_.onServed(model, targets.back().version);
   }
--- a/src/live/relay_daemon.cc
+++ b/src/live/relay_daemon.cc
@@ -134,9 +134,9 @@
           if (const auto replica = replicas.find(instance)) learnNotices(*replica, notices);
         });
     cacheWatch.onRateLimitedPoll(
-        [this](const routing::ReplicaRecord& replica) { placement.countCall(replica); });
-    replicaEnds.onEnded([this](const routing::EndedRuns& ended) {
-      quarantine.onReplicaCrash(base::engineIdOf(ended.instance), ended.runs);
+        [this](const routing::ReplicaRecord& replica) { placement.countControlCall(replica); });
+    replicaEnds.setListener([this](const routing::LostRequests& ended) {
+      quarantine.onReplicaCrash(base::engineIdOf(ended.instance), ended.requests);
     });
     configuration.onTable([this](const config::RouteTable& table) {
       applyLimits(table.limits());
@@ -153,10 +153,10 @@
   /// What a replica says of itself in an answer to an order or a report.
   void learnNotices(routing::ReplicaRecord& replica, const clients::WeightsCallNotices& notices) {
     const routing::NoticeSource source{notices.call, notices.status, {}};
-    if (notices.leaving) routing::noteLeaving(replica, log, source);
+    if (notices.leaving) routing::recordLeaving(replica, log, source);
     const auto now = clock.now();
-    routing::noteRateLimit(replica, log,
-                           {notices.rateLimit, now - clients::kWeightsCallTimeout, now}, source);
+    routing::recordRateLimit(replica, log,
+                             {notices.rateLimit, now - clients::kWeightsCallTimeout, now}, source);
   }
 
   request::RelayServiceOptions serviceOptions() const {
@@ -169,8 +169,9 @@
   }
 
   request::RelayDependencies dependencies() {
-    return {clock, timers,    log,     relayClient, replicas,   holders,  choice, replicaEnds,
-            parts, placement, retries, quotas,      quarantine, runTimes, *this};
+    return {clock,      timers,           log,   relayClient, replicas, holders,
+            choice,     replicaEnds,      parts, placement,   retries,  quotas,
+            quarantine, requestDurations, *this};
   }
 
   void applyLimits(const config::TrafficLimits& limits) {
@@ -187,7 +188,7 @@
     const auto least = request::RelayOptions{}.minimumLookupTokens;
     const bool before = change.previousTokens >= least;
     const bool now = change.currentTokens >= least;
-    if (before != now) parts.tell(change.part, {change.holder, change.scope}, now);
+    if (before != now) parts.announce(change.part, {change.holder, change.scope}, now);
   }
 
   std::uint32_t eventWatchers(const std::string& name) const {
@@ -210,7 +211,7 @@
     const auto table = configuration.table();
     const auto* found = table ? table->findService(name) : nullptr;
     const auto slots = found != nullptr && found->engine ? found->engine->slots : 1;
-    return runTimes.replicasForLongRuns(name, slots, nodes(), clock.now());
+    return requestDurations.replicasForLongRuns(name, slots, nodes(), clock.now());
   }
 
   /// Replicas that the work of all nodes fills, by slots or memory: as told by the others where
@@ -395,11 +396,11 @@
                            RelayMetrics::Snapshot& snapshot) {
     if (!record.inService()) {
       ++snapshot.replicasDraining;
-    } else if (record.notices().resting(now)) {
+    } else if (record.notices().backingOff(now)) {
       ++snapshot.replicasResting;
     } else if (!record.health().available(now)) {
       ++snapshot.replicasEjected;
-    } else if (record.changing(now)) {
+    } else if (record.loadingWeights(now)) {
       ++snapshot.replicasChanging;
     } else {
       ++snapshot.replicasAvailable;
@@ -428,8 +429,8 @@
   routing::CacheStores stores;
   routing::FleetLoad fleetLoad;
   ConnectProbe connectProbe;
-  routing::ReplicaEndCheck replicaEnds;
-  routing::ReplicaChoice choice;
+  routing::ReplicaCrashDetector replicaEnds;
+  routing::ReplicaSelector choice;
   routing::PartLookup parts;
   routing::Placement placement;
   node::CountedWeightsClient weights;
@@ -450,7 +451,7 @@
   admission::RetryWindows retries;
   admission::TenantQuotas quotas;
   quarantine::RequestQuarantine quarantine;
-  routing::RunTimes runTimes;
+  routing::RequestDurations requestDurations;
   base::Duration suspendedBefore = suspendedTime();
   node::PauseDetector pauses;
   node::WakeGate wakeGate;
--- a/src/live/relay_metrics.cc
+++ b/src/live/relay_metrics.cc
@@ -192,7 +192,7 @@
   const auto event = [&](const char* name, std::uint64_t total) {
     raise(queueEvents.Add({{"event", name}}), static_cast<double>(total));
   };
-  queueLength.Set(static_cast<double>(placement.waitingHere));
+  queueLength.Set(static_cast<double>(placement.queuedHere));
   const auto& home = placement.home;
   event("granted_at_once", home.grantedAtOnce);
   event("granted_later", home.grantedLater);
@@ -231,13 +231,13 @@
     counter.Increment(static_cast<double>(total) - counter.Value());
   };
   const auto& placement = snapshot.placement;
-  raise(impl_->questions.Add({{"outcome", "asked"}}), placement.questions);
+  raise(impl_->questions.Add({{"outcome", "asked"}}), placement.queries);
   raise(impl_->questions.Add({{"outcome", "granted"}}), placement.granted);
   raise(impl_->questions.Add({{"outcome", "declined"}}), placement.declined);
   raise(impl_->questions.Add({{"outcome", "timeout"}}), placement.timeouts);
   raise(impl_->questions.Add({{"outcome", "queued"}}), placement.queued);
   raise(impl_->questions.Add({{"outcome", "refused"}}), placement.refused);
-  raise(impl_->questions.Add({{"outcome", "promise_missed"}}), placement.promisesMissed);
+  raise(impl_->questions.Add({{"outcome", "promise_missed"}}), placement.queueUpdatesMissed);
   raise(impl_->questions.Add({{"outcome", "rate_limited"}}), placement.home.rateLimited);
   impl_->renderQueues(placement);
   const auto& quotas = snapshot.quotas;
--- a/src/node/counted_weights_client.cc
+++ b/src/node/counted_weights_client.cc
@@ -6,7 +6,7 @@
 
 void CountedWeightsClient::count(const std::string& instance) {
   const auto replica = replicas_.find(instance);
-  if (replica && replica->notices().rateLimit().perSecond()) placement_.countCall(*replica);
+  if (replica && replica->notices().rateLimit().perSecond()) placement_.countControlCall(*replica);
 }
 
 void CountedWeightsClient::onNotices(NoticeListener listener) {
--- a/src/node/replica_list.cc
+++ b/src/node/replica_list.cc
@@ -48,13 +48,13 @@
 }
 
 bool ReplicaList::tellsAsOthersDo(const routing::Replica& replica) {
-  if (!replica.startTold) return !servicesWithStarts_.contains(replica.service);
+  if (!replica.hasStartTime) return !servicesWithStarts_.contains(replica.service);
   const bool first = servicesWithStarts_.insert(replica.service).second;
   if (!first) return true;
   // Entries that were read before the first one that tells a start.
   for (const auto& [key, run] : runs_) {
     const auto record = directory_.find(run);
-    if (record && record->facts().service == replica.service && !record->facts().startTold)
+    if (record && record->facts().service == replica.service && !record->facts().hasStartTime)
       directory_.onUnreadable(run);
   }
   return true;
@@ -62,10 +62,10 @@
 
 void ReplicaList::list(const std::string& key, routing::Replica replica) {
   auto& run = runs_[key];
-  base::TimePoint restsUntil{};
+  base::TimePoint backOffUntil{};
   if (!run.empty() && run != replica.instance) {
     log_.write(base::Event::kReplicaRestarted, {{"replica", replica.instance}, {"before", run}});
-    if (const auto before = directory_.find(run)) restsUntil = before->notices().restsUntil();
+    if (const auto before = directory_.find(run)) backOffUntil = before->notices().backOffUntil();
     onRestarted(run);
     noteEnded(key, run);
   }
@@ -74,9 +74,9 @@
   const bool draining = replica.state == routing::ReplicaState::kDraining;
   directory_.onListed(std::move(replica));
   const auto record = directory_.find(run);
-  if (draining) routing::noteLeaving(*record, log_, {"entry", 0, {}});
+  if (draining) routing::recordLeaving(*record, log_, {"entry", 0, {}});
   // Entries tell of a restart late: it may have been the new run that asked for the rest.
-  if (clock_.now() < restsUntil) record->notices().noteRest(restsUntil);
+  if (clock_.now() < backOffUntil) record->notices().startBackOff(backOffUntil);
 }
 
 void ReplicaList::onRestarted(const std::string& run) {
@@ -84,7 +84,7 @@
   const bool planned = record && record->leaving();
   if (!planned) replicaEnds_.onRestarted(run);
   // Requests and changes of weights that still hold the record must not go on with it.
-  if (record) record->setGone();
+  if (record) record->setTerminated();
   forget(run);
   directory_.onEnded(run);
 }
@@ -132,7 +132,7 @@
 void ReplicaList::forget(const std::string& run) {
   directory_.onRemoved(run);
   replicaEnds_.onRemoved(run);
-  holders_.forget(base::engineIdOf(run));
+  holders_.remove(base::engineIdOf(run));
 }
 
 void ReplicaList::onCurrent() {
--- a/src/node/replica_list.h
+++ b/src/node/replica_list.h
@@ -22,8 +22,8 @@
 #include "config/table_watch.h"
 #include "node/feed_outage.h"
 #include "routing/prefix_holders.h"
+#include "routing/replica_crash_detector.h"
 #include "routing/replica_directory.h"
-#include "routing/replica_end_check.h"
 
 namespace covewing::node {
 
@@ -41,7 +41,7 @@
   /// All must outlive the list.
   ReplicaList(const ReplicaRowReader& reader, base::Clock& clock, base::EventLog& log,
               routing::ReplicaDirectory& directory, routing::PrefixHolders& holders,
-              routing::ReplicaEndCheck& replicaEnds, const config::StoreEras& eras)
+              routing::ReplicaCrashDetector& replicaEnds, const config::StoreEras& eras)
       : reader_(reader),
         clock_(clock),
         log_(log),
@@ -80,7 +80,7 @@
   base::EventLog& log_;
   routing::ReplicaDirectory& directory_;
   routing::PrefixHolders& holders_;
-  routing::ReplicaEndCheck& replicaEnds_;
+  routing::ReplicaCrashDetector& replicaEnds_;
   const config::StoreEras& eras_;
   /// The run that each row named last, by key.
   std::map<std::string, std::string> runs_;
--- a/src/node/weights_coordinator.cc
+++ b/src/node/weights_coordinator.cc
@@ -130,15 +130,15 @@
   const auto replica = environment_.replicas.find(instance);
   if (replica == nullptr) return;
   if (record.value.empty()) {
-    replica->setChanging(environment_.clock.now() + options_.changingFor);
+    replica->setLoadingWeights(environment_.clock.now() + options_.changingFor);
     return;
   }
   base::WeightsVersion version = 0;
   const char* end = record.value.data() + record.value.size();
   const auto [stop, error] = std::from_chars(record.value.data(), end, version);
   if (error != std::errc{} || stop == end) return;
-  replica->learnVersion(std::string{stop + 1, end}, version);
-  replica->setChanging({});
+  replica->recordVersion(std::string{stop + 1, end}, version);
+  replica->setLoadingWeights({});
 }
 
 }  // namespace covewing::node
--- a/src/quarantine/request_quarantine.h
+++ b/src/quarantine/request_quarantine.h
@@ -3,9 +3,9 @@
 ///
 /// A caller sends such a request again as a new one, to any node, so no node can judge by what it
 /// saw itself. Each request has two homes among the nodes. They are told of its runs that ended
-/// with a replica (ReplicaEndCheck), and tell all nodes where more than one crash counts against
-/// it. So every home judges by the same evidence (CrashEvidence), of which there is little: most
-/// requests were at one crash. A node at which a suspect came to its end objects; without an
+/// with a replica (ReplicaCrashDetector), and tell all nodes where more than one crash counts
+/// against it. So every home judges by the same evidence (CrashEvidence), of which there is little:
+/// most requests were at one crash. A node at which a suspect came to its end objects; without an
 /// objection the homes quarantine the culprit, and every node refuses it before it is sent.
 ///
 /// Messages may be lost and go a few times. Suspects and decisions spread as gossip records
--- a/src/request/relay_flow.cc
+++ b/src/request/relay_flow.cc
@@ -54,7 +54,8 @@
   usefulUntil_ = arrival_.arrivedAt + held;
   dependencies_.retries.onRequest(assignment_.service->name, now);
   if (runsLong())
-    dependencies_.runTimes.onLongRun(assignment_.service->name, expectedOutputTokens(), now);
+    dependencies_.requestDurations.onLongRun(assignment_.service->name, expectedOutputTokens(),
+                                             now);
   deadlineTimer_ = dependencies_.timers.schedule(deadline_ - now, [this] { onDeadline(); });
   caller_->onPressure([this](bool high) {
     paused_ = high;
@@ -98,7 +99,7 @@
   // Where much of the prompt is shared, what is cached counts for more.
   if (!arrival_.prompt || arrival_.prompt->chain.sharedTokens() > expectedOutputTokens())
     return false;
-  return dependencies_.runTimes.isLong(assignment_.service->name, expectedOutputTokens());
+  return dependencies_.requestDurations.isLong(assignment_.service->name, expectedOutputTokens());
 }
 
 routing::ReplicaQuery RelayFlow::query() const {
@@ -114,7 +115,7 @@
   query.acceptableWait = assignment_.route->targetLatency;
   query.longRun = runsLong();
   if (query.longRun && query.engine != nullptr) {
-    query.longRunReplicas = dependencies_.runTimes.replicasForLongRuns(
+    query.longRunReplicas = dependencies_.requestDurations.replicasForLongRuns(
         query.service, query.engine->slots, hooks_.nodes(), dependencies_.clock.now());
   }
   if (assignment_.tenant != nullptr && assignment_.tenant->isolated)
@@ -170,7 +171,7 @@
   auto decision = dependencies_.choice.choose(query(), hooks_.nodes(), now);
   if (shouldLookUp(decision)) {
     lookUp(decision.scope);
-  } else if (!decision.order.empty() && now >= askAgainAt_) {
+  } else if (!decision.preferenceOrder.empty() && now >= askAgainAt_) {
     askHomes(decision);
   } else {
     decideAlone(std::move(decision));
@@ -179,8 +180,8 @@
 
 void RelayFlow::decideAlone(routing::ReplicaDecision decision) {
   if (!decision.replica) {
-    if (decision.restEnds && passedOver_.empty() && !triedOneTakesRequests()) {
-      waitForRest(*decision.restEnds, decision.reason);
+    if (decision.backOffEnds && passedOver_.empty() && !triedOneTakesRequests()) {
+      waitForRest(*decision.backOffEnds, decision.reason);
       return;
     }
     const bool passedOver = !passedOver_.empty();
@@ -190,7 +191,8 @@
   }
   const auto candidate = dependencies_.choice.candidateOf(query(), decision.replica, promptTokens(),
                                                           decision.heldTokens());
-  const auto grant = dependencies_.placement.take(candidate, assignment_.route->gapTarget);
+  const auto grant =
+      dependencies_.placement.dispatchUngranted(candidate, assignment_.route->gapTarget);
   dispatch(std::move(decision), grant);
 }
 
@@ -210,7 +212,7 @@
   const auto now = dependencies_.clock.now();
   return std::ranges::any_of(excluded_, [&](const auto& instance) {
     const auto record = dependencies_.replicas.find(instance);
-    return record != nullptr && record->takesRequests(now);
+    return record != nullptr && record->acceptsRequests(now);
   });
 }
 
--- a/src/request/relay_flow.h
+++ b/src/request/relay_flow.h
@@ -33,9 +33,9 @@
 #include "request/tenant_allowance.h"
 #include "routing/part_lookup.h"
 #include "routing/placement.h"
-#include "routing/replica_choice.h"
-#include "routing/replica_end_check.h"
-#include "routing/run_times.h"
+#include "routing/replica_crash_detector.h"
+#include "routing/replica_selector.h"
+#include "routing/request_durations.h"
 
 namespace covewing::request {
 
@@ -113,14 +113,14 @@
   clients::RelayClient& client;
   routing::ReplicaDirectory& replicas;
   routing::PrefixHolders& holders;
-  routing::ReplicaChoice& choice;
-  routing::ReplicaEndCheck& replicaEnds;
+  routing::ReplicaSelector& choice;
+  routing::ReplicaCrashDetector& replicaEnds;
   routing::PartLookup& parts;
   routing::Placement& placement;
   admission::RetryWindows& retries;
   admission::TenantQuotas& quotas;
   quarantine::RequestQuarantine& quarantine;
-  routing::RunTimes& runTimes;
+  routing::RequestDurations& requestDurations;
   RelayObserver& observer;
 };
 
@@ -235,7 +235,7 @@
   void askHomes(const routing::ReplicaDecision& decision);
   void onPlaced(const Candidates& candidates, const routing::PlacementResult& result);
   /// How the request stands among others that wait for the same room.
-  routing::PlacementStanding standing() const;
+  routing::PlacementConstraints constraints() const;
   /// How long the first candidate may take to turn to it before the next one's home is asked.
   base::Duration patience() const;
   /// A home refused the request, no replica may take it, or no home answered.
@@ -310,7 +310,7 @@
   void endAttempt();
   void endWait();
   /// The replica's answer has begun, or will not; `taken` where it did not turn the request away.
-  void endTrial(bool taken);
+  void endProbe(bool taken);
   /// Tells the replica's home what became of the attempt.
   void endGrant();
 
--- a/src/request/relay_flow_answer.cc
+++ b/src/request/relay_flow_answer.cc
@@ -35,7 +35,7 @@
 
 void RelayFlow::armBegin() {
   dependencies_.timers.cancel(beginTimer_);
-  const auto& before = attempt_->decision.beginBefore;
+  const auto& before = attempt_->decision.startDeadline;
   if (!before) return;
   const auto left = std::max(*before - dependencies_.clock.now(), base::Duration::zero());
   beginTimer_ = dependencies_.timers.schedule(left, [this] { onNotBegun(); });
@@ -51,7 +51,8 @@
   const auto self = shared_from_this();
   // What was known at the dispatch may be too late by now, or nothing.
   auto& decision = attempt_->decision;
-  decision.beginBefore = dependencies_.choice.beginBefore(arrival_.prompt->model, decision.version);
+  decision.startDeadline =
+      dependencies_.choice.startDeadline(arrival_.prompt->model, decision.version);
   // Where it has passed, the timer fires next: answers that came meanwhile are read first, and no
   // request is taken up inside the call that changed the date.
   armBegin();
@@ -61,43 +62,43 @@
   if (!attempt_ || attempt_->headSeen) return;
   attempt_->headSeen = true;
   auto& record = *attempt_->decision.replica;
-  record.onReadingEnded(attempt_->unread);
+  record.removePendingPrefill(attempt_->unread);
   record.health().onWaitEnded(dependencies_.clock.now(), attempt_->work);
 }
 
-void RelayFlow::endTrial(bool taken) {
+void RelayFlow::endProbe(bool taken) {
   if (!attempt_ || !std::exchange(attempt_->trial, false)) return;
-  attempt_->decision.replica->notices().endTrial(taken);
+  attempt_->decision.replica->notices().endProbe(taken);
 }
 
 bool RelayFlow::stillWanted() const {
   const auto& record = *attempt_->decision.replica;
-  return record.inService() && !record.notices().resting(dependencies_.clock.now()) &&
+  return record.inService() && !record.notices().backingOff(dependencies_.clock.now()) &&
          withinRateLimit(record, attempt_->grant);
 }
 
 void RelayFlow::endGrant() {
   auto& placement = dependencies_.placement;
   if (attempt_->neverSent) {
-    placement.giveBack(attempt_->grant, attempt_->outcome);
+    placement.returnGrant(attempt_->grant, attempt_->outcome);
     return;
   }
   const auto said = attempt_->answer ? attempt_->answer->rateLimit : clients::RateLimitNotice{};
-  placement.ended(attempt_->grant, attempt_->outcome, attempt_->watch.observed(), said);
+  placement.reportEnded(attempt_->grant, attempt_->outcome, attempt_->watch.observed(), said);
 }
 
 void RelayFlow::onHead(clients::RelayedAnswer answer) {
   endWait();
   armSilence();
   auto& record = *attempt_->decision.replica;
-  record.health().onHeard(dependencies_.clock.now());
+  record.health().onBytesReceived(dependencies_.clock.now());
   if (arrival_.prompt && answer.version && !answer.otherInstance)
-    record.learnVersion(arrival_.prompt->model, *answer.version);
+    record.recordVersion(arrival_.prompt->model, *answer.version);
   learnNotices(answer);
-  endTrial(!notRun(answer));
+  endProbe(!notRun(answer));
   if (!notRun(answer)) {
     ++runs_;
-    dependencies_.placement.begun(attempt_->grant, answer.rateLimit);
+    dependencies_.placement.reportStarted(attempt_->grant, answer.rateLimit);
   }
   if (!headDelivered_) kept_.clear();
   attempt_->answer = std::move(answer);
@@ -107,27 +108,27 @@
   const auto now = dependencies_.clock.now();
   auto& record = *attempt_->decision.replica;
   if (answer.leaving) {
-    routing::noteLeaving(record, dependencies_.log,
-                         {"answer", answer.status, arrival_.request->id});
+    routing::recordLeaving(record, dependencies_.log,
+                           {"answer", answer.status, arrival_.request->id});
   }
-  routing::noteRateLimit(record, dependencies_.log, {answer.rateLimit, attempt_->sentAt, now},
-                         {"answer", answer.status, arrival_.request->id});
+  routing::recordRateLimit(record, dependencies_.log, {answer.rateLimit, attempt_->sentAt, now},
+                           {"answer", answer.status, arrival_.request->id});
   if (answer.status != kServiceUnavailable || (answer.rest.count() == 0 && !answer.restUnreadable))
     return;
-  if (answer.rest > base::Duration::zero()) record.notices().noteRest(now + answer.rest);
+  if (answer.rest > base::Duration::zero()) record.notices().startBackOff(now + answer.rest);
   dependencies_.log.write(
       base::Event::kReplicaRests,
       {{"replica", record.facts().instance},
        {"request", arrival_.request->id},
        {"rest_ms", millisecondsText(answer.rest)},
-       {"rests_for_ms", millisecondsText(record.notices().restsUntil() - now)},
+       {"rests_for_ms", millisecondsText(record.notices().backOffUntil() - now)},
        {"why", answer.restUnreadable ? "a time that it asked for cannot be read" : ""}});
 }
 
 void RelayFlow::onBody(std::string_view bytes) {
   const auto now = dependencies_.clock.now();
   auto& attempt = *attempt_;
-  attempt.decision.replica->health().onHeard(now);
+  attempt.decision.replica->health().onBytesReceived(now);
   armSilence();
   const auto& answer = *attempt.answer;
   if (notRun(answer)) {
@@ -139,8 +140,8 @@
   if (resumable() && headDelivered_ && !stream) return;
   if (stream && !attempt.bodySeen) {
     learnHolder();
-    attempt.decision.replica->readSpeed().learn(attempt.unread, now - attempt.sentAt);
-    attempt.decision.replica->learnWait(now - attempt.sentAt);
+    attempt.decision.replica->prefillSpeed().learn(attempt.unread, now - attempt.sentAt);
+    attempt.decision.replica->recordWait(now - attempt.sentAt);
   }
   if (stream) attempt.watch.onPiece(now);
   attempt.bodySeen = true;
@@ -160,8 +161,8 @@
 void RelayFlow::learnHolder() {
   if (!arrival_.prompt || attempt_->decision.cacheSalt.empty()) return;
   const auto& decision = attempt_->decision;
-  dependencies_.holders.learnChain(base::engineIdOf(decision.replica->facts().instance),
-                                   decision.scope, arrival_.prompt->chain);
+  dependencies_.holders.addChain(base::engineIdOf(decision.replica->facts().instance),
+                                 decision.scope, arrival_.prompt->chain);
   tellHome(decision);
 }
 
@@ -206,7 +207,7 @@
     return;
   }
   if (events_.hasUnfinished()) {
-    dependencies_.replicaEnds.onRunLost(attempt_->decision.replica, fingerprint_);
+    dependencies_.replicaEnds.onRequestInterrupted(attempt_->decision.replica, fingerprint_);
     onAttemptLost(RetryCause::kLost, "the stream ended inside an event");
     return;
   }
@@ -223,8 +224,8 @@
   caller_->end();
   if (arrival_.prompt && successful(status_)) {
     const auto began = arrival_.arrivedAt + timeToFirstByte_;
-    dependencies_.runTimes.onEnd(assignment_.service->name, expectedOutputTokens(),
-                                 dependencies_.clock.now() - began);
+    dependencies_.requestDurations.onEnd(assignment_.service->name, expectedOutputTokens(),
+                                         dependencies_.clock.now() - began);
   }
   finish(status_, base::ResultCode::kOk, false);
 }
@@ -255,7 +256,7 @@
     onNotRun(*attempt_->answer);
     return;
   }
-  dependencies_.replicaEnds.onRunLost(attempt_->decision.replica, fingerprint_);
+  dependencies_.replicaEnds.onRequestInterrupted(attempt_->decision.replica, fingerprint_);
   onAttemptLost(RetryCause::kLost, error.reason.detail);
 }
 
--- a/src/request/relay_flow_dispatch.cc
+++ b/src/request/relay_flow_dispatch.cc
@@ -35,25 +35,25 @@
 bool RelayFlow::withinRateLimit(const routing::ReplicaRecord& replica,
                                 const routing::PlacementGrant& grant) const {
   const bool limited = replica.notices().rateLimit().perSecond().has_value();
-  return !limited || grant.countsNow(dependencies_.clock.now());
+  return !limited || grant.validForRateLimit(dependencies_.clock.now());
 }
 
 void RelayFlow::dispatch(routing::ReplicaDecision decision, const routing::PlacementGrant& grant) {
   const auto now = dependencies_.clock.now();
-  if (!decision.replica->takesRequests(now)) {
+  if (!decision.replica->acceptsRequests(now)) {
     // Whatever way led here: it was chosen, or granted, before it said that it wants no more.
-    dependencies_.placement.giveBack(grant);
+    dependencies_.placement.returnGrant(grant);
     choose();
     return;
   }
   if (!withinRateLimit(*decision.replica, grant)) {
-    dependencies_.placement.giveBack(grant);
+    dependencies_.placement.returnGrant(grant);
     passedOver_.push_back(decision.replica->facts().instance);
     choose();
     return;
   }
   if (timeLeft() < kLeastTimeForAttempt) {
-    dependencies_.placement.giveBack(grant);
+    dependencies_.placement.returnGrant(grant);
     onDeadline();
     return;
   }
@@ -65,10 +65,10 @@
   record.onDispatched(tokens);
   const std::uint32_t prompt = promptTokens();
   const std::uint32_t unread = prompt - std::min(prompt, decision.heldTokens());
-  record.onReadingBegun(unread);
-  const auto work = record.readSpeed().time(unread);
+  record.addPendingPrefill(unread);
+  const auto work = record.prefillSpeed().time(unread);
   record.health().onDispatched(now, work);
-  const bool trial = record.notices().beginTrial();
+  const bool trial = record.notices().beginProbe();
   ++dispatches_;
   if (retryCause_) ++retries_.at(static_cast<std::size_t>(*retryCause_));
   heldFor_ = now - arrival_.arrivedAt;
@@ -124,7 +124,7 @@
         assignment_.confirmedAt ? millisecondsText(now - *assignment_.confirmedAt) : std::string{}},
        {"weights", std::to_string(decision.version)},
        {"begin_in_ms",
-        decision.beginBefore ? millisecondsText(*decision.beginBefore - now) : std::string{}},
+        decision.startDeadline ? millisecondsText(*decision.startDeadline - now) : std::string{}},
        {"salt", decision.cacheSalt},
        {"rank", std::to_string(decision.rank)},
        {"candidates", std::to_string(decision.candidates)},
--- a/src/request/relay_flow_end.cc
+++ b/src/request/relay_flow_end.cc
@@ -9,7 +9,7 @@
 void RelayFlow::endAttempt() {
   if (!attempt_) return;
   endWait();
-  endTrial(false);
+  endProbe(false);
   endGrant();
   lastStream_ = attempt_->watch.observed();
   dependencies_.timers.cancel(silenceTimer_);
--- a/src/request/relay_flow_parts.cc
+++ b/src/request/relay_flow_parts.cc
@@ -39,15 +39,15 @@
   const auto wanted = partsToAskFor(scope);
   lookupsLeft_ = wanted.size();
   for (const auto index : wanted) {
-    dependencies_.parts.ask(arrival_.prompt->chain.parts()[index].id, scope,
-                            [weak = weak_from_this(), scope, index](const auto& holders) {
-                              const auto flow = weak.lock();
-                              if (!flow) return;
-                              if (holders) flow->foundHolders_.push_back({index, *holders});
-                              if (--flow->lookupsLeft_ > 0) return;
-                              flow->learnHolders(scope);
-                              flow->choose();
-                            });
+    dependencies_.parts.lookup(arrival_.prompt->chain.parts()[index].id, scope,
+                               [weak = weak_from_this(), scope, index](const auto& holders) {
+                                 const auto flow = weak.lock();
+                                 if (!flow) return;
+                                 if (holders) flow->foundHolders_.push_back({index, *holders});
+                                 if (--flow->lookupsLeft_ > 0) return;
+                                 flow->learnHolders(scope);
+                                 flow->choose();
+                               });
   }
 }
 
@@ -56,7 +56,7 @@
   auto& known = dependencies_.holders;
   // Homes are told what replicas drop; what this node remembers of others' caches is older.
   if (!knowsAllCaches()) {
-    for (const auto& found : foundHolders_) known.forgetPart(scope, parts[found.part].id);
+    for (const auto& found : foundHolders_) known.removePart(scope, parts[found.part].id);
   }
   for (const auto& found : foundHolders_) {
     std::size_t useful = 0;
@@ -65,7 +65,7 @@
       if (holder.scope != scope) continue;
       ++useful;
       for (std::size_t held = 0; held <= found.part; ++held)
-        known.learn(holder.replica, scope, parts[held].id, parts[held].tokens);
+        known.add(holder.replica, scope, parts[held].id, parts[held].tokens);
     }
     if (found.part == 0) firstPartIsRare_ = useful < options_.fewHolders;
   }
@@ -78,9 +78,9 @@
   const routing::PartHolder holder{base::engineIdOf(decision.replica->facts().instance),
                                    decision.scope};
   const auto& chain = arrival_.prompt->chain;
-  dependencies_.parts.tell(*chain.deepestShared(), holder);
+  dependencies_.parts.announce(*chain.deepestShared(), holder);
   if (firstPartIsRare_ && chain.sharedParts() > 1)
-    dependencies_.parts.tell(chain.parts().front().id, holder);
+    dependencies_.parts.announce(chain.parts().front().id, holder);
 }
 
 void RelayFlow::askHomes(const routing::ReplicaDecision& decision) {
@@ -91,26 +91,26 @@
     const auto& parts = arrival_.prompt->chain.parts();
     request.model = wanted.model;
     request.parts.assign(parts.begin(), parts.end() - 1);
-    request.patience = patience();
+    request.acceptableWait = patience();
   }
-  request.standing = standing();
-  for (const auto& replica : decision.order) {
+  request.constraints = constraints();
+  for (const auto& replica : decision.preferenceOrder) {
     request.candidates.push_back(dependencies_.choice.candidateOf(
         wanted, replica, request.promptTokens, decision.heldTokens()));
     auto& candidate = request.candidates.back();
-    candidate.reading = replica->readSpeed().time(candidate.work.unread);
+    candidate.prefillTime = replica->prefillSpeed().time(candidate.work.prefillTokens);
   }
   placementTicket_ = dependencies_.placement.newTicket();
-  dependencies_.placement.ask(placementTicket_, std::move(request),
-                              [weak = weak_from_this(), candidates = decision.order,
-                               &placement = dependencies_.placement](const auto& result) {
-                                const auto flow = weak.lock();
-                                if (flow && !flow->over_) {
-                                  flow->onPlaced(candidates, result);
-                                } else if (result.grant) {
-                                  placement.giveBack(*result.grant);
-                                }
-                              });
+  dependencies_.placement.place(placementTicket_, std::move(request),
+                                [weak = weak_from_this(), candidates = decision.preferenceOrder,
+                                 &placement = dependencies_.placement](const auto& result) {
+                                  const auto flow = weak.lock();
+                                  if (flow && !flow->over_) {
+                                    flow->onPlaced(candidates, result);
+                                  } else if (result.grant) {
+                                    placement.returnGrant(*result.grant);
+                                  }
+                                });
 }
 
 base::Duration RelayFlow::patience() const {
@@ -119,23 +119,24 @@
   return std::chrono::duration_cast<base::Duration>(assignment_.route->targetLatency * share);
 }
 
-routing::PlacementStanding RelayFlow::standing() const {
+routing::PlacementConstraints RelayFlow::constraints() const {
   const auto& route = *assignment_.route;
-  routing::PlacementStanding standing;
-  standing.urgency = urgency();
-  standing.tenant = assignment_.tenant == nullptr ? 0 : base::hashName(assignment_.tenant->name);
-  standing.arrivedAt = arrival_.arrivedAt;
-  standing.inTimeUntil = arrival_.arrivedAt + route.targetLatency;
-  standing.usefulUntil = usefulUntil_;
-  standing.longestPause = route.gapTarget;
-  standing.outputTokens = expectedOutputTokens();
+  routing::PlacementConstraints constraints;
+  constraints.urgency = urgency();
+  constraints.tenant = assignment_.tenant == nullptr ? 0 : base::hashName(assignment_.tenant->name);
+  constraints.arrivedAt = arrival_.arrivedAt;
+  constraints.softStartDeadline = arrival_.arrivedAt + route.targetLatency;
+  constraints.hardStartDeadline = usefulUntil_;
+  constraints.longestPause = route.gapTarget;
+  constraints.outputTokens = expectedOutputTokens();
   if (headDelivered_) {
     // A stream that is taken up again is late already: its caller waits for the next event.
-    standing.inTimeUntil = dependencies_.clock.now() + route.targetLatency;
-    standing.usefulUntil = deadline_;
+    constraints.softStartDeadline = dependencies_.clock.now() + route.targetLatency;
+    constraints.hardStartDeadline = deadline_;
   }
-  standing.inTimeUntil = std::min(standing.inTimeUntil, standing.usefulUntil);
-  return standing;
+  constraints.softStartDeadline =
+      std::min(constraints.softStartDeadline, constraints.hardStartDeadline);
+  return constraints;
 }
 
 void RelayFlow::onNotPlaced(const Candidates& candidates, const routing::PlacementResult& result) {
@@ -146,7 +147,7 @@
                    *result.retryAfter);
     return;
   }
-  if (result.answered == 0) {
+  if (result.repliesReceived == 0) {
     askAgainAt_ = dependencies_.clock.now() + options_.askAgainAfter;
     choose();
     return;
@@ -168,7 +169,7 @@
     onNotPlaced(candidates, result);
     return;
   }
-  const auto release = [&] { dependencies_.placement.giveBack(*result.grant); };
+  const auto release = [&] { dependencies_.placement.returnGrant(*result.grant); };
   if (!mayBeSent()) {
     release();
     return;
@@ -182,7 +183,7 @@
     return;
   }
   decision->rank = *result.candidate;
-  decision->homesAsked = result.asked;
+  decision->homesAsked = result.queriesSent;
   decision->expectedWait = result.wait;
   dispatch(std::move(*decision), *result.grant);
 }
--- a/src/request/relay_flow_retries.cc
+++ b/src/request/relay_flow_retries.cc
@@ -53,7 +53,7 @@
                            {"model", arrival_.prompt->model},
                            {"weights", std::to_string(decision.version)},
                            {"after_ms", millisecondsText(now - attempt_->sentAt)},
-                           {"late_ms", millisecondsText(now - *decision.beginBefore)},
+                           {"late_ms", millisecondsText(now - *decision.startDeadline)},
                            {"head_seen", attempt_->headSeen ? "yes" : "no"},
                            {"left_ms", millisecondsText(timeLeft())}});
 }
@@ -62,18 +62,18 @@
   const auto now = dependencies_.clock.now();
   auto& record = *attempt_->decision.replica;
   if (answer.otherInstance) {
-    record.setGone();
+    record.setTerminated();
     return;
   }
   if (answer.status == kMisdirected) {
     const auto known = arrival_.prompt ? record.versionOf(arrival_.prompt->model) : 0;
-    if (known == attempt_->decision.version) record.doubtVersion(now + options_.doubtFor);
+    if (known == attempt_->decision.version) record.markVersionUncertain(now + options_.doubtFor);
     return;
   }
   attempt_->outcome = routing::PlacementOutcome::kRefused;
   // A replica that says for how long it wants rest is well: to eject it would keep others from it.
   if (answer.status == kServiceUnavailable && answer.rest > base::Duration::zero()) return;
-  record.setFull(now + std::max(options_.fullFor, answer.rest));
+  record.setAtCapacity(now + std::max(options_.fullFor, answer.rest));
   // Nor is one ill that says how much it takes.
   if (answer.rateLimit.limited()) return;
   record.health().onFailure(now, dependencies_.replicas.failureRateOfOthers(record));
@@ -134,7 +134,7 @@
 bool RelayFlow::countRetry(const routing::PlacementGrant& grant) {
   // It may have waited for a replica, while the requests that allowed it left the window.
   if (!retry_ || retry_->send(dependencies_.clock.now())) return true;
-  dependencies_.placement.giveBack(grant);
+  dependencies_.placement.returnGrant(grant);
   refuseUnplaced(kRetryBudgetUsedUp, kRetryAfterRefusals);
   return false;
 }
--- a/src/request/stream_watch.h
+++ b/src/request/stream_watch.h
@@ -6,7 +6,7 @@
 #include <optional>
 
 #include "base/time.h"
-#include "routing/replica_pace.h"
+#include "routing/replica_speed_model.h"
 
 namespace covewing::request {
 
--- a/src/routing/cache_watch.cc
+++ b/src/routing/cache_watch.cc
@@ -6,7 +6,7 @@
 
 #include "prefix/part_chain.h"
 #include "routing/rate_pacer.h"
-#include "routing/replica_choice.h"
+#include "routing/replica_selector.h"
 
 namespace covewing::routing {
 
@@ -141,9 +141,9 @@
 void CacheWatch::learnNotices(ReplicaRecord& replica, base::TimePoint askedAt,
                               const clients::CacheFeedReply& reply) const {
   const NoticeSource source{"cache events", 0, {}};
-  if (reply.leaving) noteLeaving(replica, environment_.log, source);
-  noteRateLimit(replica, environment_.log, {reply.rateLimit, askedAt, environment_.clock.now()},
-                source);
+  if (reply.leaving) recordLeaving(replica, environment_.log, source);
+  recordRateLimit(replica, environment_.log, {reply.rateLimit, askedAt, environment_.clock.now()},
+                  source);
 }
 
 void CacheWatch::onReply(const std::string& name, Watch& watch,
@@ -158,7 +158,7 @@
   }
   const auto holder = base::engineIdOf(name);
   const bool restarted = watch.epoch != 0 && watch.epoch != reply.epoch;
-  if (restarted || reply.lost) environment_.holders.forget(holder);
+  if (restarted || reply.lost) environment_.holders.remove(holder);
   watch.epoch = reply.epoch;
   watch.since = reply.next;
   takeEvents(name, watch, reply);
@@ -178,7 +178,7 @@
     change.currentTokens = event.tokens;
     if (tells)
       change.previousTokens = environment_.holders.tokensOf(holder, change.scope, change.part);
-    environment_.holders.learn(holder, change.scope, change.part, event.tokens);
+    environment_.holders.add(holder, change.scope, change.part, event.tokens);
     if (tells) changed_(change);
   }
 }
--- a/src/routing/engine_ranking.cc
+++ b/src/routing/engine_ranking.cc
@@ -92,7 +92,7 @@
   candidate.name = ranked.engine->address.name;
   candidate.matchedBlocks = ranked.knowledge.matchedBlocks;
   candidate.doubtful = ranked.knowledge.doubtful;
-  candidate.expectedTimeToFirstToken = ranked.estimate.firstToken;
+  candidate.expectedTimeToFirstToken = ranked.estimate.timeToFirstToken;
   if (!ranked.knowledge.known) candidate.note = "no home answered";
   if (ranked.estimate.importedTokens > 0) candidate.note = "import";
   return candidate;
@@ -108,7 +108,7 @@
   const Ranked& chosen = ranking[drawNearEqual(ranking, tuning.nearEqual, random)];
   RouteDecision decision = decideFor(*chosen.engine);
   decision.matchedBlocks = chosen.knowledge.matchedBlocks;
-  decision.expectedTimeToFirstToken = chosen.estimate.firstToken;
+  decision.expectedTimeToFirstToken = chosen.estimate.timeToFirstToken;
   decision.uncachedTokens = chosen.estimate.uncachedTokens;
   decision.lookupId = result.lookupId;
   decision.importedTokens = chosen.estimate.importedTokens;
--- a/src/routing/run_notices.h
+++ b/src/routing/instance_notices.h
@@ -11,51 +11,51 @@
 #include <utility>
 
 #include "base/time.h"
-#include "routing/run_rate_limit.h"
+#include "routing/instance_rate_limit.h"
 
 namespace covewing::routing {
 
-class RunNotices {
+class InstanceNotices {
  public:
   /// The run leaves. Holds for as long as the run lives: whatever is read later is older, as a run
   /// that leaves ends. True where this is news.
-  bool noteLeaving() { return !std::exchange(leaving_, true); }
+  bool recordLeaving() { return !std::exchange(leaving_, true); }
   bool leaving() const { return leaving_; }
 
   /// The run wants no requests from this node until then. Of several ends the latest counts: an
   /// answer that was overtaken must not shorten what a later one asked for.
-  void noteRest(base::TimePoint until) {
-    restsUntil_ = std::max(restsUntil_, until);
+  void startBackOff(base::TimePoint until) {
+    backOffUntil_ = std::max(backOffUntil_, until);
     tried_ = false;
   }
-  bool resting(base::TimePoint now) const { return now < restsUntil_; }
-  base::TimePoint restsUntil() const { return restsUntil_; }
+  bool backingOff(base::TimePoint now) const { return now < backOffUntil_; }
+  base::TimePoint backOffUntil() const { return backOffUntil_; }
   /// The run has rested, and the one request that tries it is under way.
-  bool beingTried() const { return trialUnderWay_; }
+  bool probing() const { return probeInFlight_; }
 
-  /// A request is sent. True where it tries the run; call endTrial then once, when its answer began
+  /// A request is sent. True where it tries the run; call endProbe then once, when its answer began
   /// or will not.
-  bool beginTrial() {
+  bool beginProbe() {
     if (tried_) return false;
-    trialUnderWay_ = true;
+    probeInFlight_ = true;
     return true;
   }
   /// `taken`: the run did not turn the request away.
-  void endTrial(bool taken) {
-    trialUnderWay_ = false;
+  void endProbe(bool taken) {
+    probeInFlight_ = false;
     tried_ = tried_ || taken;
   }
 
-  RunRateLimit& rateLimit() { return rateLimit_; }
-  const RunRateLimit& rateLimit() const { return rateLimit_; }
+  InstanceRateLimit& rateLimit() { return rateLimit_; }
+  const InstanceRateLimit& rateLimit() const { return rateLimit_; }
 
  private:
   bool leaving_ = false;
-  base::TimePoint restsUntil_{};
+  base::TimePoint backOffUntil_{};
   /// It has taken a request since its last rest.
   bool tried_ = true;
-  bool trialUnderWay_ = false;
-  RunRateLimit rateLimit_;
+  bool probeInFlight_ = false;
+  InstanceRateLimit rateLimit_;
 };
 
 }  // namespace covewing::routing
--- a/src/routing/run_rate_limit.cc
+++ b/src/routing/instance_rate_limit.cc
@@ -1,4 +1,4 @@
-#include "routing/run_rate_limit.h"
+#include "routing/instance_rate_limit.h"
 
 #include <algorithm>
 #include <utility>
@@ -16,22 +16,22 @@
   return {known.notice, now - known.age - kLongestDelivery, now - known.age};
 }
 
-KnownRateLimit RunRateLimit::known(base::TimePoint now) const {
+KnownRateLimit InstanceRateLimit::known(base::TimePoint now) const {
   if (!everLimited_) return {};
   const auto notice = perSecond_ ? clients::RateLimitNotice::of(*perSecond_)
                                  : clients::RateLimitNotice::unlimited();
   return {notice, now - asOf_};
 }
 
-bool RunRateLimit::isBelow(const clients::RateLimitNotice& notice) const {
+bool InstanceRateLimit::isBelow(const clients::RateLimitNotice& notice) const {
   return perSecond_ && (!notice.limited() || *perSecond_ < notice.perSecond);
 }
 
-bool RunRateLimit::equals(const clients::RateLimitNotice& notice) const {
+bool InstanceRateLimit::equals(const clients::RateLimitNotice& notice) const {
   return notice.limited() ? perSecond_ == notice.perSecond : !perSecond_;
 }
 
-bool RunRateLimit::learn(const RateLimitEvidence& evidence) {
+bool InstanceRateLimit::update(const RateLimitEvidence& evidence) {
   const auto& notice = evidence.notice;
   if (notice.kind == clients::RateLimitNotice::Kind::kNothing) return false;
   const bool same = equals(notice);
@@ -44,6 +44,6 @@
   return true;
 }
 
-bool RunRateLimit::noteUnreadable() { return !std::exchange(unreadableNoted_, true); }
+bool InstanceRateLimit::noteUnreadable() { return !std::exchange(unreadableNoted_, true); }
 
 }  // namespace covewing::routing
--- a/src/routing/run_rate_limit.h
+++ b/src/routing/instance_rate_limit.h
@@ -33,10 +33,10 @@
 /// What another node knows, told in a message that comes now.
 RateLimitEvidence evidenceOf(const KnownRateLimit& known, base::TimePoint now);
 
-class RunRateLimit {
+class InstanceRateLimit {
  public:
   /// True where the limit in force is another since.
-  bool learn(const RateLimitEvidence& evidence);
+  bool update(const RateLimitEvidence& evidence);
   /// Requests a second; empty without a limit.
   std::optional<double> perSecond() const { return perSecond_; }
   /// Up to when what is known was confirmed.
--- a/src/routing/replica_room.cc
+++ b/src/routing/ledger_capacity.cc
@@ -1,31 +1,31 @@
-#include "routing/replica_room.h"
+#include "routing/ledger_capacity.h"
 
 #include <algorithm>
 
 namespace covewing::routing {
 
-bool ReplicaRoom::rateBinds() const {
+bool LedgerCapacity::rateBinds() const {
   const auto& pacer = ledger_.pacer();
   return pacer.limited() &&
          (replica_.slots == 0 || ledger_.timePerRequest(replica_.slots) == pacer.interval());
 }
 
-std::uint32_t ReplicaRoom::slots() const {
+std::uint32_t LedgerCapacity::slots() const {
   if (rateBinds()) return 1;
   return replica_.slots == 0 ? 0 : replica_.slots + kOverlap;
 }
 
-std::uint32_t ReplicaRoom::slotsInUse() const {
+std::uint32_t LedgerCapacity::slotsInUse() const {
   if (rateBinds()) return ledger_.pacer().mayPass(now_) ? 0 : 1;
   return ledger_.load(now_).requests;
 }
 
-base::Duration ReplicaRoom::meanRunTime() const {
+base::Duration LedgerCapacity::meanRunTime() const {
   return rateBinds() ? ledger_.pacer().interval() : ledger_.runTime();
 }
 
-bool ReplicaRoom::fits(const admission::QueueEntry& entry, bool inTime) const {
-  const RoomDemand& demand = demandOf_(entry.id);
+bool LedgerCapacity::fits(const admission::QueueEntry& entry, bool inTime) const {
+  const CapacityDemand& demand = demandOf_(entry.id);
   if (!ledger_.pacer().mayPass(now_)) return false;
   const auto current = ledger_.load(now_);
   // A replica without work takes any request, also one larger than the memory that was told.
@@ -38,7 +38,7 @@
   if (mayGoElsewhere && ledger_.pauseExcess(demand.work, demand.terms, now_).count() > 0)
     return false;
   const bool stays = demand.terms.mayQueue && inTime;
-  const auto longest = stays ? entry.softStartDeadline - now_ : demand.patience;
+  const auto longest = stays ? entry.softStartDeadline - now_ : demand.acceptableWait;
   return ledger_.expectedWait(demand.work, now_) <= longest;
 }
 
--- a/src/routing/replica_room.h
+++ b/src/routing/ledger_capacity.h
@@ -14,28 +14,28 @@
 namespace covewing::routing {
 
 /// What the home weighs of a request beyond its place in the queue.
-struct RoomDemand {
-  PlacementWork work;
+struct CapacityDemand {
+  PlacementDemand work;
   PlacementTerms terms;
   /// The replica has to turn to the request within this, if it may go elsewhere or is late.
-  base::Duration patience{};
+  base::Duration acceptableWait{};
   /// No home would take the request without a pause that is too long, or it waits in the queue.
   bool acceptsPauses = false;
 };
 
 /// The room for one demand at a time; lives for one decision.
-class ReplicaRoom final : public admission::ReplicaCapacity {
+class LedgerCapacity final : public admission::ReplicaCapacity {
  public:
   /// Finds the demand of an entry; all entries that are offered have one.
-  using DemandOf = std::function<const RoomDemand&(std::uint64_t id)>;
+  using DemandOf = std::function<const CapacityDemand&(std::uint64_t id)>;
 
   /// Requests sent beyond what the replica runs at once. It bridges the message that a run ended
   /// and the grant that follows: some 5 ms, in which a replica of 24 slots ends less than one run
   /// of a second. More would wait there in the replica's order, not in the queue's.
   static constexpr std::uint32_t kOverlap = 1;
 
-  ReplicaRoom(ReplicaLedger& ledger, const PlacementWork& replica, DemandOf demandOf,
-              base::TimePoint now)
+  LedgerCapacity(ReplicaLedger& ledger, const PlacementDemand& replica, DemandOf demandOf,
+                 base::TimePoint now)
       : ledger_(ledger), replica_(replica), demandOf_(std::move(demandOf)), now_(now) {}
 
   bool fits(const admission::QueueEntry& entry, bool inTime) const override;
@@ -51,7 +51,7 @@
   bool rateBinds() const;
 
   ReplicaLedger& ledger_;
-  PlacementWork replica_;
+  PlacementDemand replica_;
   DemandOf demandOf_;
   base::TimePoint now_;
 };
--- a/src/routing/load_exchange.h
+++ b/src/routing/load_exchange.h
@@ -4,7 +4,7 @@
 /// A node sends a bounded number of messages a second, so the more nodes there are, the older are
 /// the news. With so many nodes that news are older than what they tell of
 /// (kLongestUsefulLoadInterval), nobody relies on them and nothing is sent: each node takes an even
-/// share of each replica (ReplicaChoice).
+/// share of each replica (ReplicaSelector).
 #pragma once
 
 #include <cstdint>
--- a/src/routing/part_lookup.cc
+++ b/src/routing/part_lookup.cc
@@ -24,7 +24,7 @@
   environment_.peers.send(destination, base::Channel::kPartIndex, encode(message));
 }
 
-void PartLookup::ask(std::uint64_t part, CacheScope scope, Found found) {
+void PartLookup::lookup(std::uint64_t part, CacheScope scope, Found found) {
   const auto& home = homeOf(part);
   if (home.id == environment_.members.self().id) {
     found(index_.holdersOf(part, scope, environment_.clock.now()));
@@ -38,12 +38,12 @@
   const auto timer =
       environment_.timers.schedule(options_.timeout, [this, nonce] { onTimeout(nonce); });
   pending_.emplace(nonce, Pending{home.id, timer, std::move(found)});
-  send(home.endpoint, PartQuestion{nonce, part, scope});
+  send(home.endpoint, PartQuery{nonce, part, scope});
 }
 
-void PartLookup::tell(std::uint64_t part, const PartHolder& holder, bool held) {
+void PartLookup::announce(std::uint64_t part, const PartHolder& holder, bool held) {
   const auto& home = homeOf(part);
-  const PartNotice notice{part, holder, held};
+  const PartUpdate notice{part, holder, held};
   if (home.id == environment_.members.self().id) {
     onNotice(notice);
   } else {
@@ -51,7 +51,7 @@
   }
 }
 
-void PartLookup::onNotice(const PartNotice& notice) {
+void PartLookup::onNotice(const PartUpdate& notice) {
   if (notice.held) {
     index_.learn(notice.part, notice.holder, environment_.clock.now());
   } else {
@@ -66,12 +66,12 @@
   entry.mapped().found(std::nullopt);
 }
 
-void PartLookup::onQuestion(const base::PeerIdentity& sender, const PartQuestion& question) {
+void PartLookup::onQuestion(const base::PeerIdentity& sender, const PartQuery& question) {
   auto holders = index_.holdersOf(question.part, question.scope, environment_.clock.now());
-  send(sender.endpoint, PartAnswer{question.nonce, std::move(holders)});
+  send(sender.endpoint, PartReply{question.nonce, std::move(holders)});
 }
 
-void PartLookup::onAnswer(const base::PeerIdentity& sender, const PartAnswer& answer) {
+void PartLookup::onAnswer(const base::PeerIdentity& sender, const PartReply& answer) {
   // Also a late answer shows that the home is there.
   avoidedUntil_.erase(sender.node);
   const auto entry = pending_.extract(answer.nonce);
@@ -86,9 +86,9 @@
     environment_.log.write(base::Event::kMessageRejected, {{"channel", "part index"}});
     return;
   }
-  if (const auto* question = std::get_if<PartQuestion>(&*message)) onQuestion(sender, *question);
-  if (const auto* answer = std::get_if<PartAnswer>(&*message)) onAnswer(sender, *answer);
-  if (const auto* notice = std::get_if<PartNotice>(&*message)) onNotice(*notice);
+  if (const auto* question = std::get_if<PartQuery>(&*message)) onQuestion(sender, *question);
+  if (const auto* answer = std::get_if<PartReply>(&*message)) onAnswer(sender, *answer);
+  if (const auto* notice = std::get_if<PartUpdate>(&*message)) onNotice(*notice);
 }
 
 }  // namespace covewing::routing
--- a/src/routing/part_lookup.h
+++ b/src/routing/part_lookup.h
@@ -60,9 +60,9 @@
 
   /// Asks for the holders under the scope. Calls `found` once; inside the call where the answer is
   /// known or cannot be had.
-  void ask(std::uint64_t part, CacheScope scope, Found found);
+  void lookup(std::uint64_t part, CacheScope scope, Found found);
   /// The holder has read a prompt with the part, or no longer holds it.
-  void tell(std::uint64_t part, const PartHolder& holder, bool held = true);
+  void announce(std::uint64_t part, const PartHolder& holder, bool held = true);
   void onPeerMessage(const base::PeerIdentity& sender, std::string_view payload) override;
 
   /// Parts that this node is the home of.
@@ -78,9 +78,9 @@
   const membership::Member& homeOf(std::uint64_t part) const;
   bool avoided(base::NodeId home) const;
   void send(const base::Endpoint& destination, const PartMessage& message);
-  void onQuestion(const base::PeerIdentity& sender, const PartQuestion& question);
-  void onAnswer(const base::PeerIdentity& sender, const PartAnswer& answer);
-  void onNotice(const PartNotice& notice);
+  void onQuestion(const base::PeerIdentity& sender, const PartQuery& question);
+  void onAnswer(const base::PeerIdentity& sender, const PartReply& answer);
+  void onNotice(const PartUpdate& notice);
   void onTimeout(std::uint64_t nonce);
 
   PartLookupOptions options_;
--- a/src/routing/part_messages.cc
+++ b/src/routing/part_messages.cc
@@ -24,20 +24,20 @@
   writer.array(kHolderFields).unsignedInteger(holder.replica.value).unsignedInteger(holder.scope);
 }
 
-void write(base::Writer& writer, const PartQuestion& question) {
+void write(base::Writer& writer, const PartQuery& question) {
   begin(writer, kQuestionFields, MessageType::kQuestion);
   writer.unsignedInteger(question.nonce).unsignedInteger(question.part);
   writer.unsignedInteger(question.scope);
 }
 
-void write(base::Writer& writer, const PartAnswer& answer) {
+void write(base::Writer& writer, const PartReply& answer) {
   begin(writer, kAnswerFields, MessageType::kAnswer);
   writer.unsignedInteger(answer.nonce);
   writer.array(static_cast<std::uint32_t>(answer.holders.size()));
   for (const PartHolder& holder : answer.holders) write(writer, holder);
 }
 
-void write(base::Writer& writer, const PartNotice& notice) {
+void write(base::Writer& writer, const PartUpdate& notice) {
   begin(writer, kNoticeFields, MessageType::kNotice);
   writer.unsignedInteger(notice.part);
   write(writer, notice.holder);
@@ -53,16 +53,16 @@
   return holder;
 }
 
-PartQuestion readQuestion(base::Reader& reader) {
-  PartQuestion question;
+PartQuery readQuestion(base::Reader& reader) {
+  PartQuery question;
   question.nonce = reader.unsignedInteger();
   question.part = reader.unsignedInteger();
   question.scope = reader.unsignedInteger();
   return question;
 }
 
-PartAnswer readAnswer(base::Reader& reader) {
-  PartAnswer answer;
+PartReply readAnswer(base::Reader& reader) {
+  PartReply answer;
   answer.nonce = reader.unsignedInteger();
   const auto count = reader.beginArray();
   for (std::uint32_t index = 0; index < count && reader.ok(); ++index)
@@ -71,8 +71,8 @@
   return answer;
 }
 
-PartNotice readNotice(base::Reader& reader) {
-  PartNotice notice;
+PartUpdate readNotice(base::Reader& reader) {
+  PartUpdate notice;
   notice.part = reader.unsignedInteger();
   notice.holder = readHolder(reader);
   notice.held = reader.boolean();
--- a/src/routing/part_messages.h
+++ b/src/routing/part_messages.h
@@ -15,7 +15,7 @@
 
 namespace covewing::routing {
 
-struct PartQuestion {
+struct PartQuery {
   /// Chosen by the asker; the answer carries it.
   std::uint64_t nonce = 0;
   std::uint64_t part = 0;
@@ -31,19 +31,19 @@
   bool operator==(const PartHolder&) const = default;
 };
 
-struct PartAnswer {
+struct PartReply {
   std::uint64_t nonce = 0;
   std::vector<PartHolder> holders;
 };
 
 /// The replica has read a prompt with this part, or no longer holds it.
-struct PartNotice {
+struct PartUpdate {
   std::uint64_t part = 0;
   PartHolder holder;
   bool held = true;
 };
 
-using PartMessage = std::variant<PartQuestion, PartAnswer, PartNotice>;
+using PartMessage = std::variant<PartQuery, PartReply, PartUpdate>;
 
 std::string encode(const PartMessage& message);
 /// Empty when the bytes are none of these messages.
--- a/src/routing/placement.cc
+++ b/src/routing/placement.cc
@@ -28,13 +28,13 @@
 PlacementCounters Placement::counters() const {
   auto counters = counters_;
   counters.home = home_.counters();
-  counters.waitingHere = home_.queued();
+  counters.queuedHere = home_.queued();
   return counters;
 }
 
 // --- asking
 
-void Placement::ask(Ticket ticket, PlacementRequest request, Found found) {
+void Placement::place(Ticket ticket, PlacementRequest request, Found found) {
   Pending pending;
   pending.prospects.resize(request.candidates.size());
   pending.request = std::move(request);
@@ -52,7 +52,7 @@
   environment_.timers.cancel(pending.timer);
   if (questions_.erase(pending.question) == 0) return;
   // A grant that is under way is withdrawn as well.
-  if (pending.queueWithin) giveBack(grantOf(pending));
+  if (pending.queueWithin) returnGrant(grantOf(pending));
 }
 
 const ReplicaRecord& Placement::recordOf(const Pending& pending) const {
@@ -64,12 +64,12 @@
   return known != trust_.end() && environment_.clock.now() < known->second.avoidedUntil;
 }
 
-PlacementQuestion Placement::questionOf(const Pending& pending) const {
+PlacementQuery Placement::questionOf(const Pending& pending) const {
   const auto now = environment_.clock.now();
   const auto& request = pending.request;
-  const auto& standing = request.standing;
+  const auto& constraints = request.constraints;
   const auto& candidate = request.candidates[pending.position];
-  PlacementQuestion question;
+  PlacementQuery question;
   question.id = pending.question;
   question.replica = base::engineIdOf(candidate.record->facts().instance);
   question.model = request.model;
@@ -77,16 +77,16 @@
   question.parts = request.parts;
   question.promptTokens = request.promptTokens;
   question.work = candidate.work;
-  question.patience = request.patience;
+  question.acceptableWait = request.acceptableWait;
   question.terms.mayQueue = pending.queueWithin.has_value();
   question.queueWithin = pending.queueWithin.value_or(base::Duration::max());
-  question.terms.urgency = standing.urgency;
-  question.terms.tenant = standing.tenant;
-  question.terms.age = now - standing.arrivedAt;
-  question.terms.inTime = standing.inTimeUntil - candidate.reading - now;
-  question.terms.useful = standing.usefulUntil - candidate.reading - now;
-  question.terms.longestPause = standing.longestPause;
-  question.terms.outputTokens = standing.outputTokens;
+  question.terms.urgency = constraints.urgency;
+  question.terms.tenant = constraints.tenant;
+  question.terms.age = now - constraints.arrivedAt;
+  question.terms.softStartWithin = constraints.softStartDeadline - candidate.prefillTime - now;
+  question.terms.hardStartWithin = constraints.hardStartDeadline - candidate.prefillTime - now;
+  question.terms.longestPause = constraints.longestPause;
+  question.terms.outputTokens = constraints.outputTokens;
   question.rateLimit = candidate.record->notices().rateLimit().known(now);
   return question;
 }
@@ -174,8 +174,8 @@
   auto& pending = pending_.at(ticket);
   const auto& facts = recordOf(pending).facts();
   const auto& home = homes_.homeOf(base::engineIdOf(facts.instance), facts.zone);
-  ++pending.asked;
-  ++counters_.questions;
+  ++pending.queriesSent;
+  ++counters_.queries;
   pending.question = environment_.random.next();
   pending.homeId = home.id;
   pending.home = home.endpoint;
@@ -197,11 +197,12 @@
 
 // --- what becomes of requests
 
-PlacementGrant Placement::take(const PlacementCandidate& candidate, base::Duration longestPause) {
+PlacementGrant Placement::dispatchUngranted(const PlacementCandidate& candidate,
+                                            base::Duration longestPause) {
   const auto& facts = candidate.record->facts();
   const auto replica = base::engineIdOf(facts.instance);
   const auto& home = homes_.homeOf(replica, facts.zone);
-  const PlacementTaken taken{environment_.random.next(), replica, candidate.work, longestPause};
+  const UngrantedDispatch taken{environment_.random.next(), replica, candidate.work, longestPause};
   if (isSelf(home.id)) {
     home_.onTaken(taken);
   } else {
@@ -210,9 +211,9 @@
   return {taken.id, replica, home.id, home.endpoint, false, environment_.clock.now()};
 }
 
-void Placement::countCall(const ReplicaRecord& replica) {
+void Placement::countControlCall(const ReplicaRecord& replica) {
   const auto& facts = replica.facts();
-  PlacementTaken taken;
+  UngrantedDispatch taken;
   taken.id = environment_.random.next();
   taken.replica = base::engineIdOf(facts.instance);
   taken.call = true;
@@ -229,8 +230,8 @@
   return record != nullptr && record->leaving();
 }
 
-void Placement::begun(const PlacementGrant& grant, const clients::RateLimitNotice& said) {
-  const PlacementBegun message{grant.id, grant.replica, leaves(grant.replica), said};
+void Placement::reportStarted(const PlacementGrant& grant, const clients::RateLimitNotice& said) {
+  const PlacementStarted message{grant.id, grant.replica, leaves(grant.replica), said};
   if (isSelf(grant.homeId)) {
     home_.onBegun(message);
   } else {
@@ -238,12 +239,13 @@
   }
 }
 
-void Placement::ended(const PlacementGrant& grant, PlacementOutcome outcome,
-                      const StreamObservation& observed, const clients::RateLimitNotice& said) {
+void Placement::reportEnded(const PlacementGrant& grant, PlacementOutcome outcome,
+                            const StreamObservation& observed,
+                            const clients::RateLimitNotice& said) {
   tell(grant, {grant.id, grant.replica, outcome, observed, leaves(grant.replica), said, false});
 }
 
-void Placement::giveBack(const PlacementGrant& grant, PlacementOutcome outcome) {
+void Placement::returnGrant(const PlacementGrant& grant, PlacementOutcome outcome) {
   tell(grant, {grant.id, grant.replica, outcome, {}, leaves(grant.replica), {}, true});
 }
 
@@ -255,7 +257,7 @@
   }
 }
 
-void Placement::reply(const base::PeerIdentity& asker, const PlacementAnswer& answer) {
+void Placement::reply(const base::PeerIdentity& asker, const PlacementReply& answer) {
   if (!isSelf(asker.node)) {
     send(asker.endpoint, answer);
     return;
@@ -278,11 +280,11 @@
     environment_.log.write(base::Event::kMessageRejected, {{"channel", "placement"}});
     return;
   }
-  if (const auto* question = std::get_if<PlacementQuestion>(&*message))
+  if (const auto* question = std::get_if<PlacementQuery>(&*message))
     send(sender.endpoint, home_.answerTo(*question, sender));
-  if (const auto* answer = std::get_if<PlacementAnswer>(&*message)) onAnswer(sender, *answer);
-  if (const auto* taken = std::get_if<PlacementTaken>(&*message)) home_.onTaken(*taken);
-  if (const auto* begun = std::get_if<PlacementBegun>(&*message)) home_.onBegun(*begun);
+  if (const auto* answer = std::get_if<PlacementReply>(&*message)) onAnswer(sender, *answer);
+  if (const auto* taken = std::get_if<UngrantedDispatch>(&*message)) home_.onTaken(*taken);
+  if (const auto* begun = std::get_if<PlacementStarted>(&*message)) home_.onBegun(*begun);
   if (const auto* ended = std::get_if<PlacementEnded>(&*message))
     home_.onEnded(*ended, sender.node);
 }
--- a/src/routing/placement.h
+++ b/src/routing/placement.h
@@ -74,22 +74,22 @@
 struct PlacementCandidate {
   ReplicaRecordPtr record;
   CacheScope scope = 0;
-  PlacementWork work;
+  PlacementDemand work;
   /// Expected time that it takes until the answer begins when nothing else runs there.
-  base::Duration reading{};
+  base::Duration prefillTime{};
 };
 
 /// How a request stands among others; times are on this node's clock.
-struct PlacementStanding {
+struct PlacementConstraints {
   /// 0 is the most urgent.
   std::uint32_t urgency = 0;
   /// Hash of the tenant's name; 0: none.
   std::uint64_t tenant = 0;
   base::TimePoint arrivedAt{};
   /// The answer is in time if it begins by then.
-  base::TimePoint inTimeUntil{};
+  base::TimePoint softStartDeadline{};
   /// An answer that begins later is of no use to the caller.
-  base::TimePoint usefulUntil{};
+  base::TimePoint hardStartDeadline{};
   /// As PlacementTerms has them.
   base::Duration longestPause{};
   std::uint32_t outputTokens = 0;
@@ -104,8 +104,8 @@
   std::vector<prefix::PromptPart> parts;
   std::uint32_t promptTokens = 0;
   /// The first candidate that turns to the request within this is taken.
-  base::Duration patience{};
-  PlacementStanding standing;
+  base::Duration acceptableWait{};
+  PlacementConstraints constraints;
 };
 
 /// What a home counts a request under.
@@ -123,7 +123,7 @@
   /// arrive at once with what was paced before.
   static constexpr base::Duration kLongestUse = std::chrono::milliseconds(500);
   /// Whether it still counts within the rate limit of its replica.
-  bool countsNow(base::TimePoint now) const { return paced && now - at <= kLongestUse; }
+  bool validForRateLimit(base::TimePoint now) const { return paced && now - at <= kLongestUse; }
 };
 
 struct PlacementResult {
@@ -141,13 +141,13 @@
   /// Requests that waited for the same room when a home last answered.
   std::uint32_t queued = 0;
   /// Questions sent, and how many of them were answered.
-  std::size_t asked = 0;
-  std::size_t answered = 0;
+  std::size_t queriesSent = 0;
+  std::size_t repliesReceived = 0;
 };
 
 /// Counts since the start, for metrics.
 struct PlacementCounters {
-  std::uint64_t questions = 0;
+  std::uint64_t queries = 0;
   std::uint64_t granted = 0;
   std::uint64_t declined = 0;
   std::uint64_t timeouts = 0;
@@ -155,10 +155,10 @@
   /// not keep its promise of another answer.
   std::uint64_t queued = 0;
   std::uint64_t refused = 0;
-  std::uint64_t promisesMissed = 0;
-  /// As the home of replicas; `waitingHere` is the number now.
+  std::uint64_t queueUpdatesMissed = 0;
+  /// As the home of replicas; `queuedHere` is the number now.
   PlacementHomeCounters home;
-  std::size_t waitingHere = 0;
+  std::size_t queuedHere = 0;
 };
 
 class Placement final : public base::PeerHandler {
@@ -176,22 +176,24 @@
   Ticket newTicket() { return ++lastTicket_; }
   /// Calls `found` once unless the request is cancelled; inside the call where only this node is
   /// asked and answers at once.
-  void ask(Ticket ticket, PlacementRequest request, Found found);
+  void place(Ticket ticket, PlacementRequest request, Found found);
   /// The request is over: it waits nowhere any more, and `found` is not called. Tickets of requests
   /// that were placed are ignored.
   void cancel(Ticket ticket);
   /// Tells the home of a request that is sent without its grant.
-  PlacementGrant take(const PlacementCandidate& candidate, base::Duration longestPause = {});
+  PlacementGrant dispatchUngranted(const PlacementCandidate& candidate,
+                                   base::Duration longestPause = {});
   /// A call that is no request goes to a replica with a rate limit: its home counts it.
-  void countCall(const ReplicaRecord& replica);
+  void countControlCall(const ReplicaRecord& replica);
   /// The answer to the request began. Its home is told what the replica has said of itself.
-  void begun(const PlacementGrant& grant, const clients::RateLimitNotice& said = {});
+  void reportStarted(const PlacementGrant& grant, const clients::RateLimitNotice& said = {});
   /// The request ended, or was turned away. Tells what the replica has said of itself as well.
-  void ended(const PlacementGrant& grant, PlacementOutcome outcome,
-             const StreamObservation& observed = {}, const clients::RateLimitNotice& said = {});
+  void reportEnded(const PlacementGrant& grant, PlacementOutcome outcome,
+                   const StreamObservation& observed = {},
+                   const clients::RateLimitNotice& said = {});
   /// The request is not sent to the replica after all.
-  void giveBack(const PlacementGrant& grant,
-                PlacementOutcome outcome = PlacementOutcome::kWithdrawn);
+  void returnGrant(const PlacementGrant& grant,
+                   PlacementOutcome outcome = PlacementOutcome::kWithdrawn);
   void onPeerMessage(const base::PeerIdentity& sender, std::string_view payload) override;
 
   PlacementCounters counters() const;
@@ -220,8 +222,8 @@
     std::vector<Prospect> prospects;
     Phase phase = Phase::kAsking;
     std::size_t position = 0;
-    std::size_t asked = 0;
-    std::size_t answered = 0;
+    std::size_t queriesSent = 0;
+    std::size_t repliesReceived = 0;
     std::size_t timeouts = 0;
     /// Homes that told of others waiting.
     std::size_t queuesMet = 0;
@@ -270,14 +272,14 @@
   std::optional<std::size_t> shortestWait(const Pending& pending) const;
   /// Sends the question of the pending request's position and phase.
   void sendQuestion(Ticket ticket);
-  PlacementQuestion questionOf(const Pending& pending) const;
+  PlacementQuery questionOf(const Pending& pending) const;
   bool avoided(base::NodeId home) const;
-  void learn(Pending& pending, const PlacementAnswer& answer);
-  void onAnswer(const base::PeerIdentity& sender, const PlacementAnswer& answer);
-  void takeAnswer(Ticket ticket, const PlacementAnswer& answer);
-  void onQueued(Ticket ticket, const PlacementAnswer& answer);
-  void onDeclined(Ticket ticket, const PlacementAnswer& answer);
-  void onRefused(Ticket ticket, const PlacementAnswer& answer);
+  void learn(Pending& pending, const PlacementReply& answer);
+  void onAnswer(const base::PeerIdentity& sender, const PlacementReply& answer);
+  void takeAnswer(Ticket ticket, const PlacementReply& answer);
+  void onQueued(Ticket ticket, const PlacementReply& answer);
+  void onDeclined(Ticket ticket, const PlacementReply& answer);
+  void onRefused(Ticket ticket, const PlacementReply& answer);
   void onTimeout(Ticket ticket);
   void onPromiseMissed(Ticket ticket);
   /// The home of the pending request did not answer in time.
@@ -286,13 +288,13 @@
   void leaveCandidate(Ticket ticket);
   PlacementResult resultOf(const Pending& pending) const;
   void conclude(Ticket ticket, const PlacementResult& result);
-  void concludeGranted(Ticket ticket, const PlacementAnswer& answer);
+  void concludeGranted(Ticket ticket, const PlacementReply& answer);
   PlacementGrant grantOf(const Pending& pending) const;
   bool leaves(base::EngineId replica) const;
   void closeQuestion(Pending& pending);
 
   /// An answer of this node as home to a question of some node.
-  void reply(const base::PeerIdentity& asker, const PlacementAnswer& answer);
+  void reply(const base::PeerIdentity& asker, const PlacementReply& answer);
   void deliverToSelf();
   void tell(const PlacementGrant& grant, const PlacementEnded& message);
   /// Waits for the answer of the home that was asked.
@@ -312,7 +314,7 @@
   std::unordered_map<base::EngineId, KnownQueue> queues_;
   /// Late answers of this node as home to itself: requests are not taken up inside the calls in
   /// which others end.
-  std::vector<PlacementAnswer> toSelf_;
+  std::vector<PlacementReply> toSelf_;
   base::TimerId toSelfTimer_ = 0;
   PlacementCounters counters_;
 };
--- a/src/routing/placement_answers.cc
+++ b/src/routing/placement_answers.cc
@@ -6,28 +6,28 @@
 
 namespace covewing::routing {
 
-void Placement::onAnswer(const base::PeerIdentity& sender, const PlacementAnswer& answer) {
+void Placement::onAnswer(const base::PeerIdentity& sender, const PlacementReply& answer) {
   // A late answer, too, shows that the home is there.
   trust_.erase(sender.node);
   const auto question = questions_.find(answer.id);
   if (question == questions_.end()) {
     // The request went elsewhere meanwhile.
     const bool counted = answer.granted() || answer.verdict == PlacementVerdict::kQueued;
-    if (counted) giveBack({answer.id, answer.replica, sender.node, sender.endpoint});
+    if (counted) returnGrant({answer.id, answer.replica, sender.node, sender.endpoint});
     return;
   }
   takeAnswer(question->second, answer);
 }
 
-void Placement::learn(Pending& pending, const PlacementAnswer& answer) {
-  ++pending.answered;
+void Placement::learn(Pending& pending, const PlacementReply& answer) {
+  ++pending.repliesReceived;
   pending.queued = answer.queued;
   const auto& record = pending.request.candidates[pending.position].record;
-  if (answer.speedPercent > 0) record->learnSpeed(answer.speedPercent);
-  if (answer.version > 0) record->learnVersion(pending.request.model, answer.version);
-  if (answer.leaving) noteLeaving(*record, environment_.log, {kOtherNode, 0, {}});
-  noteRateLimit(*record, environment_.log, evidenceOf(answer.rateLimit, environment_.clock.now()),
-                {kOtherNode, 0, {}});
+  if (answer.speedPercent > 0) record->recordSpeed(answer.speedPercent);
+  if (answer.version > 0) record->recordVersion(pending.request.model, answer.version);
+  if (answer.leaving) recordLeaving(*record, environment_.log, {kOtherNode, 0, {}});
+  recordRateLimit(*record, environment_.log, evidenceOf(answer.rateLimit, environment_.clock.now()),
+                  {kOtherNode, 0, {}});
   pending.rateLimited = answer.rateLimit.notice.limited();
   if (answer.granted() || answer.queued == 0 || !answer.usable) {
     queues_.erase(answer.replica);
@@ -41,7 +41,7 @@
                              pending.rateLimited};
 }
 
-void Placement::takeAnswer(Ticket ticket, const PlacementAnswer& answer) {
+void Placement::takeAnswer(Ticket ticket, const PlacementReply& answer) {
   auto& pending = pending_.at(ticket);
   environment_.timers.cancel(pending.timer);
   learn(pending, answer);
@@ -61,7 +61,7 @@
   }
 }
 
-void Placement::onRefused(Ticket ticket, const PlacementAnswer& answer) {
+void Placement::onRefused(Ticket ticket, const PlacementReply& answer) {
   // Only a home with the shortest wait known is asked to queue a request, so that none serves it.
   ++counters_.refused;
   auto result = resultOf(pending_.at(ticket));
@@ -69,7 +69,7 @@
   conclude(ticket, result);
 }
 
-void Placement::onQueued(Ticket ticket, const PlacementAnswer& answer) {
+void Placement::onQueued(Ticket ticket, const PlacementReply& answer) {
   auto& pending = pending_.at(ticket);
   if (pending.phase != Phase::kQueued) ++counters_.queued;
   pending.phase = Phase::kQueued;
@@ -77,7 +77,7 @@
               [this, ticket] { onPromiseMissed(ticket); });
 }
 
-void Placement::onDeclined(Ticket ticket, const PlacementAnswer& answer) {
+void Placement::onDeclined(Ticket ticket, const PlacementReply& answer) {
   auto& pending = pending_.at(ticket);
   questions_.erase(pending.question);
   if (pending.phase != Phase::kAsking || !answer.usable) {
@@ -107,7 +107,7 @@
 
 void Placement::onPromiseMissed(Ticket ticket) {
   auto& pending = pending_.at(ticket);
-  ++counters_.promisesMissed;
+  ++counters_.queueUpdatesMissed;
   distrustHome(pending);
   closeQuestion(pending);
   leaveCandidate(ticket);
@@ -132,8 +132,8 @@
   PlacementResult result;
   result.queued = pending.queued;
   result.rateLimited = pending.rateLimited;
-  result.asked = pending.asked;
-  result.answered = pending.answered;
+  result.queriesSent = pending.queriesSent;
+  result.repliesReceived = pending.repliesReceived;
   return result;
 }
 
@@ -148,7 +148,7 @@
           pending.home};
 }
 
-void Placement::concludeGranted(Ticket ticket, const PlacementAnswer& answer) {
+void Placement::concludeGranted(Ticket ticket, const PlacementReply& answer) {
   const auto& pending = pending_.at(ticket);
   ++counters_.granted;
   auto result = resultOf(pending);
--- a/src/routing/placement_home.cc
+++ b/src/routing/placement_home.cc
@@ -42,15 +42,14 @@
   const auto now = environment_.clock.now();
   const auto record = environment_.replicas.find(replica);
   if (record == nullptr || !record->inService()) return false;
-  if (record->changing(now) || record->versionDoubted(now)) return false;
+  if (record->loadingWeights(now) || record->versionUncertain(now)) return false;
   // Where nodes differ on who the home is, one of them alone counts.
   if (record->notices().rateLimit().perSecond() && !isHome(*record)) return false;
   return state.ledger.available(now);
 }
 
-PlacementAnswer PlacementHome::describe(const PlacementQuestion& question,
-                                        ReplicaQueue& state) const {
-  PlacementAnswer answer;
+PlacementReply PlacementHome::describe(const PlacementQuery& question, ReplicaQueue& state) const {
+  PlacementReply answer;
   answer.id = question.id;
   answer.replica = question.replica;
   answer.usable = usable(question.replica, state);
@@ -66,30 +65,30 @@
   return answer;
 }
 
-PlacementWork PlacementHome::workAt(const PlacementQuestion& question,
-                                    const PlacementAnswer& answer) {
+PlacementDemand PlacementHome::workAt(const PlacementQuery& question,
+                                      const PlacementReply& answer) {
   auto work = question.work;
   const auto matched = std::min(question.promptTokens, answer.matchedTokens);
-  work.unread = std::min(work.unread, question.promptTokens - matched);
+  work.prefillTokens = std::min(work.prefillTokens, question.promptTokens - matched);
   return work;
 }
 
-ReplicaRoom PlacementHome::roomOf(ReplicaQueue& state, std::uint64_t newId,
-                                  const RoomDemand& newDemand) const {
-  const auto demandOf = [&state, newId, &newDemand](std::uint64_t id) -> const RoomDemand& {
+LedgerCapacity PlacementHome::roomOf(ReplicaQueue& state, std::uint64_t newId,
+                                     const CapacityDemand& newDemand) const {
+  const auto demandOf = [&state, newId, &newDemand](std::uint64_t id) -> const CapacityDemand& {
     return id == newId ? newDemand : state.waiting.at(id).demand;
   };
   return {state.ledger, state.capacity, demandOf, environment_.clock.now()};
 }
 
-ReplicaRoom PlacementHome::roomOf(ReplicaQueue& state) const {
-  const auto demandOf = [&state](std::uint64_t id) -> const RoomDemand& {
+LedgerCapacity PlacementHome::roomOf(ReplicaQueue& state) const {
+  const auto demandOf = [&state](std::uint64_t id) -> const CapacityDemand& {
     return state.waiting.at(id).demand;
   };
   return {state.ledger, state.capacity, demandOf, environment_.clock.now()};
 }
 
-admission::QueueEntry PlacementHome::entryOf(std::uint64_t id, const RoomDemand& demand) const {
+admission::QueueEntry PlacementHome::entryOf(std::uint64_t id, const CapacityDemand& demand) const {
   const auto now = environment_.clock.now();
   const auto& terms = demand.terms;
   admission::QueueEntry entry;
@@ -97,13 +96,13 @@
   entry.urgency = terms.urgency;
   entry.tenant = terms.tenant;
   entry.arrivedAt = now - terms.age;
-  entry.softStartDeadline = now + terms.inTime;
-  entry.hardStartDeadline = now + terms.useful;
-  entry.cost = {demand.work.tokens, demand.work.unread, {}};
+  entry.softStartDeadline = now + terms.softStartWithin;
+  entry.hardStartDeadline = now + terms.hardStartWithin;
+  entry.cost = {demand.work.tokens, demand.work.prefillTokens, {}};
   return entry;
 }
 
-base::Duration PlacementHome::waitFor(const RoomDemand& demand, ReplicaQueue& state) const {
+base::Duration PlacementHome::waitFor(const CapacityDemand& demand, ReplicaQueue& state) const {
   const auto ahead = std::ranges::count_if(state.waiting, [&demand](const auto& each) {
     return each.second.demand.terms.urgency <= demand.terms.urgency;
   });
@@ -111,14 +110,14 @@
          state.ledger.timePerRequest(state.capacity.slots) * ahead;
 }
 
-void PlacementHome::grant(const PlacementQuestion& question, const RoomDemand& demand,
+void PlacementHome::grant(const PlacementQuery& question, const CapacityDemand& demand,
                           ReplicaQueue& state) {
   state.ledger.grant(question.id, demand.work, demand.terms, {question.scope, question.parts},
                      environment_.clock.now());
 }
 
-PlacementAnswer PlacementHome::answerTo(const PlacementQuestion& question,
-                                        const base::PeerIdentity& asker) {
+PlacementReply PlacementHome::answerTo(const PlacementQuery& question,
+                                       const base::PeerIdentity& asker) {
   const auto now = environment_.clock.now();
   auto& state = stateOf(question.replica);
   learnRateLimit(question);
@@ -126,8 +125,8 @@
   auto answer = describe(question, state);
   const bool asksNobodyElse =
       question.terms.mayQueue && question.queueWithin == base::Duration::max();
-  const RoomDemand demand{workAt(question, answer), question.terms, question.patience,
-                          asksNobodyElse};
+  const CapacityDemand demand{workAt(question, answer), question.terms, question.acceptableWait,
+                              asksNobodyElse};
   state.capacity = demand.work;
   state.capacity.memory =
       std::max(demand.work.memory, demand.work.memory == 0 ? 0 : demand.work.tokens);
@@ -140,7 +139,7 @@
   const auto room = roomOf(state, question.id, demand);
   const auto entry = entryOf(question.id, demand);
   // A question that only looks for room is no arrival where there is none: the request asks others.
-  const bool late = demand.terms.inTime < base::Duration::zero();
+  const bool late = demand.terms.softStartWithin < base::Duration::zero();
   const bool mayWait = question.terms.mayQueue && answer.wait <= question.queueWithin;
   if (!mayWait && !room.fits(entry, !late)) return answer;
   const auto offer = state.queue.offer(entry, room, mayWait, now);
@@ -170,13 +169,13 @@
   return answer;
 }
 
-void PlacementHome::onTaken(const PlacementTaken& taken) {
+void PlacementHome::onTaken(const UngrantedDispatch& taken) {
   PlacementTerms terms;
   terms.longestPause = taken.longestPause;
   auto& state = stateOf(taken.replica);
   followRateLimit(taken.replica, state);
   if (taken.call) {
-    state.ledger.countCall(environment_.clock.now());
+    state.ledger.countControlCall(environment_.clock.now());
   } else {
     state.ledger.grant(taken.id, taken.work, terms, {}, environment_.clock.now());
   }
@@ -184,10 +183,10 @@
 
 void PlacementHome::onLeaving(base::EngineId replica) {
   if (const auto record = environment_.replicas.find(replica))
-    noteLeaving(*record, environment_.log, {kOtherNode, 0, {}});
+    recordLeaving(*record, environment_.log, {kOtherNode, 0, {}});
 }
 
-void PlacementHome::onBegun(const PlacementBegun& begun) {
+void PlacementHome::onBegun(const PlacementStarted& begun) {
   if (begun.leaving) onLeaving(begun.replica);
   const auto known = replicas_.find(begun.replica);
   if (known == replicas_.end()) return;
@@ -195,7 +194,7 @@
   onLimitSaid(begun.replica, begun.rateLimit, state, begun.id);
   const auto prompt = state.ledger.begin(begun.id, environment_.clock.now());
   if (!prompt) return;
-  environment_.holders.learnChain(begun.replica, prompt->scope, chainOf(prompt->parts));
+  environment_.holders.addChain(begun.replica, prompt->scope, chainOf(prompt->parts));
   serveQueue(begun.replica, state);
 }
 
--- a/src/routing/placement_home.h
+++ b/src/routing/placement_home.h
@@ -27,12 +27,12 @@
 #include "base/peer_transport.h"
 #include "base/time.h"
 #include "membership/member_directory.h"
+#include "routing/ledger_capacity.h"
 #include "routing/placement_messages.h"
 #include "routing/prefix_holders.h"
 #include "routing/replica_directory.h"
 #include "routing/replica_homes.h"
 #include "routing/replica_ledger.h"
-#include "routing/replica_room.h"
 
 namespace covewing::routing {
 
@@ -86,7 +86,7 @@
  public:
   /// Sends an answer to a queued question to the node that asked. Not called inside the calls that
   /// the asking node makes here, but by way of messages or a timer.
-  using Reply = std::function<void(const base::PeerIdentity& asker, const PlacementAnswer&)>;
+  using Reply = std::function<void(const base::PeerIdentity& asker, const PlacementReply&)>;
 
   PlacementHome(PlacementHomeOptions options, PlacementHomeEnvironment environment, Reply reply);
   ~PlacementHome();
@@ -94,9 +94,9 @@
   PlacementHome& operator=(const PlacementHome&) = delete;
 
   /// The answer to a question that is new here.
-  PlacementAnswer answerTo(const PlacementQuestion& question, const base::PeerIdentity& asker);
-  void onTaken(const PlacementTaken& taken);
-  void onBegun(const PlacementBegun& begun);
+  PlacementReply answerTo(const PlacementQuery& question, const base::PeerIdentity& asker);
+  void onTaken(const UngrantedDispatch& taken);
+  void onBegun(const PlacementStarted& begun);
   /// Also ends the wait of a queued request.
   void onEnded(const PlacementEnded& ended, base::NodeId node);
 
@@ -107,9 +107,9 @@
  private:
   /// A request in the queue.
   struct Waiting {
-    PlacementQuestion question;
+    PlacementQuery question;
     base::PeerIdentity asker;
-    RoomDemand demand;
+    CapacityDemand demand;
     base::TimePoint since{};
     /// When its node was last told that it waits.
     base::TimePoint toldAt{};
@@ -122,7 +122,7 @@
     admission::AdmissionQueue queue;
     std::unordered_map<std::uint64_t, Waiting> waiting;
     /// What the replica has, as the latest question told.
-    PlacementWork capacity;
+    PlacementDemand capacity;
   };
 
   ReplicaQueue& stateOf(base::EngineId replica);
@@ -130,7 +130,7 @@
   /// table service cannot tell them.
   void onLeaving(base::EngineId replica);
   /// What the node that asks knows of the replica's rate limit.
-  void learnRateLimit(const PlacementQuestion& question);
+  void learnRateLimit(const PlacementQuery& question);
   /// What a node's answer from the replica said of its rate limit.
   void onLimitSaid(base::EngineId replica, const clients::RateLimitNotice& notice,
                    const ReplicaQueue& state, std::uint64_t grant);
@@ -142,15 +142,16 @@
   /// Whether the replica may be sent requests now.
   bool usable(base::EngineId replica, ReplicaQueue& state) const;
   /// An answer with all but the verdict.
-  PlacementAnswer describe(const PlacementQuestion& question, ReplicaQueue& state) const;
+  PlacementReply describe(const PlacementQuery& question, ReplicaQueue& state) const;
   /// What the request takes there by what the home knows to be cached.
-  static PlacementWork workAt(const PlacementQuestion& question, const PlacementAnswer& answer);
-  ReplicaRoom roomOf(ReplicaQueue& state, std::uint64_t newId, const RoomDemand& newDemand) const;
-  ReplicaRoom roomOf(ReplicaQueue& state) const;
-  admission::QueueEntry entryOf(std::uint64_t id, const RoomDemand& demand) const;
+  static PlacementDemand workAt(const PlacementQuery& question, const PlacementReply& answer);
+  LedgerCapacity roomOf(ReplicaQueue& state, std::uint64_t newId,
+                        const CapacityDemand& newDemand) const;
+  LedgerCapacity roomOf(ReplicaQueue& state) const;
+  admission::QueueEntry entryOf(std::uint64_t id, const CapacityDemand& demand) const;
   /// Expected wait of a request that does not queue: for what runs, and for what waits before it.
-  base::Duration waitFor(const RoomDemand& demand, ReplicaQueue& state) const;
-  void grant(const PlacementQuestion& question, const RoomDemand& demand, ReplicaQueue& state);
+  base::Duration waitFor(const CapacityDemand& demand, ReplicaQueue& state) const;
+  void grant(const PlacementQuery& question, const CapacityDemand& demand, ReplicaQueue& state);
   /// Grants and refuses what waits for the replica, as its room says now.
   void serveQueue(base::EngineId replica, ReplicaQueue& state);
   void grantNext(ReplicaQueue& state);
--- a/src/routing/placement_home_rate_limit.cc
+++ b/src/routing/placement_home_rate_limit.cc
@@ -31,15 +31,15 @@
   const auto now = environment_.clock.now();
   // The request was sent after its grant. Where that is not known, what it says ends no limit.
   const auto sentAfter = state.ledger.grantedAt(grant).value_or(base::TimePoint::min());
-  noteRateLimit(*record, environment_.log, {notice, sentAfter, now}, {kOtherNode, 0, {}});
+  recordRateLimit(*record, environment_.log, {notice, sentAfter, now}, {kOtherNode, 0, {}});
 }
 
-void PlacementHome::learnRateLimit(const PlacementQuestion& question) {
+void PlacementHome::learnRateLimit(const PlacementQuery& question) {
   // Only a limit: that there is none, a home learns from answers of the replica.
   if (!question.rateLimit.notice.limited()) return;
   if (const auto record = environment_.replicas.find(question.replica))
-    noteRateLimit(*record, environment_.log,
-                  evidenceOf(question.rateLimit, environment_.clock.now()), {kOtherNode, 0, {}});
+    recordRateLimit(*record, environment_.log,
+                    evidenceOf(question.rateLimit, environment_.clock.now()), {kOtherNode, 0, {}});
 }
 
 }  // namespace covewing::routing
--- a/src/routing/placement_messages.cc
+++ b/src/routing/placement_messages.cc
@@ -33,15 +33,15 @@
   return writer.array(fields).unsignedInteger(static_cast<std::uint64_t>(type));
 }
 
-void write(base::Writer& writer, const PlacementWork& work) {
-  writer.unsignedInteger(work.tokens).unsignedInteger(work.unread);
+void write(base::Writer& writer, const PlacementDemand& work) {
+  writer.unsignedInteger(work.tokens).unsignedInteger(work.prefillTokens);
   writer.unsignedInteger(work.slots).unsignedInteger(work.memory);
 }
 
 void write(base::Writer& writer, const PlacementTerms& terms) {
   writer.boolean(terms.mayQueue).unsignedInteger(terms.urgency).unsignedInteger(terms.tenant);
-  writer.signedInteger(terms.age.count()).signedInteger(terms.inTime.count());
-  writer.signedInteger(terms.useful.count()).signedInteger(terms.longestPause.count());
+  writer.signedInteger(terms.age.count()).signedInteger(terms.softStartWithin.count());
+  writer.signedInteger(terms.hardStartWithin.count()).signedInteger(terms.longestPause.count());
   writer.unsignedInteger(terms.outputTokens);
 }
 
@@ -73,7 +73,7 @@
   writer.unsignedInteger(static_cast<std::uint64_t>(std::max<std::int64_t>(age, 0)));
 }
 
-void write(base::Writer& writer, const PlacementQuestion& question) {
+void write(base::Writer& writer, const PlacementQuery& question) {
   begin(writer, kQuestionFields, MessageType::kQuestion).unsignedInteger(question.id);
   writer.unsignedInteger(question.replica.value).text(question.model);
   writer.unsignedInteger(question.scope);
@@ -82,13 +82,13 @@
     writer.array(kPartFields).unsignedInteger(part.id).unsignedInteger(part.tokens);
   writer.unsignedInteger(question.promptTokens);
   write(writer, question.work);
-  writer.signedInteger(question.patience.count());
+  writer.signedInteger(question.acceptableWait.count());
   write(writer, question.terms);
   writer.signedInteger(question.queueWithin.count());
   write(writer, question.rateLimit);
 }
 
-void write(base::Writer& writer, const PlacementAnswer& answer) {
+void write(base::Writer& writer, const PlacementReply& answer) {
   begin(writer, kAnswerFields, MessageType::kAnswer).unsignedInteger(answer.id);
   writer.unsignedInteger(answer.replica.value);
   writer.unsignedInteger(static_cast<std::uint64_t>(answer.verdict)).boolean(answer.usable);
@@ -102,14 +102,14 @@
   writer.boolean(answer.paced);
 }
 
-void write(base::Writer& writer, const PlacementTaken& taken) {
+void write(base::Writer& writer, const UngrantedDispatch& taken) {
   begin(writer, kTakenFields, MessageType::kTaken).unsignedInteger(taken.id);
   writer.unsignedInteger(taken.replica.value);
   write(writer, taken.work);
   writer.signedInteger(taken.longestPause.count()).boolean(taken.call);
 }
 
-void write(base::Writer& writer, const PlacementBegun& begun) {
+void write(base::Writer& writer, const PlacementStarted& begun) {
   begin(writer, kBegunFields, MessageType::kBegun).unsignedInteger(begun.id);
   writer.unsignedInteger(begun.replica.value).boolean(begun.leaving);
   write(writer, begun.rateLimit);
@@ -155,10 +155,10 @@
   return base::EngineId{reader.unsignedInteger()};
 }
 
-PlacementWork readWork(base::Reader& reader) {
-  PlacementWork work;
+PlacementDemand readWork(base::Reader& reader) {
+  PlacementDemand work;
   work.tokens = readCount(reader);
-  work.unread = readCount(reader);
+  work.prefillTokens = readCount(reader);
   work.slots = readCount(reader);
   work.memory = readCount(reader);
   return work;
@@ -170,8 +170,8 @@
   terms.urgency = readCount(reader);
   terms.tenant = reader.unsignedInteger();
   terms.age = base::Duration{reader.signedInteger()};
-  terms.inTime = base::Duration{reader.signedInteger()};
-  terms.useful = base::Duration{reader.signedInteger()};
+  terms.softStartWithin = base::Duration{reader.signedInteger()};
+  terms.hardStartWithin = base::Duration{reader.signedInteger()};
   terms.longestPause = base::Duration{reader.signedInteger()};
   terms.outputTokens = readCount(reader);
   return terms;
@@ -186,7 +186,7 @@
 }
 
 std::optional<PlacementMessage> readQuestion(base::Reader& reader) {
-  PlacementQuestion question;
+  PlacementQuery question;
   question.id = reader.unsignedInteger();
   question.replica = readReplica(reader);
   question.model = reader.text();
@@ -204,7 +204,7 @@
   reader.endArray();
   question.promptTokens = readCount(reader);
   question.work = readWork(reader);
-  question.patience = base::Duration{reader.signedInteger()};
+  question.acceptableWait = base::Duration{reader.signedInteger()};
   question.terms = readTerms(reader);
   question.queueWithin = base::Duration{reader.signedInteger()};
   question.rateLimit = readKnownLimit(reader);
@@ -212,7 +212,7 @@
 }
 
 std::optional<PlacementMessage> readAnswer(base::Reader& reader) {
-  PlacementAnswer answer;
+  PlacementReply answer;
   answer.id = reader.unsignedInteger();
   answer.replica = readReplica(reader);
   const auto verdict = readEnumeration(reader, PlacementVerdict::kRefused);
@@ -235,7 +235,7 @@
 }
 
 std::optional<PlacementMessage> readTaken(base::Reader& reader) {
-  PlacementTaken taken;
+  UngrantedDispatch taken;
   taken.id = reader.unsignedInteger();
   taken.replica = readReplica(reader);
   taken.work = readWork(reader);
@@ -245,7 +245,7 @@
 }
 
 std::optional<PlacementMessage> readBegun(base::Reader& reader) {
-  PlacementBegun begun;
+  PlacementStarted begun;
   begun.id = reader.unsignedInteger();
   begun.replica = readReplica(reader);
   begun.leaving = readFlag(reader);
--- a/src/routing/placement_messages.h
+++ b/src/routing/placement_messages.h
@@ -13,24 +13,24 @@
 #include "base/ids.h"
 #include "base/time.h"
 #include "prefix/part_chain.h"
+#include "routing/instance_rate_limit.h"
 #include "routing/prefix_holders.h"
-#include "routing/replica_pace.h"
-#include "routing/run_rate_limit.h"
+#include "routing/replica_speed_model.h"
 
 namespace covewing::routing {
 
 /// What a request takes of a replica, and what the replica has in all.
-struct PlacementWork {
+struct PlacementDemand {
   /// Tokens of memory for the prompt and the longest answer.
   std::uint32_t tokens = 0;
   /// Tokens of the prompt that the replica must read, as far as the sender knows.
-  std::uint32_t unread = 0;
+  std::uint32_t prefillTokens = 0;
   /// Requests that the replica runs at once; 0: not known.
   std::uint32_t slots = 0;
   /// Tokens of memory that requests may fill; 0: not known or without meaning.
   std::uint32_t memory = 0;
 
-  bool operator==(const PlacementWork&) const = default;
+  bool operator==(const PlacementDemand&) const = default;
 };
 
 enum class PlacementOutcome : std::uint8_t {
@@ -57,9 +57,9 @@
   /// Since the request reached the system.
   base::Duration age{};
   /// The answer is in time if the request begins within this.
-  base::Duration inTime{};
+  base::Duration softStartWithin{};
   /// Beginning later than this is of no use to the caller.
-  base::Duration useful{};
+  base::Duration hardStartWithin{};
   /// Longest pause between the pieces of the answer that keeps it in time; zero: none stated.
   base::Duration longestPause{};
   /// Tokens that the answer is expected to have.
@@ -68,7 +68,7 @@
   bool operator==(const PlacementTerms&) const = default;
 };
 
-struct PlacementQuestion {
+struct PlacementQuery {
   /// Chosen by the asker; names the grant too.
   std::uint64_t id = 0;
   base::EngineId replica;
@@ -79,9 +79,9 @@
   std::vector<prefix::PromptPart> parts;
   /// Tokens of the whole prompt.
   std::uint32_t promptTokens = 0;
-  PlacementWork work;
+  PlacementDemand work;
   /// The request is granted where the expected wait is at most this.
-  base::Duration patience{};
+  base::Duration acceptableWait{};
   PlacementTerms terms;
   /// Where it may queue, it does only if the expected wait is at most this: another home told more.
   base::Duration queueWithin = base::Duration::max();
@@ -103,7 +103,7 @@
   kRefused = 4,
 };
 
-struct PlacementAnswer {
+struct PlacementReply {
   std::uint64_t id = 0;
   base::EngineId replica;
   PlacementVerdict verdict = PlacementVerdict::kDeclined;
@@ -126,7 +126,7 @@
   bool keepsPauses = true;
   /// By how much these streams' longest pauses are expected to exceed what is allowed, summed.
   base::Duration pauseExcess{};
-  /// Speed of the replica (ReplicaPace::speed) in hundredths; 0: not known.
+  /// Speed of the replica (ReplicaSpeedModel::speed) in hundredths; 0: not known.
   std::uint32_t speedPercent = 0;
   /// The replica has said that it leaves.
   bool leaving = false;
@@ -139,17 +139,17 @@
 };
 
 /// A request, or another call, is sent to the replica though its home did not grant it.
-struct PlacementTaken {
+struct UngrantedDispatch {
   std::uint64_t id = 0;
   base::EngineId replica;
-  PlacementWork work;
+  PlacementDemand work;
   /// As in its terms.
   base::Duration longestPause{};
   /// It is no request: it counts within the replica's rate limit, and takes no room.
   bool call = false;
 };
 
-struct PlacementBegun {
+struct PlacementStarted {
   std::uint64_t id = 0;
   base::EngineId replica;
   /// The replica has said that it leaves.
@@ -172,8 +172,8 @@
   bool notSent = false;
 };
 
-using PlacementMessage = std::variant<PlacementQuestion, PlacementAnswer, PlacementTaken,
-                                      PlacementBegun, PlacementEnded>;
+using PlacementMessage = std::variant<PlacementQuery, PlacementReply, UngrantedDispatch,
+                                      PlacementStarted, PlacementEnded>;
 
 std::string encode(const PlacementMessage& message);
 /// Empty when the bytes are none of these messages.
--- a/src/routing/read_speed.cc
+++ b/src/routing/prefill_speed.cc
@@ -1,10 +1,10 @@
-#include "routing/read_speed.h"
+#include "routing/prefill_speed.h"
 
 #include <algorithm>
 
 namespace covewing::routing {
 
-void ReadSpeed::learn(std::uint32_t tokens, base::Duration took) {
+void PrefillSpeed::learn(std::uint32_t tokens, base::Duration took) {
   constexpr std::uint32_t kLeastTokens = 500;
   constexpr double kSmoothing = 0.2;
   constexpr double kRising = 0.01;
--- a/src/routing/read_speed.h
+++ b/src/routing/prefill_speed.h
@@ -8,7 +8,7 @@
 
 namespace covewing::routing {
 
-class ReadSpeed {
+class PrefillSpeed {
  public:
   /// It took so long from the dispatch of a request until its answer began, with so many tokens to
   /// read. Short prompts are left out: they tell more of the queue than of the reading.
--- a/src/routing/prefix_affinity_policy.cc
+++ b/src/routing/prefix_affinity_policy.cc
@@ -20,7 +20,7 @@
 
 PrefixAffinityPolicy::PrefixAffinityPolicy(PolicyEnvironment environment)
     : environment_(std::move(environment)),
-      heat_({}),
+      prefixDemand_({}),
       imports_(environment_.tuning.service.importTokensPerSecond) {}
 
 std::string_view PrefixAffinityPolicy::region() const {
@@ -35,11 +35,11 @@
 std::size_t PrefixAffinityPolicy::width(std::uint64_t root, base::TimePoint now) {
   const auto& tuning = environment_.tuning;
   // Callers spread over all nodes, so this node's rate stands for the whole.
-  const double demand = heat_.tokensPerSecond(root, now) * static_cast<double>(liveNodes()) /
-                        tuning.service.prefillTokensPerSecond;
+  const double demand = prefixDemand_.tokensPerSecond(root, now) *
+                        static_cast<double>(liveNodes()) / tuning.service.prefillTokensPerSecond;
   const auto extra = static_cast<std::size_t>(std::floor(demand * tuning.widthPerDemand));
   const auto wanted = std::min(tuning.candidates + extra, tuning.maximumCandidates);
-  return std::max<std::size_t>(1, heat_.width(root, wanted, now));
+  return std::max<std::size_t>(1, prefixDemand_.holderCount(root, wanted, now));
 }
 
 std::vector<base::EngineId> PrefixAffinityPolicy::candidates(const RouteQuery& query) {
@@ -84,7 +84,7 @@
   if (!decision.engine) return;
   const auto root = prefixKey(query, environment_.tuning.rootBlock);
   const auto now = environment_.clock.now();
-  heat_.note(root, decision.uncachedTokens + kDecodeTokens, now);
+  prefixDemand_.record(root, decision.uncachedTokens + kDecodeTokens, now);
   imports_.onImport(decision.importedTokens, liveNodes(), now);
   if (environment_.lookup == nullptr) return;
   environment_.lookup->announce(decision.lookupId, *decision.engine, query.priority,
--- a/src/routing/prefix_affinity_policy.h
+++ b/src/routing/prefix_affinity_policy.h
@@ -10,7 +10,7 @@
 
 #include "routing/import_queue.h"
 #include "routing/policy_factory.h"
-#include "routing/prefix_heat.h"
+#include "routing/prefix_demand.h"
 
 namespace covewing::routing {
 
@@ -30,7 +30,7 @@
   std::size_t liveNodes() const;
 
   PolicyEnvironment environment_;
-  PrefixHeat heat_;
+  PrefixDemand prefixDemand_;
   ImportQueue imports_;
   std::shared_ptr<bool> lifetime_ = std::make_shared<bool>(true);
 };
--- a/src/routing/prefix_heat.cc
+++ b/src/routing/prefix_demand.cc
@@ -1,4 +1,4 @@
-#include "routing/prefix_heat.h"
+#include "routing/prefix_demand.h"
 
 #include <cmath>
 
@@ -9,39 +9,39 @@
 constexpr double kColdTokens = 64;
 }  // namespace
 
-double PrefixHeat::decayed(const Entry& entry, base::TimePoint now) const {
+double PrefixDemand::decayed(const Entry& entry, base::TimePoint now) const {
   return entry.tokens *
          std::exp(-base::toSeconds(now - entry.at) / base::toSeconds(options_.averaging));
 }
 
-void PrefixHeat::note(RootKey root, std::uint32_t tokens, base::TimePoint now) {
+void PrefixDemand::record(RootKey root, std::uint32_t tokens, base::TimePoint now) {
   if (entries_.size() >= options_.maximumRoots && !entries_.contains(root)) forgetColdest(now);
   Entry& entry = entries_[root];
   entry.tokens = decayed(entry, now) + tokens;
   entry.at = now;
 }
 
-double PrefixHeat::tokensPerSecond(RootKey root, base::TimePoint now) const {
+double PrefixDemand::tokensPerSecond(RootKey root, base::TimePoint now) const {
   const auto found = entries_.find(root);
   if (found == entries_.end()) return 0;
   return decayed(found->second, now) / base::toSeconds(options_.averaging);
 }
 
-std::size_t PrefixHeat::width(RootKey root, std::size_t wanted, base::TimePoint now) {
+std::size_t PrefixDemand::holderCount(RootKey root, std::size_t wanted, base::TimePoint now) {
   const auto found = entries_.find(root);
   if (found == entries_.end()) return wanted;
   Entry& entry = found->second;
-  if (wanted >= entry.width) {
-    entry.width = wanted;
+  if (wanted >= entry.holderCount) {
+    entry.holderCount = wanted;
     entry.narrowedAt = now;
   } else if (now - entry.narrowedAt >= options_.narrowInterval) {
-    --entry.width;
+    --entry.holderCount;
     entry.narrowedAt = now;
   }
-  return entry.width;
+  return entry.holderCount;
 }
 
-void PrefixHeat::forgetColdest(base::TimePoint now) {
+void PrefixDemand::forgetColdest(base::TimePoint now) {
   std::erase_if(entries_,
                 [&](const auto& entry) { return decayed(entry.second, now) < kColdTokens; });
   if (entries_.size() < options_.maximumRoots) return;
--- a/src/routing/prefix_heat.h
+++ b/src/routing/prefix_demand.h
@@ -10,7 +10,7 @@
 
 namespace covewing::routing {
 
-struct PrefixHeatOptions {
+struct PrefixDemandOptions {
   /// Time constant of the measured rate.
   base::Duration averaging = std::chrono::seconds(2);
   /// Shortest time between two steps of narrowing.
@@ -19,32 +19,32 @@
   std::size_t maximumRoots = 4096;
 };
 
-class PrefixHeat {
+class PrefixDemand {
  public:
   using RootKey = std::uint64_t;
 
-  explicit PrefixHeat(const PrefixHeatOptions& options) : options_(options) {}
+  explicit PrefixDemand(const PrefixDemandOptions& options) : options_(options) {}
 
   /// Work for this root came in, in prompt tokens to compute.
-  void note(RootKey root, std::uint32_t tokens, base::TimePoint now);
+  void record(RootKey root, std::uint32_t tokens, base::TimePoint now);
   /// Tokens a second for this root.
   double tokensPerSecond(RootKey root, base::TimePoint now) const;
   /// Follows `wanted` upwards at once and downwards by steps.
-  std::size_t width(RootKey root, std::size_t wanted, base::TimePoint now);
+  std::size_t holderCount(RootKey root, std::size_t wanted, base::TimePoint now);
   std::size_t roots() const { return entries_.size(); }
 
  private:
   struct Entry {
     double tokens = 0;
     base::TimePoint at{};
-    std::size_t width = 0;
+    std::size_t holderCount = 0;
     base::TimePoint narrowedAt{};
   };
 
   double decayed(const Entry& entry, base::TimePoint now) const;
   void forgetColdest(base::TimePoint now);
 
-  PrefixHeatOptions options_;
+  PrefixDemandOptions options_;
   std::map<RootKey, Entry> entries_;
 };
 
--- a/src/routing/prefix_holders.cc
+++ b/src/routing/prefix_holders.cc
@@ -4,8 +4,8 @@
 
 namespace covewing::routing {
 
-void PrefixHolders::learn(base::EngineId replica, CacheScope scope, std::uint64_t part,
-                          std::uint32_t tokens) {
+void PrefixHolders::add(base::EngineId replica, CacheScope scope, std::uint64_t part,
+                        std::uint32_t tokens) {
   const Key key = base::mixHash(scope, part);
   if (tokens == 0) {
     const auto known = holdings_.find(key);
@@ -25,15 +25,15 @@
   ++size_;
 }
 
-void PrefixHolders::learnChain(base::EngineId replica, CacheScope scope,
-                               const prefix::PartChain& chain) {
+void PrefixHolders::addChain(base::EngineId replica, CacheScope scope,
+                             const prefix::PartChain& chain) {
   for (std::size_t index = 0; index < chain.sharedParts(); ++index) {
     const auto& part = chain.parts()[index];
-    learn(replica, scope, part.id, part.tokens);
+    add(replica, scope, part.id, part.tokens);
   }
 }
 
-void PrefixHolders::forget(base::EngineId replica) {
+void PrefixHolders::remove(base::EngineId replica) {
   for (auto entry = holdings_.begin(); entry != holdings_.end();) {
     size_ -= std::erase_if(entry->second,
                            [replica](const Holding& one) { return one.replica == replica; });
@@ -41,7 +41,7 @@
   }
 }
 
-void PrefixHolders::forgetPart(CacheScope scope, std::uint64_t part) {
+void PrefixHolders::removePart(CacheScope scope, std::uint64_t part) {
   const auto known = holdings_.find(base::mixHash(scope, part));
   if (known == holdings_.end()) return;
   size_ -= known->second.size();
--- a/src/routing/prefix_holders.h
+++ b/src/routing/prefix_holders.h
@@ -21,17 +21,17 @@
 class PrefixHolders {
  public:
   /// The replica holds so many tokens of the part; 0: none.
-  void learn(base::EngineId replica, CacheScope scope, std::uint64_t part, std::uint32_t tokens);
+  void add(base::EngineId replica, CacheScope scope, std::uint64_t part, std::uint32_t tokens);
   /// The replica holds all parts of the chain.
-  void learnChain(base::EngineId replica, CacheScope scope, const prefix::PartChain& chain);
+  void addChain(base::EngineId replica, CacheScope scope, const prefix::PartChain& chain);
   /// The replica ended, or dropped what it held.
-  void forget(base::EngineId replica);
+  void remove(base::EngineId replica);
 
   /// Leading tokens of the chain's shared parts that the replica holds.
   std::uint32_t matchedTokens(base::EngineId replica, CacheScope scope,
                               const prefix::PartChain& chain) const;
   /// Nobody holds the part, as far as is known from now on.
-  void forgetPart(CacheScope scope, std::uint64_t part);
+  void removePart(CacheScope scope, std::uint64_t part);
   /// Tokens of the part that the replica holds.
   std::uint32_t tokensOf(base::EngineId replica, CacheScope scope, std::uint64_t part) const;
   /// Whether some replica is known to hold the part.
--- a/src/routing/replica.h
+++ b/src/routing/replica.h
@@ -39,7 +39,7 @@
   ReplicaState state = ReplicaState::kReady;
   std::vector<ReplicaModel> models;
   /// The entry tells when the run started.
-  bool startTold = false;
+  bool hasStartTime = false;
   /// When this node read the entry.
   base::TimePoint readAt{};
 
--- a/src/routing/replica_end_check.cc
+++ b/src/routing/replica_crash_detector.cc
@@ -1,4 +1,4 @@
-#include "routing/replica_end_check.h"
+#include "routing/replica_crash_detector.h"
 
 #include <utility>
 
@@ -17,11 +17,12 @@
 
 }  // namespace
 
-ReplicaEndCheck::~ReplicaEndCheck() {
+ReplicaCrashDetector::~ReplicaCrashDetector() {
   for (const auto& [instance, doubt] : doubts_) environment_.timers.cancel(doubt.timer);
 }
 
-void ReplicaEndCheck::onRunLost(const ReplicaRecordPtr& replica, base::RequestFingerprint run) {
+void ReplicaCrashDetector::onRequestInterrupted(const ReplicaRecordPtr& replica,
+                                                base::RequestFingerprint run) {
   forgetOld();
   const auto& instance = replica->facts().instance;
   if (endedAt_.contains(instance)) {
@@ -38,7 +39,7 @@
   scheduleProbe(instance, options_.firstProbe);
 }
 
-void ReplicaEndCheck::onRemoved(const std::string& instance) {
+void ReplicaCrashDetector::onRemoved(const std::string& instance) {
   if (forgetPlannedEnd(instance)) return;
   const auto found = doubts_.find(instance);
   if (found == doubts_.end()) return;
@@ -49,7 +50,7 @@
   conclude(instance, "its entry is gone");
 }
 
-void ReplicaEndCheck::onRestarted(const std::string& instance) {
+void ReplicaCrashDetector::onRestarted(const std::string& instance) {
   if (forgetPlannedEnd(instance)) return;
   const auto now = environment_.clock.now();
   // Runs whose connections break later were lost with it, though the address accepts new ones.
@@ -64,7 +65,7 @@
   conclude(instance, "its entry names another run");
 }
 
-bool ReplicaEndCheck::forgetPlannedEnd(const std::string& instance) {
+bool ReplicaCrashDetector::forgetPlannedEnd(const std::string& instance) {
   const auto found = doubts_.find(instance);
   if (found == doubts_.end()) return false;
   if (!found->second.replica->leaving()) return false;
@@ -73,12 +74,12 @@
   return true;
 }
 
-void ReplicaEndCheck::scheduleProbe(const std::string& instance, base::Duration delay) {
+void ReplicaCrashDetector::scheduleProbe(const std::string& instance, base::Duration delay) {
   doubts_.at(instance).timer =
       environment_.timers.schedule(delay, [this, instance] { probe(instance); });
 }
 
-void ReplicaEndCheck::probe(const std::string& instance) {
+void ReplicaCrashDetector::probe(const std::string& instance) {
   auto& doubt = doubts_.at(instance);
   doubt.timer = 0;
   ++doubt.probes;
@@ -89,7 +90,8 @@
       });
 }
 
-void ReplicaEndCheck::onProbed(const std::string& instance, clients::Reachability reachability) {
+void ReplicaCrashDetector::onProbed(const std::string& instance,
+                                    clients::Reachability reachability) {
   const auto found = doubts_.find(instance);
   if (found == doubts_.end() || found->second.outlivedAt) return;
   auto& doubt = found->second;
@@ -110,21 +112,21 @@
   }
 }
 
-void ReplicaEndCheck::conclude(const std::string& instance, std::string_view why) {
+void ReplicaCrashDetector::conclude(const std::string& instance, std::string_view why) {
   const auto node = doubts_.extract(instance);
   environment_.timers.cancel(node.mapped().timer);
   endedAt_[instance] = environment_.clock.now();
   report({instance, node.mapped().runs}, why);
 }
 
-void ReplicaEndCheck::report(const EndedRuns& ended, std::string_view why) {
+void ReplicaCrashDetector::report(const LostRequests& ended, std::string_view why) {
   environment_.log.write(
       base::Event::kReplicaEndedUnderRuns,
-      {{"replica", ended.instance}, {"why", std::string{why}}, {"runs", textOf(ended.runs)}});
+      {{"replica", ended.instance}, {"why", std::string{why}}, {"runs", textOf(ended.requests)}});
   if (listener_) listener_(ended);
 }
 
-void ReplicaEndCheck::forgetOld() {
+void ReplicaCrashDetector::forgetOld() {
   const auto now = environment_.clock.now();
   std::erase_if(endedAt_,
                 [&](const auto& entry) { return now - entry.second > options_.endRemembered; });
--- a/src/routing/replica_end_check.h
+++ b/src/routing/replica_crash_detector.h
@@ -24,7 +24,7 @@
 
 namespace covewing::routing {
 
-struct ReplicaEndCheckOptions {
+struct ReplicaCrashDetectorOptions {
   /// From the first broken run to the first connection: the runs of one crash break off within a
   /// few milliseconds.
   base::Duration firstProbe = std::chrono::milliseconds(30);
@@ -43,32 +43,33 @@
 };
 
 /// Runs that ended because their replica did.
-struct EndedRuns {
+struct LostRequests {
   std::string instance;
-  std::vector<base::RequestFingerprint> runs;
+  std::vector<base::RequestFingerprint> requests;
 };
 
 /// All must outlive the check and share its thread.
-struct ReplicaEndCheckEnvironment {
+struct ReplicaCrashDetectorEnvironment {
   base::Clock& clock;
   base::TimerService& timers;
   base::EventLog& log;
   clients::ReachabilityClient& reachability;
 };
 
-class ReplicaEndCheck {
+class ReplicaCrashDetector {
  public:
-  using Listener = std::function<void(const EndedRuns&)>;
+  using Listener = std::function<void(const LostRequests&)>;
 
-  ReplicaEndCheck(ReplicaEndCheckOptions options, ReplicaEndCheckEnvironment environment)
+  ReplicaCrashDetector(ReplicaCrashDetectorOptions options,
+                       ReplicaCrashDetectorEnvironment environment)
       : options_(options), environment_(environment) {}
-  ~ReplicaEndCheck();
-  ReplicaEndCheck(const ReplicaEndCheck&) = delete;
-  ReplicaEndCheck& operator=(const ReplicaEndCheck&) = delete;
+  ~ReplicaCrashDetector();
+  ReplicaCrashDetector(const ReplicaCrashDetector&) = delete;
+  ReplicaCrashDetector& operator=(const ReplicaCrashDetector&) = delete;
 
-  void onEnded(Listener listener) { listener_ = std::move(listener); }
+  void setListener(Listener listener) { listener_ = std::move(listener); }
   /// A run that may have begun broke off at the replica.
-  void onRunLost(const ReplicaRecordPtr& replica, base::RequestFingerprint run);
+  void onRequestInterrupted(const ReplicaRecordPtr& replica, base::RequestFingerprint run);
   /// The run is listed: it lives, whatever was taken for its end.
   void onListed(const std::string& instance) { endedAt_.erase(instance); }
   /// The replica's entry is gone.
@@ -95,11 +96,11 @@
   void probe(const std::string& instance);
   void onProbed(const std::string& instance, clients::Reachability reachability);
   void conclude(const std::string& instance, std::string_view why);
-  void report(const EndedRuns& ended, std::string_view why);
+  void report(const LostRequests& ended, std::string_view why);
   void forgetOld();
 
-  ReplicaEndCheckOptions options_;
-  ReplicaEndCheckEnvironment environment_;
+  ReplicaCrashDetectorOptions options_;
+  ReplicaCrashDetectorEnvironment environment_;
   Listener listener_;
   /// By instance.
   std::map<std::string, Doubt> doubts_;
--- a/src/routing/replica_directory.cc
+++ b/src/routing/replica_directory.cc
@@ -21,7 +21,7 @@
     const auto* listed = before.findModel(model.name);
     // The list may lag behind answers, but tells the states of a run in their order.
     if (listed != nullptr && model.version < listed->version) forgetVersion(model.name);
-    learnVersion(model.name, model.version);
+    recordVersion(model.name, model.version);
   }
 }
 
@@ -32,15 +32,15 @@
   return found == versions_.end() ? 0 : found->second;
 }
 
-void ReplicaRecord::learnVersion(const std::string& model, base::WeightsVersion version) {
+void ReplicaRecord::recordVersion(const std::string& model, base::WeightsVersion version) {
   auto& known = versions_[model];
   if (version <= known) return;
   known = version;
-  versionDoubtedUntil_ = {};
-  changingUntil_ = {};
+  versionUncertainUntil_ = {};
+  loadingWeightsUntil_ = {};
 }
 
-void ReplicaRecord::learnWait(base::Duration took) {
+void ReplicaRecord::recordWait(base::Duration took) {
   constexpr int kForgetting = 8;
   recentWait_ = std::max(took, recentWait_ - (recentWait_ - took) / kForgetting);
 }
@@ -50,10 +50,10 @@
 }
 
 std::string_view ReplicaRecord::stateName(base::TimePoint now) const {
-  if (gone_) return "gone";
+  if (terminated_) return "gone";
   if (leaving()) return "leaving";
   if (facts_.state == ReplicaState::kUnknown) return "unreadable";
-  return notices_->resting(now) ? "resting" : "ready";
+  return notices_->backingOff(now) ? "resting" : "ready";
 }
 
 namespace {
@@ -64,8 +64,8 @@
 
 }  // namespace
 
-void noteLeaving(ReplicaRecord& replica, base::EventLog& log, const NoticeSource& source) {
-  if (!replica.notices().noteLeaving()) return;
+void recordLeaving(ReplicaRecord& replica, base::EventLog& log, const NoticeSource& source) {
+  if (!replica.notices().recordLeaving()) return;
   log.write(base::Event::kReplicaLeaving, {{"replica", replica.facts().instance},
                                            {"service", replica.facts().service},
                                            {"source", std::string{source.name}},
@@ -73,12 +73,12 @@
                                            {"request", source.request}});
 }
 
-void noteRateLimit(ReplicaRecord& replica, base::EventLog& log, const RateLimitEvidence& evidence,
-                   const NoticeSource& source) {
+void recordRateLimit(ReplicaRecord& replica, base::EventLog& log, const RateLimitEvidence& evidence,
+                     const NoticeSource& source) {
   auto& limit = replica.notices().rateLimit();
   const auto before = limit.perSecond();
   const bool unreadable = evidence.notice.unreadable && limit.noteUnreadable();
-  if (!limit.learn(evidence) && !unreadable) return;
+  if (!limit.update(evidence) && !unreadable) return;
   replica.health().setInterval(RatePacer::intervalOf(limit.perSecond()));
   log.write(base::Event::kReplicaLimited,
             {{"replica", replica.facts().instance},
--- a/src/routing/replica_directory.h
+++ b/src/routing/replica_directory.h
@@ -17,10 +17,10 @@
 #include "base/ids.h"
 #include "base/time.h"
 #include "routing/fleet_load.h"
-#include "routing/read_speed.h"
+#include "routing/instance_notices.h"
+#include "routing/prefill_speed.h"
 #include "routing/replica.h"
 #include "routing/replica_health.h"
-#include "routing/run_notices.h"
 
 namespace covewing::routing {
 
@@ -38,49 +38,51 @@
   /// list, having named a newer one, names it.
   base::WeightsVersion versionOf(std::string_view model) const;
   /// An answer showed the version. Answers overtake each other, so an older one proves nothing.
-  void learnVersion(const std::string& model, base::WeightsVersion version);
+  void recordVersion(const std::string& model, base::WeightsVersion version);
   /// A refusal showed that the version known is wrong and not which is right: the replica is passed
   /// over until the list or an answer tells, or `until`.
-  void doubtVersion(base::TimePoint until) { versionDoubtedUntil_ = until; }
-  bool versionDoubted(base::TimePoint now) const { return now < versionDoubtedUntil_; }
+  void markVersionUncertain(base::TimePoint until) { versionUncertainUntil_ = until; }
+  bool versionUncertain(base::TimePoint now) const { return now < versionUncertainUntil_; }
   /// Its address answers for another run or another replica: this one has ended for good, whatever
   /// the list still says.
-  void setGone() { gone_ = true; }
-  bool gone() const { return gone_; }
+  void setTerminated() { terminated_ = true; }
+  bool terminated() const { return terminated_; }
   /// New weights are about to be ordered or are being loaded: no requests until then, or until a
   /// newer version is shown.
-  void setChanging(base::TimePoint until) { changingUntil_ = until; }
-  bool changing(base::TimePoint now) const { return now < changingUntil_; }
+  void setLoadingWeights(base::TimePoint until) { loadingWeightsUntil_ = until; }
+  bool loadingWeights(base::TimePoint now) const { return now < loadingWeightsUntil_; }
   /// A refusal for lack of room: passed over until then while others can take the request.
-  void setFull(base::TimePoint until) { fullUntil_ = until; }
-  bool full(base::TimePoint now) const { return now < fullUntil_; }
+  void setAtCapacity(base::TimePoint until) { atCapacityUntil_ = until; }
+  bool atCapacity(base::TimePoint now) const { return now < atCapacityUntil_; }
 
   /// What the run has said of itself.
-  RunNotices& notices() { return *notices_; }
-  const RunNotices& notices() const { return *notices_; }
+  InstanceNotices& notices() { return *notices_; }
+  const InstanceNotices& notices() const { return *notices_; }
   /// It is about to end, by its entry or its own word.
   bool leaving() const { return notices_->leaving() || facts_.state == ReplicaState::kDraining; }
   /// It may get new work, from whatever node: requests, and orders of weights.
-  bool inService() const { return facts_.state == ReplicaState::kReady && !gone_ && !leaving(); }
+  bool inService() const {
+    return facts_.state == ReplicaState::kReady && !terminated_ && !leaving();
+  }
 
   /// Requests of this node may be sent there now.
-  bool takesRequests(base::TimePoint now) const {
-    return inService() && !notices_->resting(now) && !notices_->beingTried();
+  bool acceptsRequests(base::TimePoint now) const {
+    return inService() && !notices_->backingOff(now) && !notices_->probing();
   }
   /// What is known of its readiness, for logs: "ready", "leaving", "resting", "gone" or
   /// "unreadable".
   std::string_view stateName(base::TimePoint now) const;
 
   /// How fast the replica reads prompts, as this node has seen.
-  const ReadSpeed& readSpeed() const { return readSpeed_; }
-  ReadSpeed& readSpeed() { return readSpeed_; }
+  const PrefillSpeed& prefillSpeed() const { return prefillSpeed_; }
+  PrefillSpeed& prefillSpeed() { return prefillSpeed_; }
 
-  /// Speed as the replica's home told (ReplicaPace::speed), in hundredths; 0: not known.
-  void learnSpeed(std::uint32_t percent) { speedPercent_ = percent; }
+  /// Speed as the replica's home told (ReplicaSpeedModel::speed), in hundredths; 0: not known.
+  void recordSpeed(std::uint32_t percent) { speedPercent_ = percent; }
   std::uint32_t speedPercent() const { return speedPercent_; }
 
   /// The answer to a request that had been sent began after so long.
-  void learnWait(base::Duration took);
+  void recordWait(base::Duration took);
   /// How long a request that is sent now may wait until it begins, from the latest waits and from
   /// those of requests that still wait.
   base::Duration expectedWait(base::TimePoint now) const;
@@ -92,8 +94,8 @@
   ReplicaLoad ownLoad() const { return {inFlight_, tokensInFlight_, unreadTokens_}; }
   void onDispatched(std::uint32_t tokens);
   /// A prompt waits of which the replica must read so many tokens; its answer began, or will not.
-  void onReadingBegun(std::uint32_t unread) { unreadTokens_ += unread; }
-  void onReadingEnded(std::uint32_t unread) { unreadTokens_ -= unread; }
+  void addPendingPrefill(std::uint32_t unread) { unreadTokens_ += unread; }
+  void removePendingPrefill(std::uint32_t unread) { unreadTokens_ -= unread; }
   void onFinished(std::uint32_t tokens);
 
  private:
@@ -104,13 +106,13 @@
   Replica facts_;
   ReplicaHealth health_;
   std::map<std::string, base::WeightsVersion, std::less<>> versions_;
-  bool gone_ = false;
-  base::TimePoint versionDoubtedUntil_{};
-  base::TimePoint changingUntil_{};
-  base::TimePoint fullUntil_{};
+  bool terminated_ = false;
+  base::TimePoint versionUncertainUntil_{};
+  base::TimePoint loadingWeightsUntil_{};
+  base::TimePoint atCapacityUntil_{};
   /// Shared with the directory, which keeps them beyond the entry.
-  std::shared_ptr<RunNotices> notices_ = std::make_shared<RunNotices>();
-  ReadSpeed readSpeed_;
+  std::shared_ptr<InstanceNotices> notices_ = std::make_shared<InstanceNotices>();
+  PrefillSpeed prefillSpeed_;
   std::uint32_t speedPercent_ = 0;
   /// Follows longer waits at once and shorter ones slowly.
   base::Duration recentWait_{};
@@ -138,11 +140,11 @@
 };
 
 /// Notes that the replica leaves, and logs it where that is news.
-void noteLeaving(ReplicaRecord& replica, base::EventLog& log, const NoticeSource& source);
+void recordLeaving(ReplicaRecord& replica, base::EventLog& log, const NoticeSource& source);
 
 /// Takes in what the replica said of its rate limit, and logs it where that is news.
-void noteRateLimit(ReplicaRecord& replica, base::EventLog& log, const RateLimitEvidence& evidence,
-                   const NoticeSource& source);
+void recordRateLimit(ReplicaRecord& replica, base::EventLog& log, const RateLimitEvidence& evidence,
+                     const NoticeSource& source);
 
 class ReplicaDirectory {
  public:
@@ -172,7 +174,7 @@
   /// What a run without an entry has said of itself.
   struct KeptNotices {
     std::string instance;
-    std::shared_ptr<RunNotices> notices;
+    std::shared_ptr<InstanceNotices> notices;
   };
   /// More than the replicas of the largest fleet, which may all lose their entries in one outage of
   /// the table service.
--- a/src/routing/replica_health.cc
+++ b/src/routing/replica_health.cc
@@ -16,7 +16,7 @@
   if (waiting_ == 0) quietSince_ = now;
 }
 
-void ReplicaHealth::onHeard(base::TimePoint now) { quietSince_ = now; }
+void ReplicaHealth::onBytesReceived(base::TimePoint now) { quietSince_ = now; }
 
 void ReplicaHealth::onSuccess(base::TimePoint now) {
   quietSince_ = now;
--- a/src/routing/replica_health.h
+++ b/src/routing/replica_health.h
@@ -40,7 +40,7 @@
   /// The wait for the answer's first byte ended, in whatever way.
   void onWaitEnded(base::TimePoint now, base::Duration work = {});
   /// Bytes came from the replica.
-  void onHeard(base::TimePoint now);
+  void onBytesReceived(base::TimePoint now);
   /// A whole answer that was no failure.
   void onSuccess(base::TimePoint now);
   /// The replica answered with a failure of its own, broke off or did not answer.
--- a/src/routing/replica_ledger.cc
+++ b/src/routing/replica_ledger.cc
@@ -6,9 +6,9 @@
 
 namespace covewing::routing {
 
-void ReplicaLedger::grant(std::uint64_t id, const PlacementWork& work, const PlacementTerms& terms,
-                          GrantedPrompt prompt, base::TimePoint now) {
-  const auto reading = readSpeed_.time(work.unread);
+void ReplicaLedger::grant(std::uint64_t id, const PlacementDemand& work,
+                          const PlacementTerms& terms, GrantedPrompt prompt, base::TimePoint now) {
+  const auto reading = prefillSpeed_.time(work.prefillTokens);
   const auto [entry, added] = grants_.try_emplace(
       id,
       Grant{
@@ -36,7 +36,7 @@
   PaceLoad current;
   for (const auto& [id, grant] : grants_) {
     ++current.running;
-    if (!grant.begun) current.unread += grant.work.unread;
+    if (!grant.begun) current.unread += grant.work.prefillTokens;
   }
   usualUnread_ += kSmoothing * (static_cast<double>(current.unread) - usualUnread_);
   for (auto& [id, grant] : grants_) {
@@ -56,9 +56,9 @@
 std::optional<GrantedPrompt> ReplicaLedger::begin(std::uint64_t id, base::TimePoint now) {
   const auto entry = grants_.find(id);
   if (entry == grants_.end() || entry->second.begun) return std::nullopt;
-  readSpeed_.learn(entry->second.work.unread, now - entry->second.at);
+  prefillSpeed_.learn(entry->second.work.prefillTokens, now - entry->second.at);
   // Those that ran before had this prompt read beside them; the new stream had not.
-  noteBeside(entry->second.work.unread);
+  noteBeside(entry->second.work.prefillTokens);
   noteBegun(entry->second, now);
   return std::move(entry->second.prompt);
 }
@@ -109,11 +109,11 @@
   dropLapsed(now);
   ReplicaLoad sum;
   for (const auto& [id, grant] : grants_)
-    sum += {1, grant.work.tokens, grant.begun ? 0U : grant.work.unread};
+    sum += {1, grant.work.tokens, grant.begun ? 0U : grant.work.prefillTokens};
   return sum;
 }
 
-bool ReplicaLedger::hasRoom(const PlacementWork& work, base::TimePoint now) {
+bool ReplicaLedger::hasRoom(const PlacementDemand& work, base::TimePoint now) {
   constexpr std::uint32_t kLeastWaiting = 2;
   if (!pacer_.mayPass(now)) return false;
   const auto current = load(now);
@@ -124,25 +124,25 @@
 }
 
 base::Duration ReplicaLedger::timeForPlace(const ReplicaLoad& load,
-                                           const PlacementWork& work) const {
+                                           const PlacementDemand& work) const {
   if (work.slots == 0 || load.requests < work.slots) return {};
   const auto ahead = static_cast<base::Duration::rep>(load.requests - work.slots) + 1;
   return runTime_ * ahead / static_cast<base::Duration::rep>(work.slots);
 }
 
-base::Duration ReplicaLedger::expectedWait(const PlacementWork& work, base::TimePoint now) {
+base::Duration ReplicaLedger::expectedWait(const PlacementDemand& work, base::TimePoint now) {
   const auto current = load(now);
-  auto wait = readSpeed_.leastTime(current.pendingPrefillTokens) + timeForPlace(current, work);
+  auto wait = prefillSpeed_.leastTime(current.pendingPrefillTokens) + timeForPlace(current, work);
   if (now < fullUntil_) wait += runTime_;
   return std::max(wait, pacer_.untilNext(now));
 }
 
-base::Duration ReplicaLedger::pauseExcess(const PlacementWork& work, const PlacementTerms& terms,
+base::Duration ReplicaLedger::pauseExcess(const PlacementDemand& work, const PlacementTerms& terms,
                                           base::TimePoint now) {
   const auto current = load(now);
   // What waits now is read before the new stream begins; it meets what usually comes later.
   const PaceLoad met{current.requests + 1, static_cast<std::uint64_t>(usualUnread_), 0};
-  const PaceLoad added{current.requests + 1, current.pendingPrefillTokens + work.unread, 0};
+  const PaceLoad added{current.requests + 1, current.pendingPrefillTokens + work.prefillTokens, 0};
   const auto own = pace_.expectedLongestPause(met, now);
   const auto others = pace_.expectedLongestPause(added, now);
   const auto already =
--- a/src/routing/replica_ledger.h
+++ b/src/routing/replica_ledger.h
@@ -15,10 +15,10 @@
 #include "base/time.h"
 #include "routing/fleet_load.h"
 #include "routing/placement_messages.h"
+#include "routing/prefill_speed.h"
 #include "routing/rate_pacer.h"
-#include "routing/read_speed.h"
 #include "routing/replica_health.h"
-#include "routing/replica_pace.h"
+#include "routing/replica_speed_model.h"
 
 namespace covewing::routing {
 
@@ -45,7 +45,7 @@
   explicit ReplicaLedger(ReplicaLedgerOptions options = {}) : options_(options) {}
 
   /// A node sends a request; `id` names the grant.
-  void grant(std::uint64_t id, const PlacementWork& work, const PlacementTerms& terms,
+  void grant(std::uint64_t id, const PlacementDemand& work, const PlacementTerms& terms,
              GrantedPrompt prompt, base::TimePoint now);
   /// The answer to a granted request began: the replica has read the prompt, which is returned.
   /// Empty when the grant is not known or began before.
@@ -61,7 +61,7 @@
   }
   const RatePacer& pacer() const { return pacer_; }
   /// A call that is no request went to the replica.
-  void countCall(base::TimePoint now) { pacer_.onPassed(now); }
+  void countControlCall(base::TimePoint now) { pacer_.onPassed(now); }
   /// When the grant was given; empty when it is not known.
   std::optional<base::TimePoint> grantedAt(std::uint64_t id) const;
   /// Between two requests that the replica can take, by its rate limit or by its slots, whichever
@@ -72,15 +72,15 @@
   ReplicaLoad load(base::TimePoint now);
   /// How long a request that is sent now waits until the replica turns to it: for the prompts ahead
   /// to be read, and for a place where all slots are taken.
-  base::Duration expectedWait(const PlacementWork& work, base::TimePoint now);
+  base::Duration expectedWait(const PlacementDemand& work, base::TimePoint now);
   /// Whether the replica, its rate limit and its memory take the request: a few more requests than
   /// run at once may wait there, the others are better held where they can still go elsewhere.
-  bool hasRoom(const PlacementWork& work, base::TimePoint now);
+  bool hasRoom(const PlacementDemand& work, base::TimePoint now);
   /// By how much the longest pauses of the request's stream and of those that run are expected to
   /// exceed what their routes allow when it is added, summed; zero while the pace is unknown.
-  base::Duration pauseExcess(const PlacementWork& work, const PlacementTerms& terms,
+  base::Duration pauseExcess(const PlacementDemand& work, const PlacementTerms& terms,
                              base::TimePoint now);
-  /// Speed of the replica (ReplicaPace::speed) in hundredths; 0 while unknown.
+  /// Speed of the replica (ReplicaSpeedModel::speed) in hundredths; 0 while unknown.
   std::uint32_t speedPercent() const;
   /// Whether requests may be sent there, by what all nodes found.
   bool available(base::TimePoint now);
@@ -90,7 +90,7 @@
 
  private:
   struct Grant {
-    PlacementWork work;
+    PlacementDemand work;
     GrantedPrompt prompt;
     base::TimePoint at{};
     base::Duration reading{};
@@ -109,13 +109,13 @@
   /// The work beside running streams changed; `read` tokens of a prompt were read meanwhile.
   void noteBeside(std::uint64_t read);
   /// Time until a place is free, by how many requests are too many.
-  base::Duration timeForPlace(const ReplicaLoad& load, const PlacementWork& work) const;
+  base::Duration timeForPlace(const ReplicaLoad& load, const PlacementDemand& work) const;
 
   ReplicaLedgerOptions options_;
   Grants grants_;
-  ReadSpeed readSpeed_;
+  PrefillSpeed prefillSpeed_;
   ReplicaHealth health_;
-  ReplicaPace pace_;
+  ReplicaSpeedModel pace_;
   RatePacer pacer_;
   /// Running mean of what waits to be read there, for what a new stream will meet.
   double usualUnread_ = 0;
--- a/src/routing/replica_choice.cc
+++ b/src/routing/replica_selector.cc
@@ -1,4 +1,4 @@
-#include "routing/replica_choice.h"
+#include "routing/replica_selector.h"
 
 #include <algorithm>
 #include <cmath>
@@ -59,8 +59,8 @@
 
 base::TimePoint firstRestEnd(const std::vector<ReplicaRecordPtr>& resting) {
   const auto first = std::ranges::min_element(
-      resting, {}, [](const auto& record) { return record->notices().restsUntil(); });
-  return (*first)->notices().restsUntil();
+      resting, {}, [](const auto& record) { return record->notices().backOffUntil(); });
+  return (*first)->notices().backOffUntil();
 }
 
 }  // namespace
@@ -75,8 +75,8 @@
   return base::mixHash(base::hashName(salt), base::hashName(model));
 }
 
-bool ReplicaChoice::beginsInTime(const ReplicaQuery& query, const ReplicaRecord& record,
-                                 base::TimePoint now) const {
+bool ReplicaSelector::beginsInTime(const ReplicaQuery& query, const ReplicaRecord& record,
+                                   base::TimePoint now) const {
   // The margin of the bound covers usual waits.
   const auto excess =
       std::max(record.expectedWait(now) - context_.targets.longestWait(), base::Duration::zero());
@@ -84,8 +84,9 @@
   return record.versionOf(query.model) >= std::max<base::WeightsVersion>(oldest, 1);
 }
 
-ReplicaChoice::Candidates ReplicaChoice::eligible(const ReplicaQuery& query, base::TimePoint now,
-                                                  ReplicaDecision& decision) {
+ReplicaSelector::Candidates ReplicaSelector::eligible(const ReplicaQuery& query,
+                                                      base::TimePoint now,
+                                                      ReplicaDecision& decision) {
   auto& reason = decision.reason;
   const auto& listed = context_.replicas.ofService(query.service);
   Candidates allowed;
@@ -95,7 +96,7 @@
     if (!record->inService()) continue;
     if (!query.model.empty() && !beginsInTime(query, *record, now)) {
       reason = "no replica has the version in force";
-    } else if (record->notices().resting(now)) {
+    } else if (record->notices().backingOff(now)) {
       // Also those that were tried: it was they who asked for it.
       resting.push_back(record);
     } else if (!onListOf(query.excluded, *record)) {
@@ -104,7 +105,7 @@
   }
   if (allowed.empty() && !resting.empty()) {
     reason = "every replica has asked this node for rest";
-    decision.restEnds = firstRestEnd(resting);
+    decision.backOffEnds = firstRestEnd(resting);
   }
   const auto keep = [&](auto predicate, std::string_view why) {
     if (allowed.empty()) return;
@@ -118,17 +119,17 @@
     std::ranges::copy_if(allowed, std::back_inserter(kept), predicate);
     if (!kept.empty()) allowed = std::move(kept);
   };
-  keep([&](const auto& record) { return !record->versionDoubted(now); },
+  keep([&](const auto& record) { return !record->versionUncertain(now); },
        "the version of every replica is doubtful");
   keep([&](const auto& record) { return record->health().available(now); },
        "every replica is ejected or silent");
-  keep([&](const auto& record) { return !record->notices().beingTried(); },
+  keep([&](const auto& record) { return !record->notices().probing(); },
        "every replica has rested and is tried with one request");
-  prefer([&](const auto& record) { return !record->full(now); });
+  prefer([&](const auto& record) { return !record->atCapacity(now); });
   return allowed;
 }
 
-void ReplicaChoice::sortByLoad(Candidates& candidates) {
+void ReplicaSelector::sortByLoad(Candidates& candidates) {
   const auto loadOf = [this](const ReplicaRecordPtr& record) {
     const bool near = record->facts().zone == context_.zone;
     const double slots = std::max<double>(1, record->facts().slots);
@@ -141,15 +142,15 @@
   std::ranges::stable_sort(candidates, {}, loadOf);
 }
 
-bool ReplicaChoice::loadKnown(std::size_t nodes, base::TimePoint now) const {
+bool ReplicaSelector::loadKnown(std::size_t nodes, base::TimePoint now) const {
   if (context_.fleet.interval() > kLongestUsefulLoadInterval) return false;
   const auto others = static_cast<double>(std::max<std::size_t>(nodes, 1) - 1);
   return static_cast<double>(context_.fleet.reportingNodes(now)) >= others * options_.leastHeard;
 }
 
-ReplicaChoice::Bounds ReplicaChoice::boundsOf(const ReplicaRecord& record,
-                                              const ReplicaQuery& query, std::size_t nodes,
-                                              bool known) const {
+ReplicaSelector::Bounds ReplicaSelector::boundsOf(const ReplicaRecord& record,
+                                                  const ReplicaQuery& query, std::size_t nodes,
+                                                  bool known) const {
   const auto slots = std::max<std::size_t>(record.facts().slots, 1);
   const auto memory = static_cast<double>(query.engine->cacheTokens);
   if (known) return {slots, memory * options_.knownMemoryShare};
@@ -159,8 +160,8 @@
           memory * options_.memoryShare / static_cast<double>(sharers)};
 }
 
-std::size_t ReplicaChoice::firstWithRoom(const Candidates& ordered, const ReplicaQuery& query,
-                                         std::size_t nodes, base::TimePoint now) const {
+std::size_t ReplicaSelector::firstWithRoom(const Candidates& ordered, const ReplicaQuery& query,
+                                           std::size_t nodes, base::TimePoint now) const {
   const bool known = loadKnown(nodes, now);
   const std::uint32_t own = query.tokens - std::min(query.tokens, query.chain->sharedTokens());
   std::size_t best = ordered.size();
@@ -174,7 +175,7 @@
     if (load.requests >= bounds.requests) continue;
     const bool fits = static_cast<double>(load.tokens + own) <= bounds.tokens;
     if (!fits && load.requests > 0) continue;
-    const auto wait = record.readSpeed().leastTime(load.pendingPrefillTokens);
+    const auto wait = record.prefillSpeed().leastTime(load.pendingPrefillTokens);
     if (wait <= query.acceptableWait) return index;
     if (wait >= shortest) continue;
     shortest = wait;
@@ -183,9 +184,9 @@
   return best;
 }
 
-std::optional<CacheSource> ReplicaChoice::bestSource(const ReplicaQuery& query, CacheScope scope,
-                                                     const ReplicaRecord* except,
-                                                     base::TimePoint now) {
+std::optional<CacheSource> ReplicaSelector::bestSource(const ReplicaQuery& query, CacheScope scope,
+                                                       const ReplicaRecord* except,
+                                                       base::TimePoint now) {
   const auto tokensAt = [&](const std::string& name) {
     return context_.holders.matchedTokens(base::engineIdOf(name), scope, *query.chain);
   };
@@ -200,7 +201,7 @@
     best = CacheSource{name, endpoint, tokens};
   };
   for (const auto& record : context_.replicas.ofService(query.service)) {
-    if (record.get() == except || record->gone() || record->health().ejected(now)) continue;
+    if (record.get() == except || record->terminated() || record->health().ejected(now)) continue;
     offer(record->facts().instance, record->facts().endpoint);
   }
   for (const auto& store : context_.stores.all()) {
@@ -213,8 +214,8 @@
   return best;
 }
 
-void ReplicaChoice::addCacheMoves(ReplicaDecision& decision, const ReplicaQuery& query,
-                                  base::TimePoint now) {
+void ReplicaSelector::addCacheMoves(ReplicaDecision& decision, const ReplicaQuery& query,
+                                    base::TimePoint now) {
   auto source = bestSource(query, decision.scope, decision.replica.get(), now);
   const auto shared = query.chain->sharedTokens();
   const auto held = std::max(decision.matchedTokens, source ? source->tokens : 0);
@@ -242,8 +243,8 @@
   return longRunRank(left.facts().instance) < longRunRank(right.facts().instance);
 }
 
-void ReplicaChoice::moveLongRunReplicasFirst(Candidates& candidates,
-                                             const ReplicaQuery& query) const {
+void ReplicaSelector::moveLongRunReplicasFirst(Candidates& candidates,
+                                               const ReplicaQuery& query) const {
   if (candidates.size() < options_.leastForLongRuns) return;
   Candidates ranked = candidates;
   std::ranges::sort(ranked, [&query](const auto& left, const auto& right) {
@@ -257,7 +258,7 @@
   });
 }
 
-void ReplicaChoice::sortByHome(Candidates& candidates, const ReplicaQuery& query) const {
+void ReplicaSelector::sortByHome(Candidates& candidates, const ReplicaQuery& query) const {
   base::WeightsVersion newest = 0;
   for (const auto& record : candidates) newest = std::max(newest, record->versionOf(query.model));
   const bool readsMuch = query.chain->sharedTokens() >= options_.nearTokens;
@@ -274,7 +275,7 @@
   }
 }
 
-void ReplicaChoice::moveNearFirst(Candidates& candidates) const {
+void ReplicaSelector::moveNearFirst(Candidates& candidates) const {
   const auto far = std::stable_partition(
       candidates.begin(), candidates.end(),
       [this](const ReplicaRecordPtr& record) { return record->facts().zone == context_.zone; });
@@ -283,7 +284,7 @@
   if (far != candidates.end() && far > lastAsked) std::rotate(lastAsked, far, far + 1);
 }
 
-void ReplicaChoice::keepOneLimitedInFront(Candidates& candidates) {
+void ReplicaSelector::keepOneLimitedInFront(Candidates& candidates) {
   Candidates limited;
   Candidates others;
   for (const auto& record : candidates) {
@@ -296,12 +297,12 @@
   candidates = std::move(others);
 }
 
-std::string ReplicaChoice::saltOf(const ReplicaQuery& query, const ReplicaRecord& record) const {
+std::string ReplicaSelector::saltOf(const ReplicaQuery& query, const ReplicaRecord& record) const {
   return cacheSalt(record.versionOf(query.model), query.isolatedTenant);
 }
 
-ReplicaDecision ReplicaChoice::choose(const ReplicaQuery& query, std::size_t nodes,
-                                      base::TimePoint now) {
+ReplicaDecision ReplicaSelector::choose(const ReplicaQuery& query, std::size_t nodes,
+                                        base::TimePoint now) {
   ReplicaDecision decision;
   Candidates candidates = eligible(query, now, decision);
   if (candidates.empty()) return decision;
@@ -312,15 +313,16 @@
   }
   keepOneLimitedInFront(candidates);
   const auto asked = std::min(options_.mostInOrder, candidates.size());
-  decision.order.assign(candidates.begin(),
-                        candidates.begin() + static_cast<std::ptrdiff_t>(asked));
+  decision.preferenceOrder.assign(candidates.begin(),
+                                  candidates.begin() + static_cast<std::ptrdiff_t>(asked));
   chooseAlone(decision, std::move(candidates), query, nodes, now);
   return decision;
 }
 
-void ReplicaChoice::chooseAlone(ReplicaDecision& decision, Candidates candidates,
-                                const ReplicaQuery& query, std::size_t nodes, base::TimePoint now) {
-  std::erase_if(candidates, [now](const auto& record) { return record->changing(now); });
+void ReplicaSelector::chooseAlone(ReplicaDecision& decision, Candidates candidates,
+                                  const ReplicaQuery& query, std::size_t nodes,
+                                  base::TimePoint now) {
+  std::erase_if(candidates, [now](const auto& record) { return record->loadingWeights(now); });
   if (candidates.empty()) {
     decision.reason = "every replica is loading weights";
     return;
@@ -346,16 +348,16 @@
   complete(decision, query, now);
 }
 
-bool ReplicaChoice::allRateLimited(const ReplicaQuery& query, base::TimePoint now) {
+bool ReplicaSelector::allRateLimited(const ReplicaQuery& query, base::TimePoint now) {
   ReplicaDecision unused;
   const auto candidates = eligible(query, now, unused);
   return !candidates.empty() && std::ranges::all_of(candidates, rateLimited);
 }
 
-std::optional<ReplicaDecision> ReplicaChoice::decide(const ReplicaQuery& query,
-                                                     const ReplicaRecordPtr& replica,
-                                                     std::uint32_t matchedTokens,
-                                                     base::TimePoint now) {
+std::optional<ReplicaDecision> ReplicaSelector::decide(const ReplicaQuery& query,
+                                                       const ReplicaRecordPtr& replica,
+                                                       std::uint32_t matchedTokens,
+                                                       base::TimePoint now) {
   ReplicaDecision decision;
   const auto candidates = eligible(query, now, decision);
   if (std::ranges::find(candidates, replica) == candidates.end()) return std::nullopt;
@@ -366,20 +368,20 @@
   return decision;
 }
 
-void ReplicaChoice::complete(ReplicaDecision& decision, const ReplicaQuery& query,
-                             base::TimePoint now) {
+void ReplicaSelector::complete(ReplicaDecision& decision, const ReplicaQuery& query,
+                               base::TimePoint now) {
   if (query.model.empty()) return;
   decision.version = decision.replica->versionOf(query.model);
-  decision.beginBefore = beginBefore(query.model, decision.version);
+  decision.startDeadline = startDeadline(query.model, decision.version);
   decision.cacheSalt = saltOf(query, *decision.replica);
   decision.scope = cacheScope(decision.cacheSalt, query.model);
   if (query.withPrompt()) addCacheMoves(decision, query, now);
 }
 
-PlacementCandidate ReplicaChoice::candidateOf(const ReplicaQuery& query,
-                                              const ReplicaRecordPtr& replica,
-                                              std::uint32_t promptTokens,
-                                              std::uint32_t heldTokens) const {
+PlacementCandidate ReplicaSelector::candidateOf(const ReplicaQuery& query,
+                                                const ReplicaRecordPtr& replica,
+                                                std::uint32_t promptTokens,
+                                                std::uint32_t heldTokens) const {
   PlacementCandidate candidate;
   candidate.record = replica;
   candidate.work.slots = replica->facts().slots;
@@ -389,7 +391,8 @@
   const auto matched = context_.holders.matchedTokens(id, candidate.scope, *query.chain);
   candidate.work.tokens = query.tokens - std::min(query.tokens, matched);
   // What is held elsewhere is fetched, which takes far less time than reading.
-  candidate.work.unread = promptTokens - std::min(promptTokens, std::max(matched, heldTokens));
+  candidate.work.prefillTokens =
+      promptTokens - std::min(promptTokens, std::max(matched, heldTokens));
   candidate.work.memory = static_cast<std::uint32_t>(
       static_cast<double>(query.engine->cacheTokens) * options_.knownMemoryShare);
   return candidate;
--- a/src/routing/replica_choice.h
+++ b/src/routing/replica_selector.h
@@ -79,12 +79,12 @@
   /// Store to save what is read to.
   std::optional<base::Endpoint> saveTo;
   /// The request must begin before this, or not on this version.
-  std::optional<base::TimePoint> beginBefore;
+  std::optional<base::TimePoint> startDeadline;
   /// Leading shared tokens believed cached at the replica.
   std::uint32_t matchedTokens = 0;
   /// The first of the replicas that could be chosen, in the order of preference; their homes may be
   /// asked (routing/placement.h).
-  std::vector<ReplicaRecordPtr> order;
+  std::vector<ReplicaRecordPtr> preferenceOrder;
   /// Replicas that could be chosen, and the chosen one's place in the order of preference.
   std::size_t candidates = 0;
   std::size_t rank = 0;
@@ -94,14 +94,14 @@
   base::Duration expectedWait{};
   std::string_view reason;
   /// Where all replicas that the request could go to have asked this node for rest: the first end.
-  std::optional<base::TimePoint> restEnds;
+  std::optional<base::TimePoint> backOffEnds;
 
   /// Leading shared tokens that the replica has or can fetch.
   std::uint32_t heldTokens() const { return fetchFrom ? fetchFrom->tokens : matchedTokens; }
 };
 
 /// What the choice rests on; all must outlive it.
-struct ReplicaChoiceContext {
+struct ReplicaSelectorContext {
   const ReplicaDirectory& replicas;
   const PrefixHolders& holders;
   const WeightsTargets& targets;
@@ -110,7 +110,7 @@
   std::string zone;
 };
 
-struct ReplicaChoiceOptions {
+struct ReplicaSelectorOptions {
   /// Least bound on the requests of this node at a home, however many nodes share it.
   std::uint32_t leastBound = 2;
   /// Part of a replica's cache memory that all nodes together may fill with running requests,
@@ -132,10 +132,10 @@
   std::size_t leastForLongRuns = 4;
 };
 
-class ReplicaChoice {
+class ReplicaSelector {
  public:
-  ReplicaChoice(ReplicaChoiceContext context, ReplicaChoiceOptions options,
-                base::RandomSource& random)
+  ReplicaSelector(ReplicaSelectorContext context, ReplicaSelectorOptions options,
+                  base::RandomSource& random)
       : context_(std::move(context)), options_(options), random_(random) {}
 
   /// `nodes` is the number of nodes that share the replicas.
@@ -147,9 +147,9 @@
   std::optional<ReplicaDecision> decide(const ReplicaQuery& query, const ReplicaRecordPtr& replica,
                                         std::uint32_t matchedTokens, base::TimePoint now);
   /// Until when a request may begin on the version of the model; empty while no newer one is named.
-  std::optional<base::TimePoint> beginBefore(std::string_view model,
-                                             base::WeightsVersion version) const {
-    return context_.targets.beginBefore(model, version);
+  std::optional<base::TimePoint> startDeadline(std::string_view model,
+                                               base::WeightsVersion version) const {
+    return context_.targets.startDeadline(model, version);
   }
   /// What the request takes of the replica, for its home. `heldTokens` of its shared parts are
   /// known to be cached somewhere, from where they can be fetched.
@@ -205,8 +205,8 @@
   std::optional<CacheSource> bestSource(const ReplicaQuery& query, CacheScope scope,
                                         const ReplicaRecord* except, base::TimePoint now);
 
-  ReplicaChoiceContext context_;
-  ReplicaChoiceOptions options_;
+  ReplicaSelectorContext context_;
+  ReplicaSelectorOptions options_;
   base::RandomSource& random_;
 };
 
--- a/src/routing/replica_pace.cc
+++ b/src/routing/replica_speed_model.cc
@@ -1,4 +1,4 @@
-#include "routing/replica_pace.h"
+#include "routing/replica_speed_model.h"
 
 #include <algorithm>
 #include <cmath>
@@ -60,7 +60,7 @@
 
 }  // namespace
 
-bool ReplicaPace::usable(const StreamObservation& observation) const {
+bool ReplicaSpeedModel::usable(const StreamObservation& observation) const {
   if (observation.pauses < kFewestPauses) return false;
   if (observation.streamed <= base::Duration::zero() || observation.streamed > kLongestStream)
     return false;
@@ -71,8 +71,8 @@
          observation.nodeLateness <= kMostLateness;
 }
 
-void ReplicaPace::learn(const StreamObservation& observation, const PaceLoad& load,
-                        base::NodeId node, base::TimePoint now) {
+void ReplicaSpeedModel::learn(const StreamObservation& observation, const PaceLoad& load,
+                              base::NodeId node, base::TimePoint now) {
   if (!usable(observation)) return;
   const auto pauses = static_cast<double>(observation.pauses);
   const double read = thousands(load.read) / pauses;
@@ -91,7 +91,7 @@
   updateSpeed();
 }
 
-void ReplicaPace::learnMean(double pause, double read, double weight) {
+void ReplicaSpeedModel::learnMean(double pause, double read, double weight) {
   const auto add = [](double& sum, double value) { sum = sum * kKept + value; };
   add(sums_.weight, weight);
   add(sums_.read, weight * read);
@@ -107,9 +107,9 @@
   step_ = std::max(meanPause - reading_ * meanRead, meanPause / kMostRatio);
 }
 
-double ReplicaPace::line(double thousands) const { return step_ + reading_ * thousands; }
+double ReplicaSpeedModel::line(double thousands) const { return step_ + reading_ * thousands; }
 
-void ReplicaPace::learnExcess(const StreamObservation& observation, const PaceLoad& load) {
+void ReplicaSpeedModel::learnExcess(const StreamObservation& observation, const PaceLoad& load) {
   auto& excess = excess_[classOf(load.unread)];
   const double factor = microseconds(observation.longestPause) / line(thousands(load.unread));
   const double step =
@@ -119,7 +119,7 @@
   excess.logarithm = std::clamp(excess.logarithm, kLeastExcess, kMostExcess);
 }
 
-void ReplicaPace::learnSlowness(double ratio, base::NodeId node, base::TimePoint now) {
+void ReplicaSpeedModel::learnSlowness(double ratio, base::NodeId node, base::TimePoint now) {
   const double bounded = std::clamp(ratio, 1 / kMostRatio, kMostRatio);
   // One node alone may see its own slowness, or that of its link.
   if (bounded > kSlowFrom && slowSeenBy_ == std::optional(node)) return;
@@ -130,14 +130,16 @@
   slow_ = slowness_ > (slow_ ? kSlowUntil : kSlowFrom);
 }
 
-bool ReplicaPace::slow(base::TimePoint now) const { return slow_ && slowdown(now) > kSlowUntil; }
+bool ReplicaSpeedModel::slow(base::TimePoint now) const {
+  return slow_ && slowdown(now) > kSlowUntil;
+}
 
-double ReplicaPace::slowdown(base::TimePoint now) const {
+double ReplicaSpeedModel::slowdown(base::TimePoint now) const {
   const double halves = microseconds(now - slowAt_) / microseconds(kSlownessHalf);
   return 1 + (slowness_ - 1) * std::exp2(-std::max(halves, 0.0));
 }
 
-void ReplicaPace::updateSpeed() {
+void ReplicaSpeedModel::updateSpeed() {
   const double speed = microseconds(kReferencePause) / step_;
   const bool near = speed_ && speed < *speed_ * kSpeedStep && speed > *speed_ / kSpeedStep;
   if (!near) speed_ = speed;
@@ -151,8 +153,8 @@
   return ratio < kNear && ratio > 1 / kNear ? 1 : ratio;
 }
 
-std::optional<base::Duration> ReplicaPace::expectedLongestPause(const PaceLoad& load,
-                                                                base::TimePoint now) const {
+std::optional<base::Duration> ReplicaSpeedModel::expectedLongestPause(const PaceLoad& load,
+                                                                      base::TimePoint now) const {
   if (seen_ < kFewestStreams) return std::nullopt;
   double pause = line(thousands(load.unread)) * std::exp(excess_[classOf(load.unread)].logarithm);
   if (slow(now)) pause *= slowdown(now);
--- a/src/routing/replica_pace.h
+++ b/src/routing/replica_speed_model.h
@@ -48,7 +48,7 @@
   std::uint64_t read = 0;
 };
 
-class ReplicaPace {
+class ReplicaSpeedModel {
  public:
   /// Absurd observations (negative, beyond any caller's patience), streams of too few pieces and
   /// what a node saw that was slow itself are passed over.
@@ -75,7 +75,7 @@
     double pause = 0;
     double pauseRead = 0;
   };
-  /// Classes of how much waits to be read; the upper bounds are in replica_pace.cc.
+  /// Classes of how much waits to be read; the upper bounds are in replica_speed_model.cc.
   static constexpr std::size_t kClasses = 6;
   struct Excess {
     /// Logarithm of the factor between the longest pause and the mean one.
--- a/src/routing/run_times.cc
+++ b/src/routing/request_durations.cc
@@ -1,27 +1,28 @@
-#include "routing/run_times.h"
+#include "routing/request_durations.h"
 
 #include <algorithm>
 #include <cmath>
 
 namespace covewing::routing {
 
-double RunTimes::expectedSeconds(const Service& service, std::uint32_t tokens) const {
+double RequestDurations::expectedSeconds(const Service& service, std::uint32_t tokens) const {
   if (service.runs < options_.leastRuns || service.meanTokens <= 0) return 0;
   return tokens * service.meanSeconds / service.meanTokens;
 }
 
-double RunTimes::decayedLongSeconds(const Service& service, base::TimePoint now) const {
+double RequestDurations::decayedLongSeconds(const Service& service, base::TimePoint now) const {
   const double age = base::toSeconds(now - service.longSecondsAt);
   return service.longSeconds * std::exp(-age / base::toSeconds(options_.memory));
 }
 
-void RunTimes::onLongRun(std::string_view service, std::uint32_t tokens, base::TimePoint now) {
+void RequestDurations::onLongRun(std::string_view service, std::uint32_t tokens,
+                                 base::TimePoint now) {
   auto& facts = services_.try_emplace(std::string{service}).first->second;
   facts.longSeconds = decayedLongSeconds(facts, now) + expectedSeconds(facts, tokens);
   facts.longSecondsAt = now;
 }
 
-void RunTimes::onEnd(std::string_view service, std::uint32_t tokens, base::Duration took) {
+void RequestDurations::onEnd(std::string_view service, std::uint32_t tokens, base::Duration took) {
   auto& facts = services_.try_emplace(std::string{service}).first->second;
   ++facts.runs;
   // The first runs count alike, so that the means do not hang on the very first one.
@@ -30,14 +31,14 @@
   facts.meanSeconds += weight * (base::toSeconds(took) - facts.meanSeconds);
 }
 
-bool RunTimes::isLong(std::string_view service, std::uint32_t tokens) const {
+bool RequestDurations::isLong(std::string_view service, std::uint32_t tokens) const {
   const auto known = services_.find(service);
   return known != services_.end() &&
          expectedSeconds(known->second, tokens) >= base::toSeconds(options_.longRun);
 }
 
-std::size_t RunTimes::replicasForLongRuns(std::string_view service, std::uint32_t slots,
-                                          std::size_t nodes, base::TimePoint now) const {
+std::size_t RequestDurations::replicasForLongRuns(std::string_view service, std::uint32_t slots,
+                                                  std::size_t nodes, base::TimePoint now) const {
   const auto known = services_.find(service);
   if (known == services_.end()) return 1;
   const double underWay = decayedLongSeconds(known->second, now) / base::toSeconds(options_.memory);
--- a/src/routing/run_times.h
+++ b/src/routing/request_durations.h
@@ -3,7 +3,7 @@
 /// node has seen it, and how many long runs this node has under way on average.
 ///
 /// New weights are loaded when a replica's runs have ended, so one long run keeps a whole replica
-/// away. Long runs are therefore kept together on few replicas (ReplicaChoice).
+/// away. Long runs are therefore kept together on few replicas (ReplicaSelector).
 #pragma once
 
 #include <cstddef>
@@ -16,7 +16,7 @@
 
 namespace covewing::routing {
 
-struct RunTimeOptions {
+struct RequestDurationOptions {
   /// Expected time from the first byte to the end from which a run counts as long.
   base::Duration longRun = std::chrono::milliseconds(1000);
   /// Weight of the latest run in the means.
@@ -29,9 +29,9 @@
   double slotShare = 0.4;
 };
 
-class RunTimes {
+class RequestDurations {
  public:
-  explicit RunTimes(RunTimeOptions options = {}) : options_(options) {}
+  explicit RequestDurations(RequestDurationOptions options = {}) : options_(options) {}
 
   /// A long run began that is expected to make so many tokens.
   void onLongRun(std::string_view service, std::uint32_t tokens, base::TimePoint now);
@@ -58,7 +58,7 @@
   double expectedSeconds(const Service& service, std::uint32_t tokens) const;
   double decayedLongSeconds(const Service& service, base::TimePoint now) const;
 
-  RunTimeOptions options_;
+  RequestDurationOptions options_;
   std::map<std::string, Service, std::less<>> services_;
 };
 
--- a/src/routing/service_model.cc
+++ b/src/routing/service_model.cc
@@ -14,7 +14,7 @@
 }  // namespace
 
 ServiceEstimate estimateService(const ServiceModel& model, const ServiceInput& input) {
-  const double share = input.doubtful ? model.doubtfulShare : 1.0;
+  const double share = input.doubtful ? model.doubtfulMatchWeight : 1.0;
   const auto cached =
       std::min(input.promptTokens,
                static_cast<std::uint32_t>(static_cast<double>(input.cachedTokens) * share));
@@ -37,9 +37,9 @@
     }
   }
   const double queue = static_cast<double>(input.tokensAhead) / rate;
-  estimate.firstToken =
+  estimate.timeToFirstToken =
       fromSeconds(queue + transfer + compute) + input.distance + model.perRequest * input.requests;
-  estimate.cost = estimate.firstToken + fromSeconds(model.insertionWeight * inserted / rate);
+  estimate.cost = estimate.timeToFirstToken + fromSeconds(model.insertionWeight * inserted / rate);
   return estimate;
 }
 
--- a/src/routing/service_model.h
+++ b/src/routing/service_model.h
@@ -25,7 +25,7 @@
   /// that it holds until its answer is complete.
   base::Duration perRequest = std::chrono::milliseconds(20);
   /// Share of a doubtful match that is counted on.
-  double doubtfulShare = 0.5;
+  double doubtfulMatchWeight = 0.5;
   /// One round trip to another zone, and to another region.
   base::Duration otherZone = std::chrono::milliseconds(3);
   base::Duration otherRegion = std::chrono::milliseconds(60);
@@ -47,7 +47,7 @@
 };
 
 struct ServiceEstimate {
-  base::Duration firstToken{};
+  base::Duration timeToFirstToken{};
   /// First token plus the weight of insertion; engines are ranked by it.
   base::Duration cost{};
   std::uint32_t uncachedTokens = 0;
--- a/src/routing/weights_targets.cc
+++ b/src/routing/weights_targets.cc
@@ -46,8 +46,8 @@
   return found == targets_.end() ? 0 : found->second.back().version;
 }
 
-std::optional<base::TimePoint> WeightsTargets::beginBefore(std::string_view model,
-                                                           base::WeightsVersion version) const {
+std::optional<base::TimePoint> WeightsTargets::startDeadline(std::string_view model,
+                                                             base::WeightsVersion version) const {
   const auto found = targets_.find(model);
   if (found == targets_.end()) return std::nullopt;
   for (const WeightsTarget& target : found->second) {
--- a/src/routing/weights_targets.h
+++ b/src/routing/weights_targets.h
@@ -60,8 +60,8 @@
   base::WeightsVersion oldestAllowed(std::string_view model, base::TimePoint now) const;
   /// The last moment at which a request may begin on the version; empty while no newer one is
   /// named. Part of the margin is left for what nodes know late.
-  std::optional<base::TimePoint> beginBefore(std::string_view model,
-                                             base::WeightsVersion version) const;
+  std::optional<base::TimePoint> startDeadline(std::string_view model,
+                                               base::WeightsVersion version) const;
   /// Part of the margin within which a request that was sent in time is expected to begin.
   base::Duration longestWait() const { return bounds_.margin * 3 / 5; }
 
--- a/tests/coordination/replica_survey_test.cc
+++ b/tests/coordination/replica_survey_test.cc
@@ -89,7 +89,7 @@
 
 BOOST_AUTO_TEST_CASE(ReplicaWithARateLimitIsNotAsked) {
   add(2);
-  candidates.front()->notices().rateLimit().learn(
+  candidates.front()->notices().rateLimit().update(
       {clients::RateLimitNotice::of(1), time.now(), time.now()});
   step(seconds(2));
   BOOST_TEST(std::ranges::count(asked, "r0") == 0);
--- a/tests/coordination/rollout_plan_test.cc
+++ b/tests/coordination/rollout_plan_test.cc
@@ -9,7 +9,7 @@
 #include <string>
 #include <utility>
 
-#include "routing/replica_choice.h"
+#include "routing/replica_selector.h"
 
 namespace covewing::coordination {
 
@@ -50,7 +50,7 @@
     for (const auto end = now + duration; now < end; now += milliseconds(50)) {
       std::erase_if(changing, [&](const auto& change) {
         if (now < change.second.second) return false;
-        directory.find(change.first)->learnVersion("m", change.second.first);
+        directory.find(change.first)->recordVersion("m", change.second.first);
         return true;
       });
       if (!targets.all().empty()) step();
@@ -207,7 +207,7 @@
 BOOST_AUTO_TEST_CASE(OldestVersionComesBeforeTheFewestRequests) {
   RolloutDay day{20};
   for (int number = 1; number < 20; ++number)
-    day.directory.find("r" + std::to_string(number))->learnVersion("m", 2);
+    day.directory.find("r" + std::to_string(number))->recordVersion("m", 2);
   day.requestsAt = [](const std::string& name) { return name == "r0" ? 20U : 0U; };
   day.targets.onNamed("m", 2, day.now);
   day.targets.onNamed("m", 3, day.now);
--- a/tests/coordination/weights_rollout_test.cc
+++ b/tests/coordination/weights_rollout_test.cc
@@ -6,7 +6,7 @@
 #include <set>
 #include <utility>
 
-#include "routing/replica_choice.h"
+#include "routing/replica_selector.h"
 #include "support/recording_log.h"
 #include "support/virtual_time.h"
 
@@ -147,7 +147,7 @@
   void onReplicaServing(const std::string& instance, const std::string& model,
                         base::WeightsVersion version) override {
     changing.erase(instance);
-    directory.find(instance)->learnVersion(model, version);
+    directory.find(instance)->recordVersion(model, version);
   }
 
   /// The instances in the order in which they are changed.
@@ -251,7 +251,7 @@
 BOOST_AUTO_TEST_CASE(ReplicaWithARateLimitGetsFewCallsWhileItIsChanged) {
   const auto now = time.now();
   for (int number = 1; number < 12; ++number) list("r" + std::to_string(number), 2);
-  directory.find("r0")->notices().rateLimit().learn({clients::RateLimitNotice::of(0.5), now, now});
+  directory.find("r0")->notices().rateLimit().update({clients::RateLimitNotice::of(0.5), now, now});
   replicas.replicas["r0"].running = 2;
   targets.onNamed("m", 2, now);
   rollout.start();
@@ -450,7 +450,7 @@
   time.advance(seconds(5));
   BOOST_TEST(replicas.given.size() == 1U);
   BOOST_TEST(rollout.underWay() == 0U);
-  BOOST_TEST(directory.find("r0")->gone());
+  BOOST_TEST(directory.find("r0")->terminated());
 }
 
 BOOST_AUTO_TEST_CASE(ReplicaThatCameBackWithAnOlderVersionIsOrderedAgain) {
@@ -662,13 +662,13 @@
 }
 
 BOOST_AUTO_TEST_CASE(ReplicaThatLeavesIsNoGoalOfOrders) {
-  directory.find("r0")->notices().noteLeaving();
+  directory.find("r0")->notices().recordLeaving();
   // The others are drained before their orders: one of them begins to leave meanwhile.
   for (auto& [name, replica] : replicas.replicas) replica.running = 1;
   targets.onNamed("m", 2, time.now());
   rollout.start();
   time.advance(milliseconds(100));
-  directory.find("r1")->notices().noteLeaving();
+  directory.find("r1")->notices().recordLeaving();
   for (auto& [name, replica] : replicas.replicas) replica.running = 0;
   time.advance(seconds(12));
   for (const auto& [instance, order] : replicas.given) {
--- a/tests/node/configuration_return_test.cc
+++ b/tests/node/configuration_return_test.cc
@@ -237,7 +237,7 @@
   second.service.refused = false;
   fleet.time.advance(seconds(1));
   BOOST_REQUIRE(second.targets.newest(kModel) == 2U);
-  BOOST_TEST((*second.targets.beginBefore(kModel, 1) <= namedAt + seconds(8)));
+  BOOST_TEST((*second.targets.startDeadline(kModel, 1) <= namedAt + seconds(8)));
 }
 
 // Written again after the return, they are no younger than before it.
@@ -250,7 +250,7 @@
   fleet.time.advance(seconds(1));
   for (const auto* run : {&first, &second}) {
     BOOST_REQUIRE(run->targets.newest(kModel) == 2U);
-    BOOST_TEST((*run->targets.beginBefore(kModel, 1) <= namedAt + seconds(8)));
+    BOOST_TEST((*run->targets.startDeadline(kModel, 1) <= namedAt + seconds(8)));
   }
 }
 
--- a/tests/node/replica_list_test.cc
+++ b/tests/node/replica_list_test.cc
@@ -25,7 +25,7 @@
     routing::Replica replica;
     replica.instance = value;
     replica.service = "llm";
-    replica.startTold = value.find('@') != std::string_view::npos;
+    replica.hasStartTime = value.find('@') != std::string_view::npos;
     return replica;
   }
 };
@@ -39,7 +39,8 @@
 
 struct ReplicaListFixture {
   ReplicaListFixture() {
-    replicaEnds.onEnded([this](const routing::EndedRuns& runs) { ended.push_back(runs.instance); });
+    replicaEnds.setListener(
+        [this](const routing::LostRequests& runs) { ended.push_back(runs.instance); });
   }
 
   void write(const std::string& key, const std::string& run) {
@@ -49,8 +50,8 @@
 
   /// The run holds a part, and a request broke off there.
   void use(const std::string& run) {
-    holders.learn(base::engineIdOf(run), kScope, kPart, 100);
-    replicaEnds.onRunLost(directory.find(run), base::RequestFingerprint{7});
+    holders.add(base::engineIdOf(run), kScope, kPart, 100);
+    replicaEnds.onRequestInterrupted(directory.find(run), base::RequestFingerprint{7});
   }
   bool holds(const std::string& run) const {
     return holders.tokensOf(base::engineIdOf(run), kScope, kPart) > 0;
@@ -62,7 +63,7 @@
   RunReader reader;
   routing::ReplicaDirectory directory;
   routing::PrefixHolders holders;
-  routing::ReplicaEndCheck replicaEnds{{}, {time, time, log, reachability}};
+  routing::ReplicaCrashDetector replicaEnds{{}, {time, time, log, reachability}};
   std::vector<std::string> ended;
   config::StoreEras eras{time, log};
   ReplicaList list{reader, time, log, directory, holders, replicaEnds, eras};
--- a/tests/node/weights_dates_test.cc
+++ b/tests/node/weights_dates_test.cc
@@ -188,7 +188,7 @@
   const base::TimePoint now{seconds(100)};
   BOOST_TEST(targets.onFound("m", 4, now));
   BOOST_TEST(targets.oldestAllowed("m", now) == 4U);
-  BOOST_TEST((targets.beginBefore("m", 3) <= now));
+  BOOST_TEST((targets.startDeadline("m", 3) <= now));
   targets.onDated("m", 4, now - seconds(2));
   BOOST_TEST(targets.oldestAllowed("m", now + seconds(4)) == 0U);
   BOOST_TEST(targets.oldestAllowed("m", now + seconds(5)) == 4U);
--- a/tests/node/weights_dating_test.cc
+++ b/tests/node/weights_dating_test.cc
@@ -130,7 +130,7 @@
     BOOST_TEST_CONTEXT("node " << index) {
       const auto& targets = nodes[index]->targets;
       BOOST_REQUIRE(targets.newest(kModel) == 2U);
-      const auto before = targets.beginBefore(kModel, 1);
+      const auto before = targets.startDeadline(kModel, 1);
       BOOST_REQUIRE(before.has_value());
       BOOST_TEST((*before <= due));
       BOOST_TEST(targets.oldestAllowed(kModel, due - milliseconds(600)) == 2U);
@@ -146,7 +146,7 @@
     const auto due = name(std::to_string(step + 2));
     fleet.time.advance(seconds(2));
     for (const auto& node : nodes) {
-      const auto before = node->targets.beginBefore(kModel, static_cast<unsigned>(step) + 1);
+      const auto before = node->targets.startDeadline(kModel, static_cast<unsigned>(step) + 1);
       BOOST_REQUIRE(before.has_value());
       BOOST_TEST((*before > due - milliseconds(1300)));
     }
@@ -169,8 +169,8 @@
   fleet.time.advance(seconds(10));
   const auto& targets = nodes[static_cast<std::size_t>(index)]->targets;
   BOOST_REQUIRE(targets.newest(kModel) == 3U);
-  BOOST_TEST((targets.beginBefore(kModel, 1) <= due));
-  BOOST_TEST((targets.beginBefore(kModel, 2) <= nextDue));
+  BOOST_TEST((targets.startDeadline(kModel, 1) <= due));
+  BOOST_TEST((targets.startDeadline(kModel, 2) <= nextDue));
 }
 
 // The newest version tells nothing of one that was named shortly before it, which may be in force.
@@ -214,7 +214,7 @@
   const auto& targets = started.targets;
   BOOST_REQUIRE(targets.newest(kModel) == 2U);
   BOOST_TEST(targets.oldestAllowed(kModel, fleet.time.now()) == 0U);
-  BOOST_TEST((targets.beginBefore(kModel, 1) <= due));
+  BOOST_TEST((targets.startDeadline(kModel, 1) <= due));
   // Nodes that start later find the date.
   BOOST_TEST(!table.commits.empty());
 }
@@ -232,7 +232,7 @@
   fleet.nodes.front()->service.refused = false;
   fleet.time.advance(seconds(3));
   BOOST_REQUIRE(started.targets.newest(kModel) == 2U);
-  BOOST_TEST((started.targets.beginBefore(kModel, 1) <= due));
+  BOOST_TEST((started.targets.startDeadline(kModel, 1) <= due));
 }
 
 // The service turned some nodes away and served others: these saw the version come and wrote its
@@ -254,7 +254,7 @@
   fleet.nodes.front()->service.refused = false;
   fleet.time.advance(seconds(3));
   BOOST_REQUIRE(running.targets.newest(kModel) == 2U);
-  BOOST_TEST((running.targets.beginBefore(kModel, 1) <= due));
+  BOOST_TEST((running.targets.startDeadline(kModel, 1) <= due));
 }
 
 // After an outage nodes were told of a version by others and knew only their proofs from before it.
@@ -287,8 +287,8 @@
   feed.answer({clients::FeedStatus::kOk, {{kWeightsRow, "2", 9}}, 9});
   fleet.time.advance(milliseconds(50));
   BOOST_REQUIRE(targets.newest(kModel) == 2U);
-  BOOST_TEST((targets.beginBefore(kModel, 1) <= due));
-  BOOST_TEST((targets.beginBefore(kModel, 1) > due - seconds(1)));
+  BOOST_TEST((targets.startDeadline(kModel, 1) <= due));
+  BOOST_TEST((targets.startDeadline(kModel, 1) > due - seconds(1)));
 }
 
 // A node that had lived on the answers of others since an outage asked the service again, and dated
@@ -331,7 +331,7 @@
   fleet.time.advance(seconds(3));
   feed.answer({clients::FeedStatus::kHistoryGone, {}, 0});
   feed.answer({clients::FeedStatus::kOk, {{kWeightsRow, "2", 9}}, 9});
-  BOOST_TEST((targets.beginBefore(kModel, 1) <= proved + seconds(8)));
+  BOOST_TEST((targets.startDeadline(kModel, 1) <= proved + seconds(8)));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/platform/replica_runs_test.cc
+++ b/tests/platform/replica_runs_test.cc
@@ -15,7 +15,7 @@
 #include "platform/http_dialect.h"
 #include "platform/replica_run.h"
 #include "platform/row_readers.h"
-#include "routing/replica_choice.h"
+#include "routing/replica_selector.h"
 #include "support/recording_log.h"
 #include "support/virtual_time.h"
 
@@ -59,7 +59,7 @@
   ReplicaRunsFixture() {
     engine.slots = 8;
     engine.cacheTokens = 100'000;
-    replicaEnds.onEnded([this](const routing::EndedRuns& runs) { ended.push_back(runs); });
+    replicaEnds.setListener([this](const routing::LostRequests& runs) { ended.push_back(runs); });
   }
 
   void write(const nlohmann::json& value) { writeBytes(value.dump()); }
@@ -86,9 +86,9 @@
 
   /// The replica's answer showed the version, and that it holds the prefix.
   void useWith(base::WeightsVersion version) {
-    replica()->learnVersion(kModel, version);
-    holders.learnChain(base::engineIdOf(replica()->facts().instance),
-                       routing::cacheScope(routing::cacheSalt(version, ""), kModel), chain);
+    replica()->recordVersion(kModel, version);
+    holders.addChain(base::engineIdOf(replica()->facts().instance),
+                     routing::cacheScope(routing::cacheSalt(version, ""), kModel), chain);
   }
 
   test_support::VirtualTime time;
@@ -97,8 +97,8 @@
   ReplicaReader reader;
   routing::ReplicaDirectory directory;
   routing::PrefixHolders holders;
-  routing::ReplicaEndCheck replicaEnds{{}, {time, time, log, reachability}};
-  std::vector<routing::EndedRuns> ended;
+  routing::ReplicaCrashDetector replicaEnds{{}, {time, time, log, reachability}};
+  std::vector<routing::LostRequests> ended;
   config::StoreEras eras{time, log};
   node::ReplicaList list{reader, time, log, directory, holders, replicaEnds, eras};
   config::EngineProfile engine;
@@ -107,7 +107,7 @@
   routing::WeightsTargets targets{{std::chrono::seconds(8), std::chrono::seconds(1)}};
   routing::CacheStores stores;
   routing::FleetLoad fleet;
-  routing::ReplicaChoice choice{{directory, holders, targets, stores, fleet, "z1"}, {}, random};
+  routing::ReplicaSelector choice{{directory, holders, targets, stores, fleet, "z1"}, {}, random};
   base::Revision revision = 0;
 };
 
@@ -121,7 +121,7 @@
   const auto former = replica();
   BOOST_TEST(choose().version == 2U);
   BOOST_TEST(choose().matchedTokens == 1000U);
-  replicaEnds.onRunLost(former, base::RequestFingerprint{7});
+  replicaEnds.onRequestInterrupted(former, base::RequestFingerprint{7});
 
   write(entryOfRun(1, kSecondStart));
   BOOST_REQUIRE(replica() != nullptr);
@@ -131,7 +131,7 @@
   // Homes, ledgers, orders and news of changes are kept by this name.
   BOOST_TEST((replica()->facts().instance != former->facts().instance));
   BOOST_TEST(directory.all().size() == 1U);
-  BOOST_TEST(former->gone());
+  BOOST_TEST(former->terminated());
   BOOST_REQUIRE(ended.size() == 1U);
   BOOST_TEST(ended[0].instance == former->facts().instance);
 }
@@ -145,9 +145,9 @@
 // So one request ended 19 replicas before all nodes refused it, where three ends should tell.
 BOOST_AUTO_TEST_CASE(EachRunOfAReplicaEndsOnItsOwn) {
   write(entryOfRun(1, kFirstStart));
-  replicaEnds.onRunLost(replica(), base::RequestFingerprint{7});
+  replicaEnds.onRequestInterrupted(replica(), base::RequestFingerprint{7});
   write(entryOfRun(1, kSecondStart));
-  replicaEnds.onRunLost(replica(), base::RequestFingerprint{7});
+  replicaEnds.onRequestInterrupted(replica(), base::RequestFingerprint{7});
   BOOST_TEST(ended.size() == 1U);
   write(entryOfRun(1, kSecondStart + 1));
   BOOST_REQUIRE(ended.size() == 2U);
@@ -170,7 +170,7 @@
 // ended for good, also after it had started again elsewhere.
 BOOST_AUTO_TEST_CASE(ReplicaThatEndedIsUsedAgainAfterItsRestart) {
   write(entryOfRun(1, kFirstStart));
-  replica()->setGone();
+  replica()->setTerminated();
   BOOST_TEST((choose().replica == nullptr));
   auto elsewhere = entryOfRun(1, kSecondStart);
   elsewhere["address"] = "10.128.0.10:8080";
@@ -196,7 +196,7 @@
 // Its entry told of the restart 0.6 s after the new run had turned a request away.
 BOOST_AUTO_TEST_CASE(RestThatTheNewRunMayHaveAskedForOutlivesTheOldOne) {
   write(entryOfRun(1, kFirstStart));
-  replica()->notices().noteRest(time.now() + std::chrono::seconds(3));
+  replica()->notices().startBackOff(time.now() + std::chrono::seconds(3));
   write(entryOfRun(1, kSecondStart));
   BOOST_TEST((choose().replica == nullptr));
   time.advance(std::chrono::milliseconds(3001));
@@ -227,7 +227,7 @@
   write(entryOfRun(1, kFirstStart));
   write(entryOfRun(1, kSecondStart));
   useWith(1);
-  replicaEnds.onRunLost(replica(), base::RequestFingerprint{7});
+  replicaEnds.onRequestInterrupted(replica(), base::RequestFingerprint{7});
   remove();
   BOOST_TEST(replica() == nullptr);
   BOOST_TEST(holders.size() == 0U);
@@ -242,8 +242,8 @@
   for (const auto& bytes : {std::string{}, std::string{"\xff\xfe"}, unknownState.dump()}) {
     write(entryOfRun(1, kFirstStart));
     useWith(2);
-    replicaEnds.onRunLost(directory.find(runName(kIdentifier, kFirstStart)),
-                          base::RequestFingerprint{7});
+    replicaEnds.onRequestInterrupted(directory.find(runName(kIdentifier, kFirstStart)),
+                                     base::RequestFingerprint{7});
     BOOST_TEST(directory.ofService(kService).size() == 2U);
     writeBytes(bytes);
     BOOST_REQUIRE(directory.ofService(kService).size() == 1U);
--- a/tests/request/limited_fleet.h
+++ b/tests/request/limited_fleet.h
@@ -128,7 +128,7 @@
         reachability(time),
         service(options(),
                 {time, time, log, *this, replicas, holders, choice, replicaEnds, parts, placement,
-                 retries, quotas, quarantine, runTimes, *this},
+                 retries, quotas, quarantine, requestDurations, *this},
                 tables, [this] { return nodes(); }) {
     network.attach(members.self().endpoint.address,
                    [this](const base::PeerIdentity& sender, std::string_view payload) {
@@ -160,10 +160,10 @@
   routing::WeightsTargets targets;
   routing::CacheStores stores;
   routing::FleetLoad fleet;
-  routing::ReplicaChoice choice{{replicas, holders, targets, stores, fleet, "zone"}, {}, random};
+  routing::ReplicaSelector choice{{replicas, holders, targets, stores, fleet, "zone"}, {}, random};
   test_support::SharedRecords records;
   test_support::MemoryTableService table;
-  routing::ReplicaEndCheck replicaEnds;
+  routing::ReplicaCrashDetector replicaEnds;
   routing::PartLookup parts;
   routing::Placement placement;
   admission::TenantQuotas quotas;
@@ -172,7 +172,7 @@
   admission::RetryWindows retries{{std::chrono::seconds(10), 0.2, 20, 1.0},
                                   RelayFixture::kStartedLongAgo,
                                   [this] { return nodes(); }};
-  routing::RunTimes runTimes;
+  routing::RequestDurations requestDurations;
   FakeTables tables;
   RelayService service;
 };
--- a/tests/request/relay_fixture.h
+++ b/tests/request/relay_fixture.h
@@ -314,9 +314,9 @@
   routing::WeightsTargets targets;
   routing::CacheStores stores;
   routing::FleetLoad fleet;
-  routing::ReplicaChoice choice{{replicas, holders, targets, stores, fleet, "zone"}, {}, random};
+  routing::ReplicaSelector choice{{replicas, holders, targets, stores, fleet, "zone"}, {}, random};
   FakeReachability reachability{time};
-  routing::ReplicaEndCheck replicaEnds{{}, {time, time, log, reachability}};
+  routing::ReplicaCrashDetector replicaEnds{{}, {time, time, log, reachability}};
   FakeMembers members{"self"};
   FakePeers peers;
   routing::PartLookup parts{{}, {time, time, random, log, peers, members}};
@@ -330,7 +330,7 @@
                                             [this] { return table.serviceTime(); }}};
   admission::RetryWindows retries{
       {std::chrono::seconds(10), 0.2, 20, 1.0}, kStartedLongAgo, oneNode};
-  routing::RunTimes runTimes;
+  routing::RequestDurations requestDurations;
   std::vector<RelayOutcome> outcomes;
   std::vector<std::unique_ptr<CallerView>> views;
   std::size_t requests = 0;
@@ -340,7 +340,7 @@
   std::weak_ptr<RelayFlow> flow;
   RelayService service{options(),
                        {time, time, log, client, replicas, holders, choice, replicaEnds, parts,
-                        placement, retries, quotas, quarantine, runTimes, *this},
+                        placement, retries, quotas, quarantine, requestDurations, *this},
                        tables,
                        oneNode};
 };
--- a/tests/request/relay_flow_test.cc
+++ b/tests/request/relay_flow_test.cc
@@ -108,7 +108,7 @@
 BOOST_AUTO_TEST_CASE(PromptIsGivenTheTimeThatReadingItTakes) {
   for (const char* name : {"m1", "m2", "m3"}) {
     for (int count = 0; count < 60; ++count)
-      replicas.find(name)->readSpeed().learn(1000, milliseconds(500));
+      replicas.find(name)->prefillSpeed().learn(1000, milliseconds(500));
   }
   request("resumable");
   time.advance(milliseconds(1400));
@@ -126,7 +126,7 @@
   other.otherInstance = true;
   client.last().handler->onHead(std::move(other));
   client.last().handler->onEnd();
-  BOOST_TEST(replicas.find(first)->gone());
+  BOOST_TEST(replicas.find(first)->terminated());
   BOOST_TEST(client.sent.size() == 2U);
 }
 
@@ -209,7 +209,7 @@
   const auto usual = first();
   const auto replica = base::engineIdOf(usual);
   const base::PeerIdentity other{base::nodeIdOf("other"), 1, {}};
-  placement.onPeerMessage(other, routing::encode(routing::PlacementTaken{7, replica, {}}));
+  placement.onPeerMessage(other, routing::encode(routing::UngrantedDispatch{7, replica, {}}));
   placement.onPeerMessage(other, routing::encode(routing::PlacementEnded{
                                      7, replica, routing::PlacementOutcome::kUnreachable, {}}));
   BOOST_TEST(first() != usual);
@@ -223,13 +223,13 @@
   time.advance(milliseconds(30));
   client.last().answer(200, "id: 1\ndata: x\n\n");
   const base::PeerIdentity other{base::nodeIdOf("other"), 1, {}};
-  const routing::PlacementWork work{20'000, 20'000, 8, 90'000};
+  const routing::PlacementDemand work{20'000, 20'000, 8, 90'000};
   placement.onPeerMessage(
-      other, routing::encode(routing::PlacementTaken{7, base::engineIdOf(usual), work}));
+      other, routing::encode(routing::UngrantedDispatch{7, base::engineIdOf(usual), work}));
   request("once");
   BOOST_TEST(client.last().terms.expectedInstance != usual);
   placement.onPeerMessage(other,
-                          routing::encode(routing::PlacementBegun{7, base::engineIdOf(usual)}));
+                          routing::encode(routing::PlacementStarted{7, base::engineIdOf(usual)}));
   request("once");
   BOOST_TEST(client.last().terms.expectedInstance == usual);
 }
@@ -237,18 +237,18 @@
 BOOST_AUTO_TEST_CASE(RequestThatWouldBeLateAtEveryReplicaWaitsForAFreeOne) {
   // The prompts ahead at each replica take longer to read than the target latency.
   const base::PeerIdentity other{base::nodeIdOf("other"), 1, {}};
-  const routing::PlacementWork work{20'000, 20'000, 8, 90'000};
+  const routing::PlacementDemand work{20'000, 20'000, 8, 90'000};
   std::uint64_t id = 0;
   for (const char* name : {"m1", "m2", "m3"}) {
     placement.onPeerMessage(
-        other, routing::encode(routing::PlacementTaken{++id, base::engineIdOf(name), work}));
+        other, routing::encode(routing::UngrantedDispatch{++id, base::engineIdOf(name), work}));
   }
   request("once");
   BOOST_TEST(client.sent.empty());
   time.advance(milliseconds(500));
   BOOST_TEST(client.sent.empty());
   placement.onPeerMessage(other,
-                          routing::encode(routing::PlacementBegun{2, base::engineIdOf("m2")}));
+                          routing::encode(routing::PlacementStarted{2, base::engineIdOf("m2")}));
   time.advance(milliseconds(160));
   BOOST_REQUIRE(client.sent.size() == 1U);
   BOOST_TEST(client.last().terms.expectedInstance == "m2");
@@ -322,7 +322,7 @@
   client.last().refuseNotExecuted(421);
   BOOST_TEST(client.sent.size() == 2U);
   BOOST_TEST(client.last().terms.expectedInstance != first);
-  BOOST_TEST(replicas.find(first)->versionDoubted(time.now()));
+  BOOST_TEST(replicas.find(first)->versionUncertain(time.now()));
 }
 
 BOOST_AUTO_TEST_CASE(KeyThatWasTakenAwayIsNotUsedForAnotherAttempt) {
@@ -353,11 +353,11 @@
 
 BOOST_AUTO_TEST_CASE(RequestThatHasNotBegunWhenItsWeightsAreOutOfDateEnds) {
   // Version 1 may begin until 7 s and 0.6 of the margin after version 2 is named.
-  replicas.find("m3")->learnVersion("m", 2);
+  replicas.find("m3")->recordVersion("m", 2);
   targets.onNamed("m", 2, time.now());
   time.advance(milliseconds(6900));
   tables.confirmed = time.now();
-  replicas.find("m3")->setFull(time.now() + seconds(9));
+  replicas.find("m3")->setAtCapacity(time.now() + seconds(9));
   auto& once = request("once");
   auto& resumable = request("resumable");
   const auto sent = client.sent;
@@ -393,13 +393,13 @@
   auto patient = contents();
   for (auto& one : patient.routes) one.timeout = one.targetLatency = seconds(30);
   useTable(patient);
-  replicas.find("m3")->setFull(time.now() + seconds(30));
+  replicas.find("m3")->setAtCapacity(time.now() + seconds(30));
   auto& once = request("once");
   auto& resumable = request("resumable");
   const auto sent = client.sent;
   BOOST_REQUIRE(sent.size() == 2U);
   time.advance(milliseconds(100));
-  replicas.find("m3")->learnVersion("m", 2);
+  replicas.find("m3")->recordVersion("m", 2);
   nameWeights(2);
   time.advance(milliseconds(7500));
   tables.confirmed = time.now();
@@ -431,7 +431,7 @@
   BOOST_TEST(!client.last().open);
 
   // Version 3 was named so long ago that nothing may begin on version 2 any more.
-  for (const char* name : {"m1", "m2", "m3"}) replicas.find(name)->learnVersion("m", 2);
+  for (const char* name : {"m1", "m2", "m3"}) replicas.find(name)->recordVersion("m", 2);
   nameWeights(3);
   auto& late = request("once");
   BOOST_TEST(late.open());
@@ -494,14 +494,14 @@
 // The rest of a refusal was on its way when the date passed. The attempt counted as one that may
 // have run, so a request that may not run twice failed with 502 instead of going elsewhere.
 BOOST_AUTO_TEST_CASE(RequestThatWasRefusedBeforeItsDateGoesElsewhere) {
-  replicas.find("m3")->setFull(time.now() + seconds(30));
+  replicas.find("m3")->setAtCapacity(time.now() + seconds(30));
   nameWeights(2);
   time.advance(milliseconds(6900));
   tables.confirmed = time.now();
   auto& caller = request("once");
   const auto refused = client.sent.back();
   refused->head(503, true);
-  replicas.find("m3")->learnVersion("m", 2);
+  replicas.find("m3")->recordVersion("m", 2);
   time.advance(milliseconds(800));
   BOOST_REQUIRE(caller.open());
   refused->handler->onEnd();
@@ -515,14 +515,14 @@
   for (auto& one : patient.routes) one.timeout = one.targetLatency = seconds(30);
   patient.routes[3].attempts = 3;
   useTable(patient);
-  replicas.find("m3")->setFull(time.now() + seconds(30));
+  replicas.find("m3")->setAtCapacity(time.now() + seconds(30));
   auto& caller = request("resumable");
   client.last().head(200);
   client.last().handler->onBody("id: 1\ndata: x\n\n");
   client.last().breakOff();
   BOOST_REQUIRE(client.sent.size() == 2U);
   const auto resumed = client.sent.back();
-  replicas.find("m3")->learnVersion("m", 2);
+  replicas.find("m3")->recordVersion("m", 2);
   nameWeights(2);
   time.advance(milliseconds(7500));
   tables.confirmed = time.now();
@@ -556,7 +556,7 @@
     for (int number = 0; peers.sent.empty(); ++number) {
       members = FakeMembers{"self"};
       members.add("other-" + std::to_string(number));
-      parts.tell(prefix::partIdOf("aa"), {base::engineIdOf("m1"), 1});
+      parts.announce(prefix::partIdOf("aa"), {base::engineIdOf("m1"), 1});
     }
     peers.sent.clear();
   }
@@ -571,11 +571,11 @@
   }
 
   void answer(const std::string& replica, const std::string& salt) {
-    const auto question = lastSent<routing::PartQuestion>();
+    const auto question = lastSent<routing::PartQuery>();
     const auto& home = members.liveMembers().back();
     parts.onPeerMessage(
         {home.id, 1, home.endpoint},
-        routing::encode(routing::PartAnswer{
+        routing::encode(routing::PartReply{
             question->nonce, {{base::engineIdOf(replica), routing::cacheScope(salt, "m")}}}));
   }
 
@@ -596,7 +596,7 @@
   const auto home = chosen();
   const auto holder = another();
   client.last().answer(200, "x");
-  holders.forget(base::engineIdOf(home));
+  holders.remove(base::engineIdOf(home));
   time.advance(milliseconds(2000));
   peers.sent.clear();
 
@@ -605,9 +605,9 @@
   answer(holder, "w1");
   BOOST_TEST(client.sent.size() == 2U);
   BOOST_TEST((client.last().terms.fetchFrom == replicas.find(holder)->facts().endpoint));
-  BOOST_TEST(!lastSent<routing::PartNotice>().has_value());
+  BOOST_TEST(!lastSent<routing::PartUpdate>().has_value());
   client.last().answer(200, "x");
-  const auto notice = lastSent<routing::PartNotice>();
+  const auto notice = lastSent<routing::PartUpdate>();
   BOOST_TEST((notice && notice->holder.replica == base::engineIdOf(chosen())));
 }
 
@@ -625,14 +625,15 @@
   time.advance(milliseconds(16));
   BOOST_TEST(client.sent.size() == 1U);
   // The home is passed over for a while.
-  holders.forget(base::engineIdOf(chosen()));
+  holders.remove(base::engineIdOf(chosen()));
   request("once");
   BOOST_TEST(client.sent.size() == 2U);
 }
 
 // Every replica read the part that many prompts begin with once for each version of the weights.
 BOOST_AUTO_TEST_CASE(LongFirstPartIsFetchedWhereTheDeeperOnesAreNew) {
-  parts.tell(prefix::partIdOf("start"), {base::engineIdOf("m1"), routing::cacheScope("w1", "m")});
+  parts.announce(prefix::partIdOf("start"),
+                 {base::engineIdOf("m1"), routing::cacheScope("w1", "m")});
   std::set<std::string> reached;
   for (int deeper = 0; reached.size() < 3; ++deeper) {
     promptText = "start:800,new" + std::to_string(deeper) + ":700,own:100";
@@ -686,8 +687,8 @@
 }
 
 BOOST_AUTO_TEST_CASE(RunsThatEndWithTheirReplicaAreReportedAndThoseThatEndWellAreNot) {
-  std::vector<routing::EndedRuns> ended;
-  replicaEnds.onEnded([&](const routing::EndedRuns& runs) { ended.push_back(runs); });
+  std::vector<routing::LostRequests> ended;
+  replicaEnds.setListener([&](const routing::LostRequests& runs) { ended.push_back(runs); });
   request("unsafe", "key", "one");
   reachability.ended.insert(client.last().replica);
   client.last().breakOff();
--- a/tests/request/relay_queue_test.cc
+++ b/tests/request/relay_queue_test.cc
@@ -21,9 +21,10 @@
   }
   void fillOne(const std::string& name) {
     const auto replica = base::engineIdOf(name);
-    const routing::PlacementWork work{100, 100, kSlots, 90'000};
-    placement.onPeerMessage(other, routing::encode(routing::PlacementTaken{++runs, replica, work}));
-    placement.onPeerMessage(other, routing::encode(routing::PlacementBegun{runs, replica}));
+    const routing::PlacementDemand work{100, 100, kSlots, 90'000};
+    placement.onPeerMessage(other,
+                            routing::encode(routing::UngrantedDispatch{++runs, replica, work}));
+    placement.onPeerMessage(other, routing::encode(routing::PlacementStarted{runs, replica}));
     names.push_back(name);
   }
   void endOne() {
@@ -40,7 +41,7 @@
     for (auto& route : patient.routes) route.firstEventPatience = patience;
     useTable(patient);
   }
-  std::size_t waiting() const { return placement.counters().waitingHere; }
+  std::size_t waiting() const { return placement.counters().queuedHere; }
 
   const base::PeerIdentity other{base::nodeIdOf("other"), 1, {}};
   std::uint64_t runs = 0;
@@ -71,7 +72,7 @@
   request("once");
   BOOST_TEST(waiting() == 1U);
   for (const char* name : {"m2", "m3"})
-    replicas.find(name)->notices().noteRest(time.now() + seconds(3));
+    replicas.find(name)->notices().startBackOff(time.now() + seconds(3));
   while (names.back() != "m1") endOne();
   time.advance(milliseconds(50));
   BOOST_TEST(client.sent.empty());
@@ -119,7 +120,7 @@
   fillReplicas();
   request("once");
   for (const char* name : {"m1", "m2", "m3"})
-    replicas.find(name)->setChanging(time.now() + milliseconds(300));
+    replicas.find(name)->setLoadingWeights(time.now() + milliseconds(300));
   while (!names.empty()) endOne();
   time.advance(milliseconds(100));
   BOOST_TEST(client.sent.empty());
