--- a/tests/request/replica_notices_test.cc
+++ b/tests/request/replica_notices_test.cc
@@ -110,7 +110,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(WhereAllLeaveARequestIsRefusedAsNotRun) {
-  for (const char* name : {"a", "b", "c"}) replicas.find(name)->notices().noteLeaving();
+  for (const char* name : {"a", "b", "c"}) replicas.find(name)->notices().recordLeaving();
   auto& caller = request("unsafe");
   time.advance(seconds(4));
   BOOST_TEST(client.sent.empty());
@@ -131,7 +131,7 @@
 
 BOOST_AUTO_TEST_CASE(LeavingOutlivesTheEntryButNotTheRun) {
   const auto facts = replicas.find("a")->facts();
-  replicas.find("a")->notices().noteLeaving();
+  replicas.find("a")->notices().recordLeaving();
   for (int outage = 0; outage < 3; ++outage) {
     replicas.onRemoved("a");
     replicas.onListed(facts);
@@ -149,7 +149,7 @@
   for (const char* name : {"b", "c"}) replicas.onRemoved(name);
   request("safe");
   auto facts = replicas.find("a")->facts();
-  replicas.find("a")->setGone();
+  replicas.find("a")->setTerminated();
   replicas.onEnded("a");
   facts.instance = "a@2";
   replicas.onListed(facts);
@@ -160,7 +160,7 @@
 
 BOOST_AUTO_TEST_CASE(WhatRunsWithoutAnEntryHaveSaidIsBounded) {
   const auto facts = replicas.find("a")->facts();
-  replicas.find("a")->notices().noteLeaving();
+  replicas.find("a")->notices().recordLeaving();
   replicas.onRemoved("a");
   constexpr int kMoreThanAnyFleet = 2000;
   for (int number = 0; number < kMoreThanAnyFleet; ++number) {
@@ -203,7 +203,7 @@
 // A retry that goes where rest was asked for spends the budget of retries for nothing.
 BOOST_AUTO_TEST_CASE(RetriesDoNotGoToReplicasThatWantRest) {
   for (const char* name : {"a", "b"})
-    replicas.find(name)->notices().noteRest(time.now() + seconds(3));
+    replicas.find(name)->notices().startBackOff(time.now() + seconds(3));
   request("unsafe");
   BOOST_TEST((client.last().replica == replicas.find("c")->facts().endpoint));
   client.last().refuseNotExecuted();
@@ -228,26 +228,26 @@
 BOOST_AUTO_TEST_CASE(LatestEndOfARestCounts) {
   const auto replica = replicas.find("a");
   const auto began = time.now();
-  replica->notices().noteRest(began + seconds(3));
-  replica->notices().noteRest(began + seconds(1));
-  replica->notices().noteRest(began);
+  replica->notices().startBackOff(began + seconds(3));
+  replica->notices().startBackOff(began + seconds(1));
+  replica->notices().startBackOff(began);
   time.advance(milliseconds(2900));
-  BOOST_TEST(!replica->takesRequests(time.now()));
+  BOOST_TEST(!replica->acceptsRequests(time.now()));
   time.advance(milliseconds(200));
-  BOOST_TEST(replica->takesRequests(time.now()));
+  BOOST_TEST(replica->acceptsRequests(time.now()));
 }
 
 BOOST_AUTO_TEST_CASE(RestIsKeptWhileTheEntryGoesAndComesAgain) {
   const auto facts = replicas.find("a")->facts();
-  replicas.find("a")->notices().noteRest(time.now() + seconds(3));
+  replicas.find("a")->notices().startBackOff(time.now() + seconds(3));
   replicas.onRemoved("a");
   replicas.onListed(facts);
-  BOOST_TEST(!replicas.find("a")->takesRequests(time.now()));
+  BOOST_TEST(!replicas.find("a")->acceptsRequests(time.now()));
 }
 
 BOOST_AUTO_TEST_CASE(RequestIsHeldForARestThatEndsInTime) {
   for (const char* name : {"a", "b", "c"})
-    replicas.find(name)->notices().noteRest(time.now() + milliseconds(900));
+    replicas.find(name)->notices().startBackOff(time.now() + milliseconds(900));
   auto& caller = request("unsafe");
   time.advance(milliseconds(890));
   BOOST_TEST(client.sent.empty());
@@ -279,7 +279,7 @@
   first->handler->onBody("id: 2\ndata: b\n\n");
   time.advance(milliseconds(1000));
   for (const char* name : {"m1", "m2", "m3"})
-    replicas.find(name)->notices().noteRest(time.now() + milliseconds(900));
+    replicas.find(name)->notices().startBackOff(time.now() + milliseconds(900));
   first->breakOff();
   time.advance(milliseconds(880));
   BOOST_TEST(caller.open());
@@ -298,15 +298,15 @@
   answer.restUnreadable = true;
   client.last().handler->onHead(std::move(answer));
   client.last().handler->onEnd();
-  BOOST_TEST(replica->takesRequests(time.now()));
+  BOOST_TEST(replica->acceptsRequests(time.now()));
   BOOST_TEST((toldBy(base::Event::kReplicaRests, "why") ==
               std::vector<std::string>{"a time that it asked for cannot be read"}));
 }
 
 BOOST_AUTO_TEST_CASE(RequestIsRefusedAtOnceWhereAllRestForLongerThanItCanWait) {
-  replicas.find("a")->notices().noteRest(time.now() + seconds(9));
-  replicas.find("b")->notices().noteRest(time.now() + seconds(3));
-  replicas.find("c")->notices().noteRest(time.now() + seconds(5));
+  replicas.find("a")->notices().startBackOff(time.now() + seconds(9));
+  replicas.find("b")->notices().startBackOff(time.now() + seconds(3));
+  replicas.find("c")->notices().startBackOff(time.now() + seconds(5));
   auto& caller = request("unsafe");
   BOOST_TEST(client.sent.empty());
   BOOST_REQUIRE(caller.refusal.has_value());
@@ -317,7 +317,7 @@
 
 BOOST_AUTO_TEST_CASE(ReplicaThatHasRestedIsTriedWithOneRequest) {
   for (const char* name : {"b", "c"}) replicas.onRemoved(name);
-  replicas.find("a")->notices().noteRest(time.now() + milliseconds(500));
+  replicas.find("a")->notices().startBackOff(time.now() + milliseconds(500));
   for (int held = 0; held < 6; ++held) request("unsafe");
   time.advance(milliseconds(600));
   BOOST_TEST(client.sent.size() == 1U);
@@ -328,7 +328,7 @@
 
 BOOST_AUTO_TEST_CASE(TrialThatEndsWithoutAnAnswerIsFollowedByAnother) {
   for (const char* name : {"b", "c"}) replicas.onRemoved(name);
-  replicas.find("a")->notices().noteRest(time.now() + milliseconds(500));
+  replicas.find("a")->notices().startBackOff(time.now() + milliseconds(500));
   request("unsafe");
   request("unsafe");
   time.advance(milliseconds(600));
@@ -336,12 +336,12 @@
   client.last().breakOff();
   time.advance(milliseconds(50));
   BOOST_TEST(client.sent.size() == 2U);
-  BOOST_TEST(replicas.find("a")->notices().beingTried());
+  BOOST_TEST(replicas.find("a")->notices().probing());
 }
 
 BOOST_AUTO_TEST_CASE(TrialThatIsTurnedAwayBeginsAnotherRest) {
   for (const char* name : {"b", "c"}) replicas.onRemoved(name);
-  replicas.find("a")->notices().noteRest(time.now() + milliseconds(500));
+  replicas.find("a")->notices().startBackOff(time.now() + milliseconds(500));
   for (int held = 0; held < 5; ++held) request("unsafe");
   time.advance(milliseconds(600));
   client.last().askRest(milliseconds(600));
@@ -356,7 +356,7 @@
   const auto waiting = client.sent.back();
   const auto replica = waiting->terms.expectedInstance;
   BOOST_TEST(waiting->handler->stillWanted());
-  replicas.find(replica)->notices().noteRest(time.now() + seconds(3));
+  replicas.find(replica)->notices().startBackOff(time.now() + seconds(3));
   BOOST_TEST(!waiting->handler->stillWanted());
   waiting->refuseConnection();
   BOOST_TEST(client.sent.size() == 2U);
@@ -408,7 +408,7 @@
   request("resumable");
   const auto first = client.sent.back();
   for (const char* name : {"m1", "m2", "m3"}) {
-    replicas.find(name)->notices().rateLimit().learn(
+    replicas.find(name)->notices().rateLimit().update(
         {clients::RateLimitNotice::of(0.1), time.now(), time.now()});
   }
   // The others have had all that they take for now.
--- a/tests/routing/cache_watch_test.cc
+++ b/tests/routing/cache_watch_test.cc
@@ -3,7 +3,7 @@
 
 #include <boost/test/unit_test.hpp>
 
-#include "routing/replica_choice.h"
+#include "routing/replica_selector.h"
 #include "support/recording_log.h"
 #include "support/virtual_time.h"
 
@@ -270,7 +270,7 @@
   feed.calls.back().callback(limited);
   time.advance(seconds(2));
   const auto now = time.now();
-  replicas.find("r1")->notices().rateLimit().learn(
+  replicas.find("r1")->notices().rateLimit().update(
       {clients::RateLimitNotice::unlimited(), now, now});
   time.advance(seconds(1));
   BOOST_TEST(feed.calls.size() == 2U);
--- a/tests/routing/run_rate_limit_test.cc
+++ b/tests/routing/instance_rate_limit_test.cc
@@ -1,5 +1,5 @@
 // What a node believes of a replica's rate limit, from answers that overtake each other.
-#include "routing/run_rate_limit.h"
+#include "routing/instance_rate_limit.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -16,10 +16,10 @@
 struct LimitFixture {
   /// The answer to a request that was sent and read so long after the start.
   bool answer(const RateLimitNotice& notice, milliseconds sent, milliseconds read) {
-    return limit.learn({notice, kStart + sent, kStart + read});
+    return limit.update({notice, kStart + sent, kStart + read});
   }
 
-  RunRateLimit limit;
+  InstanceRateLimit limit;
 };
 
 }  // namespace
@@ -63,12 +63,12 @@
   answer(RateLimitNotice::of(1), milliseconds(0), milliseconds(10));
   answer(RateLimitNotice::unlimited(), milliseconds(1000), milliseconds(1010));
   const auto now = kStart + seconds(5);
-  BOOST_TEST(!limit.learn(evidenceOf({RateLimitNotice::of(1), milliseconds(4500)}, now)));
+  BOOST_TEST(!limit.update(evidenceOf({RateLimitNotice::of(1), milliseconds(4500)}, now)));
   BOOST_TEST(!limit.perSecond().has_value());
-  BOOST_TEST(limit.learn(evidenceOf({RateLimitNotice::of(1), milliseconds(3000)}, now)));
+  BOOST_TEST(limit.update(evidenceOf({RateLimitNotice::of(1), milliseconds(3000)}, now)));
   // The message may have been under way for some time.
-  BOOST_TEST(!limit.learn(evidenceOf({RateLimitNotice::unlimited(), milliseconds(2950)}, now)));
-  BOOST_TEST(limit.learn(evidenceOf({RateLimitNotice::unlimited(), milliseconds(2000)}, now)));
+  BOOST_TEST(!limit.update(evidenceOf({RateLimitNotice::unlimited(), milliseconds(2950)}, now)));
+  BOOST_TEST(limit.update(evidenceOf({RateLimitNotice::unlimited(), milliseconds(2000)}, now)));
 }
 
 BOOST_AUTO_TEST_CASE(RunThatNeverNamedALimitHasNothingToTell) {
--- a/tests/routing/load_exchange_test.cc
+++ b/tests/routing/load_exchange_test.cc
@@ -124,7 +124,7 @@
   build(3);
   node(1).record(0).onDispatched(900);
   node(2).record(0).onDispatched(100);
-  node(2).record(0).onReadingBegun(30);
+  node(2).record(0).addPendingPrefill(30);
   time.advance(milliseconds(100));
   BOOST_TEST((othersAt(0, 0) == ReplicaLoad{2, 1000, 30}));
   BOOST_TEST((othersAt(1, 0) == ReplicaLoad{1, 100, 30}));
--- a/tests/routing/pace_load_test.cc
+++ b/tests/routing/pace_load_test.cc
@@ -64,7 +64,7 @@
 struct Stream {
   std::uint64_t id = 0;
   base::TimePoint cameAt{};
-  PlacementWork work;
+  PlacementDemand work;
   std::uint32_t unread = 0;
   std::uint32_t piecesLeft = 0;
   std::uint32_t steps = 0;
@@ -154,7 +154,7 @@
     replica.streams.push_back(stream);
   }
 
-  Replica& choose(const PlacementWork& work, const PlacementTerms& terms, bool reads) {
+  Replica& choose(const PlacementDemand& work, const PlacementTerms& terms, bool reads) {
     constexpr base::Duration kPatience = milliseconds(100);
     auto order = ordered(rule_ == Rule::kSpeedAlone || (rule_ == Rule::kPace && reads));
     if (rule_ == Rule::kLeastWork) {
--- a/tests/routing/part_lookup_test.cc
+++ b/tests/routing/part_lookup_test.cc
@@ -68,7 +68,7 @@
   std::vector<PartHolder> ask(std::size_t number, std::uint64_t part, CacheScope scope = 77) {
     std::optional<std::vector<PartHolder>> answer;
     const auto began = time.now();
-    nodes.at(number)->lookup.ask(part, scope, [&](const auto& holders) {
+    nodes.at(number)->lookup.lookup(part, scope, [&](const auto& holders) {
       BOOST_TEST(!answer.has_value());
       answer = holders.value_or(std::vector<PartHolder>{});
       took = time.now() - began;
@@ -80,7 +80,7 @@
 
   /// The number of the node that the part has its home at, which learns the holder.
   std::size_t homeOf(std::uint64_t part) {
-    nodes.begin()->second->lookup.tell(part, holder);
+    nodes.begin()->second->lookup.announce(part, holder);
     time.advance(milliseconds(5));
     const auto home = std::ranges::find_if(
         nodes, [](const auto& entry) { return entry.second->lookup.size() > 0; });
@@ -101,7 +101,7 @@
 BOOST_FIXTURE_TEST_SUITE(PartLookupTest, LookupFixture)
 
 BOOST_AUTO_TEST_CASE(WhatOneNodeTellsAllOthersLearn) {
-  nodes[2]->lookup.tell(9, holder);
+  nodes[2]->lookup.announce(9, holder);
   time.advance(milliseconds(5));
   for (std::size_t number = 0; number < kNodes; ++number)
     BOOST_TEST((ask(number, 9) == std::vector{holder}));
@@ -110,10 +110,10 @@
 
 BOOST_AUTO_TEST_CASE(HolderThatDroppedThePartIsForgotten) {
   const PartHolder other{base::engineIdOf("r2"), 77};
-  nodes[2]->lookup.tell(9, holder);
-  nodes[3]->lookup.tell(9, other);
+  nodes[2]->lookup.announce(9, holder);
+  nodes[3]->lookup.announce(9, other);
   time.advance(milliseconds(5));
-  nodes[4]->lookup.tell(9, holder, false);
+  nodes[4]->lookup.announce(9, holder, false);
   time.advance(milliseconds(5));
   for (std::size_t number = 0; number < kNodes; ++number)
     BOOST_TEST((ask(number, 9) == std::vector{other}));
@@ -136,7 +136,7 @@
   constexpr std::uint64_t kReplicas = 9;
   for (std::uint64_t replica = 0; replica < kReplicas; ++replica) {
     for (std::uint64_t scope = 0; scope < kScopes; ++scope)
-      nodes[replica % kNodes]->lookup.tell(9, {base::EngineId{replica}, scope});
+      nodes[replica % kNodes]->lookup.announce(9, {base::EngineId{replica}, scope});
   }
   time.advance(milliseconds(5));
   for (std::uint64_t scope = 0; scope < kScopes; ++scope) {
@@ -183,7 +183,7 @@
                            std::ranges::find(ownFirst, all[number].id, &membership::Member::id));
     node->members.set(ownFirst);
   }
-  nodes[asker]->lookup.tell(9, holder);
+  nodes[asker]->lookup.announce(9, holder);
   time.advance(milliseconds(5));
   for (const auto& [number, node] : nodes) BOOST_TEST((ask(number, 9) == std::vector{holder}));
 }
@@ -194,7 +194,7 @@
   stop(home);
   start(home);
   BOOST_TEST(ask((home + 1) % kNodes, 9).empty());
-  nodes[(home + 2) % kNodes]->lookup.tell(9, holder);
+  nodes[(home + 2) % kNodes]->lookup.announce(9, holder);
   time.advance(milliseconds(5));
   BOOST_TEST((ask((home + 1) % kNodes, 9) == std::vector{holder}));
 }
@@ -216,7 +216,7 @@
     if (random.below(2) == 0) {
       const PartHolder one{base::EngineId{1 + random.below(6)}, 7};
       told[part].insert(one.replica.value);
-      nodes[number]->lookup.tell(part, one);
+      nodes[number]->lookup.announce(part, one);
       continue;
     }
     for (const auto& found : ask(number, part, 7))
--- a/tests/routing/placement_fixture.h
+++ b/tests/routing/placement_fixture.h
@@ -84,11 +84,11 @@
   PlacementRequest requestOf(std::size_t node, const std::vector<std::size_t>& candidates) {
     PlacementRequest request;
     request.promptTokens = 1000;
-    request.patience = milliseconds(40);
-    request.standing.urgency = 1;
-    request.standing.arrivedAt = time.now();
-    request.standing.inTimeUntil = time.now() + milliseconds(400);
-    request.standing.usefulUntil = time.now() + seconds(2);
+    request.acceptableWait = milliseconds(40);
+    request.constraints.urgency = 1;
+    request.constraints.arrivedAt = time.now();
+    request.constraints.softStartDeadline = time.now() + milliseconds(400);
+    request.constraints.hardStartDeadline = time.now() + seconds(2);
     for (const auto number : candidates)
       request.candidates.push_back({record(node, number), 5, {1100, 1000, kSlots, 90'000}, {}});
     return request;
@@ -116,12 +116,12 @@
     auto placed = std::make_shared<Placing>();
     auto& placement = nodes.at(node)->placement;
     placed->ticket = placement.newTicket();
-    placement.ask(placed->ticket, std::move(request),
-                  [this, placed, began = time.now()](const PlacementResult& given) {
-                    BOOST_TEST(!placed->result.has_value());
-                    placed->result = given;
-                    placed->took = time.now() - began;
-                  });
+    placement.place(placed->ticket, std::move(request),
+                    [this, placed, began = time.now()](const PlacementResult& given) {
+                      BOOST_TEST(!placed->result.has_value());
+                      placed->result = given;
+                      placed->took = time.now() - began;
+                    });
     return placed;
   }
 
@@ -131,8 +131,8 @@
     std::vector<PlacementGrant> grants;
     for (std::size_t count = 0; count < kSlots + 1; ++count) {
       const PlacementCandidate candidate{record(0, replica), 5, {1100, 1000, kSlots, 90'000}, {}};
-      grants.push_back(nodes.at(0)->placement.take(candidate));
-      if (answersBegun) nodes.at(0)->placement.begun(grants.back());
+      grants.push_back(nodes.at(0)->placement.dispatchUngranted(candidate));
+      if (answersBegun) nodes.at(0)->placement.reportStarted(grants.back());
       time.advance(milliseconds(2));
     }
     return grants;
--- a/tests/routing/placement_queue_test.cc
+++ b/tests/routing/placement_queue_test.cc
@@ -33,20 +33,20 @@
   Placed waitAt(std::size_t node, const std::vector<std::size_t>& candidates,
                 std::uint32_t urgency = 1) {
     auto request = requestOf(node, candidates);
-    request.standing.urgency = urgency;
-    request.standing.inTimeUntil = time.now() + seconds(3);
-    request.standing.usefulUntil = time.now() + seconds(6);
+    request.constraints.urgency = urgency;
+    request.constraints.softStartDeadline = time.now() + seconds(3);
+    request.constraints.hardStartDeadline = time.now() + seconds(6);
     auto placed = begin(node, std::move(request));
     time.advance(milliseconds(6));
     return placed;
   }
   void endOne(std::vector<PlacementGrant>& grants) {
-    nodes.at(0)->placement.ended(grants.back(), PlacementOutcome::kServed);
+    nodes.at(0)->placement.reportEnded(grants.back(), PlacementOutcome::kServed);
     grants.pop_back();
     time.advance(milliseconds(5));
   }
   std::size_t waitingAt(std::size_t node) {
-    return nodes.at(node)->placement.counters().waitingHere;
+    return nodes.at(node)->placement.counters().queuedHere;
   }
   /// Requests that the replica's home counts there.
   std::size_t granted(const std::vector<Placed>& placed) {
@@ -78,7 +78,7 @@
 BOOST_AUTO_TEST_CASE(MostUrgentOfThoseThatWaitGoesFirstAndAFreshOneDoesNotOvertakeIt) {
   const auto usual = waitAt(asker(), {3}, 2);
   const auto urgent = waitAt(asker(), {3}, 0);
-  nodes.at(0)->placement.ended(first.back(), PlacementOutcome::kServed);
+  nodes.at(0)->placement.reportEnded(first.back(), PlacementOutcome::kServed);
   const auto fresh = begin(asker(), requestOf(asker(), {3}));
   time.advance(milliseconds(10));
   BOOST_TEST(urgent->granted());
@@ -122,7 +122,7 @@
 
 BOOST_AUTO_TEST_CASE(QueuedRequestThatCannotBeServedIsRefusedWithATimeToComeBack) {
   auto request = requestOf(asker(), {3});
-  request.standing.usefulUntil = time.now() + milliseconds(500);
+  request.constraints.hardStartDeadline = time.now() + milliseconds(500);
   const auto placed = begin(asker(), request);
   time.advance(milliseconds(700));
   BOOST_REQUIRE(placed->refused());
@@ -133,7 +133,7 @@
 BOOST_AUTO_TEST_CASE(ReplicaThatChangesItsWeightsSendsAllThatWaitElsewhere) {
   const auto placed = waitAt(asker(), {3, 5});
   std::vector<Placed> waiting{placed, waitAt(asker(), {3}), waitAt(asker(), {3, 7})};
-  nodes.at(home())->replicas.find("r3")->setChanging(time.now() + seconds(2));
+  nodes.at(home())->replicas.find("r3")->setLoadingWeights(time.now() + seconds(2));
   time.advance(milliseconds(60));
   BOOST_TEST(waitingAt(home()) == 0U);
   endOne(second);
@@ -148,8 +148,8 @@
   std::vector<Placed> waiting;
   for (std::size_t count = 0; count < 200; ++count) {
     auto request = requestOf(asker(), {3, 5});
-    request.standing.inTimeUntil = time.now() + seconds(30);
-    request.standing.usefulUntil = time.now() + seconds(60);
+    request.constraints.softStartDeadline = time.now() + seconds(30);
+    request.constraints.hardStartDeadline = time.now() + seconds(60);
     waiting.push_back(begin(asker(), std::move(request)));
   }
   time.advance(milliseconds(100));
@@ -171,7 +171,7 @@
   const auto address = all[asker()].endpoint.address;
   network.filter = [&](const base::Endpoint& destination, std::string_view payload) {
     const auto message = decodePlacementMessage(payload);
-    const auto* answer = message ? std::get_if<PlacementAnswer>(&*message) : nullptr;
+    const auto* answer = message ? std::get_if<PlacementReply>(&*message) : nullptr;
     return destination.address == address && answer != nullptr && answer->granted();
   };
   endOne(first);
@@ -186,7 +186,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(GrantThatComesTwiceOrForAnUnknownRequestIsWithdrawn) {
-  PlacementAnswer answer;
+  PlacementReply answer;
   answer.id = 4711;
   answer.replica = base::engineIdOf("r3");
   answer.verdict = PlacementVerdict::kGranted;
@@ -207,7 +207,7 @@
 BOOST_AUTO_TEST_CASE(LostAnswerThatARequestIsQueuedCostsItAFewMillisecondsAndNoPlaceIsKept) {
   network.filter = [](const base::Endpoint&, std::string_view payload) {
     const auto message = decodePlacementMessage(payload);
-    const auto* answer = message ? std::get_if<PlacementAnswer>(&*message) : nullptr;
+    const auto* answer = message ? std::get_if<PlacementReply>(&*message) : nullptr;
     return answer != nullptr && answer->verdict == PlacementVerdict::kQueued;
   };
   const auto placed = waitAt(asker(), {3});
@@ -270,7 +270,7 @@
   const auto placed = waitAt(asker(), {3});
   time.advance(milliseconds(2500));
   BOOST_TEST(!placed->result.has_value());
-  BOOST_TEST(nodes.at(asker())->placement.counters().promisesMissed == 0U);
+  BOOST_TEST(nodes.at(asker())->placement.counters().queueUpdatesMissed == 0U);
   endOne(first);
   BOOST_TEST(placed->granted());
 }
@@ -282,8 +282,8 @@
   for (std::size_t round = 0; round < 13; ++round)
     for (std::size_t node = 0; node < kNodes; ++node) {
       auto request = requestOf(node, {3});
-      request.standing.inTimeUntil = time.now() + seconds(20);
-      request.standing.usefulUntil = time.now() + seconds(30);
+      request.constraints.softStartDeadline = time.now() + seconds(20);
+      request.constraints.hardStartDeadline = time.now() + seconds(30);
       asking.push_back(begin(node, std::move(request)));
     }
   time.advance(milliseconds(20));
@@ -305,9 +305,9 @@
     if (step % 3 == 0) {
       const auto node = network.random.below(kNodes);
       auto request = requestOf(node, {3, 5});
-      request.standing.urgency = static_cast<std::uint32_t>(network.random.below(3));
-      request.standing.inTimeUntil = time.now() + milliseconds(800);
-      request.standing.usefulUntil = time.now() + seconds(3);
+      request.constraints.urgency = static_cast<std::uint32_t>(network.random.below(3));
+      request.constraints.softStartDeadline = time.now() + milliseconds(800);
+      request.constraints.hardStartDeadline = time.now() + seconds(3);
       asking.emplace_back(node, begin(node, std::move(request)));
     }
     time.advance(milliseconds(10));
@@ -315,14 +315,15 @@
       if (!placed || !placed->result) continue;
       if (placed->granted()) {
         ++dispatched;
-        nodes.at(node)->placement.begun(*placed->result->grant);
+        nodes.at(node)->placement.reportStarted(*placed->result->grant);
         running.emplace_back(time.now(), std::pair{node, *placed->result->grant});
       }
       placed.reset();
     }
     std::erase_if(running, [&](const auto& run) {
       if (time.now() - run.first < milliseconds(400)) return false;
-      nodes.at(run.second.first)->placement.ended(run.second.second, PlacementOutcome::kServed);
+      nodes.at(run.second.first)
+          ->placement.reportEnded(run.second.second, PlacementOutcome::kServed);
       return true;
     });
   }
--- a/tests/routing/placement_rate_limit_test.cc
+++ b/tests/routing/placement_rate_limit_test.cc
@@ -15,17 +15,17 @@
   using Placed = std::shared_ptr<Placing>;
 
   void limitAt(std::size_t node, double perSecond) {
-    record(node, 3)->notices().rateLimit().learn(
+    record(node, 3)->notices().rateLimit().update(
         {clients::RateLimitNotice::of(perSecond), time.now(), time.now()});
   }
   /// A node that is not the home of replica 3.
   std::size_t asker() { return homeOf(3) == 0 ? 1 : 0; }
   Placed wait(std::uint32_t urgency, std::uint64_t tenant = 0) {
     auto request = requestOf(asker(), {3});
-    request.standing.urgency = urgency;
-    request.standing.tenant = tenant;
-    request.standing.inTimeUntil = time.now() + seconds(5);
-    request.standing.usefulUntil = time.now() + seconds(8);
+    request.constraints.urgency = urgency;
+    request.constraints.tenant = tenant;
+    request.constraints.softStartDeadline = time.now() + seconds(5);
+    request.constraints.hardStartDeadline = time.now() + seconds(8);
     auto placed = begin(asker(), std::move(request));
     time.advance(milliseconds(6));
     return placed;
@@ -63,7 +63,7 @@
 
 BOOST_AUTO_TEST_CASE(HomeLearnsTheLimitFromTheHeadOfAnAnswer) {
   const auto result = ask(asker(), {3});
-  nodes[asker()]->placement.begun(*result.grant, clients::RateLimitNotice::of(4));
+  nodes[asker()]->placement.reportStarted(*result.grant, clients::RateLimitNotice::of(4));
   time.advance(milliseconds(5));
   BOOST_TEST(record(homeOf(3), 3)->notices().rateLimit().perSecond().value() == 4.0);
 }
@@ -74,10 +74,10 @@
   limitAt(homeOf(3), 4);
   time.advance(seconds(1));
   const auto later = ask(asker(), {3});
-  nodes[asker()]->placement.begun(*early.grant, clients::RateLimitNotice::unlimited());
+  nodes[asker()]->placement.reportStarted(*early.grant, clients::RateLimitNotice::unlimited());
   time.advance(milliseconds(5));
   BOOST_TEST(record(homeOf(3), 3)->notices().rateLimit().perSecond().has_value());
-  nodes[asker()]->placement.begun(*later.grant, clients::RateLimitNotice::unlimited());
+  nodes[asker()]->placement.reportStarted(*later.grant, clients::RateLimitNotice::unlimited());
   time.advance(milliseconds(5));
   BOOST_TEST(!record(homeOf(3), 3)->notices().rateLimit().perSecond().has_value());
 }
@@ -109,7 +109,7 @@
   const auto given = ask(asker(), {3});
   BOOST_REQUIRE(given.grant.has_value());
   BOOST_TEST(!grantedNow());
-  nodes[asker()]->placement.giveBack(*given.grant);
+  nodes[asker()]->placement.returnGrant(*given.grant);
   time.advance(milliseconds(5));
   BOOST_TEST(grantedNow());
 }
@@ -118,7 +118,8 @@
   limitAt(homeOf(3), 1);
   limitAt(asker(), 1);
   time.advance(seconds(5));
-  for (int count = 0; count < 3; ++count) nodes[asker()]->placement.countCall(*record(asker(), 3));
+  for (int count = 0; count < 3; ++count)
+    nodes[asker()]->placement.countControlCall(*record(asker(), 3));
   time.advance(milliseconds(1500));
   BOOST_TEST(!grantedNow());
   time.advance(milliseconds(1500));
@@ -146,8 +147,8 @@
   limitAt(homeOf(3), 2);
   const auto given = ask(asker(), {3});
   BOOST_REQUIRE(given.grant.has_value());
-  BOOST_TEST(given.grant->countsNow(given.grant->at + milliseconds(500)));
-  BOOST_TEST(!given.grant->countsNow(given.grant->at + milliseconds(501)));
+  BOOST_TEST(given.grant->validForRateLimit(given.grant->at + milliseconds(500)));
+  BOOST_TEST(!given.grant->validForRateLimit(given.grant->at + milliseconds(501)));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/routing/placement_test.cc
+++ b/tests/routing/placement_test.cc
@@ -27,9 +27,9 @@
   for (std::size_t node = 0; node < kNodes; ++node) {
     const auto result = ask(node, {node, 7});
     BOOST_TEST(result.candidate.value() == 0U);
-    BOOST_TEST(result.asked == 1U);
+    BOOST_TEST(result.queriesSent == 1U);
     BOOST_TEST((took <= milliseconds(2)));
-    nodes[node]->placement.ended(*result.grant, PlacementOutcome::kServed);
+    nodes[node]->placement.reportEnded(*result.grant, PlacementOutcome::kServed);
   }
 }
 
@@ -44,7 +44,7 @@
     const auto result = ask(node, {3, 5});
     BOOST_REQUIRE(result.candidate.has_value());
     ++placed[*result.candidate];
-    nodes[node]->placement.begun(*result.grant);
+    nodes[node]->placement.reportStarted(*result.grant);
     grants.emplace_back(node, *result.grant);
   }
   BOOST_TEST(placed[0] == kMost / 2);
@@ -53,10 +53,10 @@
   time.advance(milliseconds(120));
   BOOST_TEST(!waiting->result.has_value());
   for (const auto& [node, grant] : grants)
-    nodes[node]->placement.ended(grant, PlacementOutcome::kServed);
+    nodes[node]->placement.reportEnded(grant, PlacementOutcome::kServed);
   time.advance(milliseconds(5));
   BOOST_REQUIRE(waiting->granted());
-  nodes[0]->placement.begun(*waiting->result->grant);
+  nodes[0]->placement.reportStarted(*waiting->result->grant);
   time.advance(milliseconds(5));
   BOOST_TEST(ask(0, {3, 5}).candidate.value() == 0U);
 }
@@ -65,7 +65,7 @@
   const auto first = ask(0, {3});
   auto second = ask(1, {3, 5});
   BOOST_TEST(second.candidate.value() == 1U);
-  nodes[0]->placement.begun(*first.grant);
+  nodes[0]->placement.reportStarted(*first.grant);
   time.advance(milliseconds(5));
   BOOST_TEST(ask(2, {3, 5}).candidate.value() == 0U);
 }
@@ -86,11 +86,11 @@
   ask(0, {3});
   const auto ahead = ask(1, {5});
   auto request = requestOf(2, {3, 5});
-  request.standing.inTimeUntil = time.now() + milliseconds(45);
+  request.constraints.softStartDeadline = time.now() + milliseconds(45);
   const auto waiting = begin(2, request);
   time.advance(milliseconds(20));
   BOOST_TEST(!waiting->result.has_value());
-  nodes[1]->placement.begun(*ahead.grant);
+  nodes[1]->placement.reportStarted(*ahead.grant);
   time.advance(milliseconds(5));
   BOOST_REQUIRE(waiting->granted());
   BOOST_TEST(waiting->result->candidate.value() == 1U);
@@ -104,15 +104,15 @@
   auto result = ask(asker, {3, other});
   BOOST_TEST(result.candidate.value() == 1U);
   BOOST_TEST((took >= milliseconds(25) && took < milliseconds(30)));
-  nodes[asker]->placement.ended(*result.grant, PlacementOutcome::kServed);
+  nodes[asker]->placement.reportEnded(*result.grant, PlacementOutcome::kServed);
   result = ask(asker, {3, other});
-  nodes[asker]->placement.ended(*result.grant, PlacementOutcome::kServed);
+  nodes[asker]->placement.reportEnded(*result.grant, PlacementOutcome::kServed);
   result = ask(asker, {3, other});
   BOOST_TEST((took <= milliseconds(2)));
-  BOOST_TEST(result.asked == 1U);
+  BOOST_TEST(result.queriesSent == 1U);
   const auto alone = ask(asker, {3});
   BOOST_TEST(!alone.candidate.has_value());
-  BOOST_TEST(alone.answered == 0U);
+  BOOST_TEST(alone.repliesReceived == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(HomeThatStartsAgainGrantsFromAnEmptyLedger) {
@@ -126,7 +126,7 @@
 
 BOOST_AUTO_TEST_CASE(FailuresThatOneNodeFoundKeepAllOthersAway) {
   const auto result = ask(0, {3});
-  nodes[0]->placement.ended(*result.grant, PlacementOutcome::kUnreachable);
+  nodes[0]->placement.reportEnded(*result.grant, PlacementOutcome::kUnreachable);
   time.advance(milliseconds(5));
   for (std::size_t node = 0; node < 3; ++node)
     BOOST_TEST(ask(node, {3, 5 + node}).candidate.value_or(9) == 1U);
@@ -135,13 +135,13 @@
   const auto probe = ask(1, {3});
   BOOST_TEST(probe.candidate.has_value());
   BOOST_TEST(!ask(2, {3}).candidate.has_value());
-  nodes[1]->placement.ended(*probe.grant, PlacementOutcome::kServed);
+  nodes[1]->placement.reportEnded(*probe.grant, PlacementOutcome::kServed);
   time.advance(milliseconds(5));
   BOOST_TEST(ask(2, {3}).candidate.has_value());
 }
 
 BOOST_AUTO_TEST_CASE(ReplicaThatLeavesOrChangesItsWeightsIsNotGranted) {
-  nodes.at(homeOf(3))->replicas.find("r3")->setChanging(time.now() + seconds(1));
+  nodes.at(homeOf(3))->replicas.find("r3")->setLoadingWeights(time.now() + seconds(1));
   BOOST_TEST(!ask(0, {3}).candidate.has_value());
   nodes.at(homeOf(5))->replicas.onRemoved("r5");
   BOOST_TEST(!ask(0, {5}).candidate.has_value());
@@ -152,7 +152,7 @@
   request.parts = {{11, 300}, {12, 200}};
   const auto first = askFor(0, request);
   BOOST_TEST(first.matchedTokens == 0U);
-  nodes[0]->placement.begun(*first.grant);
+  nodes[0]->placement.reportStarted(*first.grant);
   time.advance(milliseconds(5));
   BOOST_TEST(askFor(2, request).matchedTokens == 500U);
   request.candidates.front().scope = 6;
@@ -179,7 +179,7 @@
     const auto node = network.random.below(kNodes);
     ++asked;
     auto& placement = nodes[node]->placement;
-    placement.ask(
+    placement.place(
         placement.newTicket(),
         requestOf(node, {network.random.below(kReplicas), network.random.below(kReplicas)}),
         [&, node](const PlacementResult& result) {
@@ -189,8 +189,8 @@
     if (running.size() > 5) {
       const auto [owner, grant] = running.front();
       running.erase(running.begin());
-      nodes[owner]->placement.begun(grant);
-      nodes[owner]->placement.ended(grant, PlacementOutcome::kServed);
+      nodes[owner]->placement.reportStarted(grant);
+      nodes[owner]->placement.reportEnded(grant, PlacementOutcome::kServed);
     }
     time.advance(milliseconds(7));
   }
@@ -208,33 +208,33 @@
   const auto before = network.sent;
   for (std::size_t node = 0; node < kNodes; ++node) {
     const auto result = ask(node, {node, 7});
-    nodes[node]->placement.begun(*result.grant);
-    nodes[node]->placement.ended(*result.grant, PlacementOutcome::kServed);
+    nodes[node]->placement.reportStarted(*result.grant);
+    nodes[node]->placement.reportEnded(*result.grant, PlacementOutcome::kServed);
   }
   time.advance(milliseconds(5));
   BOOST_TEST(network.sent - before <= 4 * kNodes);
 }
 
 BOOST_AUTO_TEST_CASE(MessagesSurviveTheirEncodingAndOthersAreRefused) {
-  PlacementQuestion question;
+  PlacementQuery question;
   question.id = 7;
   question.replica = base::EngineId{8};
   question.scope = 9;
   question.parts = {{1, 10}, {2, 20}};
   question.promptTokens = 40;
   question.work = {50, 40, 8, 900};
-  question.patience = milliseconds(80);
+  question.acceptableWait = milliseconds(80);
   question.terms = {
       true, 2, 77, milliseconds(1), milliseconds(-2), milliseconds(3), milliseconds(4), 58};
   const auto decoded = decodePlacementMessage(encode(question));
   BOOST_REQUIRE(decoded.has_value());
-  const auto& again = std::get<PlacementQuestion>(*decoded);
+  const auto& again = std::get<PlacementQuery>(*decoded);
   BOOST_TEST(again.id == 7U);
   BOOST_TEST(again.scope == 9U);
   BOOST_TEST(again.parts.size() == 2U);
   BOOST_TEST(again.parts[1].tokens == 20U);
   BOOST_TEST((again.work == question.work));
-  BOOST_TEST((again.patience == question.patience));
+  BOOST_TEST((again.acceptableWait == question.acceptableWait));
   BOOST_TEST((again.terms == question.terms));
   BOOST_TEST(!decodePlacementMessage("").has_value());
   // An end without its outcome, and one with an outcome that is none.
@@ -245,7 +245,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(AnswersAndEndsSurviveTheirEncoding) {
-  PlacementAnswer answer;
+  PlacementReply answer;
   answer.id = 7;
   answer.replica = base::EngineId{8};
   answer.verdict = PlacementVerdict::kQueued;
@@ -256,7 +256,7 @@
   answer.speedPercent = 160;
   const auto decoded = decodePlacementMessage(encode(answer));
   BOOST_REQUIRE(decoded.has_value());
-  const auto& again = std::get<PlacementAnswer>(*decoded);
+  const auto& again = std::get<PlacementReply>(*decoded);
   BOOST_TEST((again.verdict == PlacementVerdict::kQueued));
   BOOST_TEST(again.queued == 12U);
   BOOST_TEST((again.within == answer.within));
@@ -277,8 +277,8 @@
   const auto hearing = (home + 1) % kNodes;
   const auto result = ask(hearing, {kReplica});
   BOOST_REQUIRE(result.grant.has_value());
-  record(hearing, kReplica)->notices().noteLeaving();
-  nodes[hearing]->placement.begun(*result.grant);
+  record(hearing, kReplica)->notices().recordLeaving();
+  nodes[hearing]->placement.reportStarted(*result.grant);
   time.advance(milliseconds(20));
   BOOST_TEST(record(home, kReplica)->leaving());
   for (std::size_t node = 0; node < kNodes; ++node) {
@@ -303,8 +303,8 @@
   const auto waiting = begin(asking, requestOf(asking, {kReplica}));
   time.advance(milliseconds(20));
   BOOST_TEST(!waiting->result.has_value());
-  record(hearing, kReplica)->notices().noteLeaving();
-  nodes[hearing]->placement.ended(grants.front(), PlacementOutcome::kServed);
+  record(hearing, kReplica)->notices().recordLeaving();
+  nodes[hearing]->placement.reportEnded(grants.front(), PlacementOutcome::kServed);
   time.advance(milliseconds(20));
   BOOST_REQUIRE(waiting->result.has_value());
   BOOST_TEST(!waiting->granted());
--- a/tests/routing/replica_end_check_test.cc
+++ b/tests/routing/replica_crash_detector_test.cc
@@ -1,5 +1,5 @@
 // Whether runs broke off because their replica ended.
-#include "routing/replica_end_check.h"
+#include "routing/replica_crash_detector.h"
 
 #include <boost/test/unit_test.hpp>
 #include <deque>
@@ -36,9 +36,11 @@
 
 struct ReplicaEndFixture {
   ReplicaEndFixture() {
-    check.onEnded([this](const EndedRuns& runs) { ended.push_back(runs); });
+    check.setListener([this](const LostRequests& runs) { ended.push_back(runs); });
+  }
+  void lose(std::uint64_t run) {
+    check.onRequestInterrupted(replica, base::RequestFingerprint{run});
   }
-  void lose(std::uint64_t run) { check.onRunLost(replica, base::RequestFingerprint{run}); }
 
   static Replica facts() {
     Replica facts;
@@ -50,9 +52,9 @@
   test_support::VirtualTime time;
   test_support::RecordingLog log;
   ScriptedReachability reachability{time};
-  ReplicaEndCheck check{{}, {time, time, log, reachability}};
+  ReplicaCrashDetector check{{}, {time, time, log, reachability}};
   ReplicaRecordPtr replica = std::make_shared<ReplicaRecord>(facts());
-  std::vector<EndedRuns> ended;
+  std::vector<LostRequests> ended;
 };
 
 }  // namespace
@@ -67,11 +69,11 @@
   BOOST_REQUIRE(ended.size() == 1U);
   BOOST_TEST(ended[0].instance == "replica");
   BOOST_TEST(
-      (ended[0].runs == std::vector{base::RequestFingerprint{1}, base::RequestFingerprint{2}}));
+      (ended[0].requests == std::vector{base::RequestFingerprint{1}, base::RequestFingerprint{2}}));
   BOOST_TEST(log.count(base::Event::kReplicaEndedUnderRuns) == 1U);
   lose(3);
   BOOST_REQUIRE(ended.size() == 2U);
-  BOOST_TEST((ended[1].runs == std::vector{base::RequestFingerprint{3}}));
+  BOOST_TEST((ended[1].requests == std::vector{base::RequestFingerprint{3}}));
 }
 
 BOOST_AUTO_TEST_CASE(ReplicaThatAcceptsConnectionsOutlivedItsRuns) {
@@ -90,7 +92,7 @@
   BOOST_TEST(log.count(base::Event::kReplicaOutlivedRuns) == 1U);
   check.onRestarted("replica");
   BOOST_REQUIRE(ended.size() == 1U);
-  BOOST_TEST((ended[0].runs == std::vector{base::RequestFingerprint{1}}));
+  BOOST_TEST((ended[0].requests == std::vector{base::RequestFingerprint{1}}));
 }
 
 BOOST_AUTO_TEST_CASE(RunThatBreaksOffAfterTheRestartIsShownWasLostWithTheReplica) {
@@ -131,7 +133,7 @@
   lose(2);
   time.advance(seconds(1));
   BOOST_REQUIRE(ended.size() == 1U);
-  BOOST_TEST((ended[0].runs == std::vector{base::RequestFingerprint{2}}));
+  BOOST_TEST((ended[0].requests == std::vector{base::RequestFingerprint{2}}));
 }
 
 BOOST_AUTO_TEST_CASE(RestartOfAReplicaThatSaidItWouldLeaveIsPlanned) {
--- a/tests/routing/replica_health_test.cc
+++ b/tests/routing/replica_health_test.cc
@@ -77,7 +77,7 @@
   health.onDispatched(kStart);
   BOOST_TEST(health.available(kStart + milliseconds(600)));
   BOOST_TEST(!health.available(kStart + milliseconds(800)));
-  health.onHeard(kStart + milliseconds(900));
+  health.onBytesReceived(kStart + milliseconds(900));
   BOOST_TEST(health.available(kStart + milliseconds(900)));
 }
 
@@ -89,7 +89,7 @@
   BOOST_TEST(!health.available(kStart + milliseconds(3800)));
   health.onWaitEnded(kStart + milliseconds(3800), seconds(2));
   BOOST_TEST(!health.available(kStart + milliseconds(3800)));
-  health.onHeard(kStart + milliseconds(3800));
+  health.onBytesReceived(kStart + milliseconds(3800));
   BOOST_TEST(health.available(kStart + milliseconds(5400)));
   BOOST_TEST(!health.available(kStart + milliseconds(5600)));
 }
--- a/tests/routing/replica_ledger_test.cc
+++ b/tests/routing/replica_ledger_test.cc
@@ -12,8 +12,8 @@
 namespace {
 
 constexpr std::uint32_t kLongPrompt = 6000;
-constexpr PlacementWork kShort{700, 100, 32, 90'000};
-constexpr PlacementWork kLong{9000, kLongPrompt, 32, 90'000};
+constexpr PlacementDemand kShort{700, 100, 32, 90'000};
+constexpr PlacementDemand kLong{9000, kLongPrompt, 32, 90'000};
 
 PlacementTerms bounded() {
   PlacementTerms terms;
@@ -22,7 +22,7 @@
 }
 
 struct LedgerFixture {
-  std::uint64_t begin(const PlacementWork& work, const PlacementTerms& terms) {
+  std::uint64_t begin(const PlacementDemand& work, const PlacementTerms& terms) {
     ledger.grant(++last, work, terms, {}, now);
     now += milliseconds(10);
     ledger.begin(last, now);
@@ -42,7 +42,7 @@
       end(id, pause);
     }
   }
-  base::Duration excess(const PlacementWork& work) {
+  base::Duration excess(const PlacementDemand& work) {
     return ledger.pauseExcess(work, bounded(), now);
   }
 
--- a/tests/routing/replica_choice_test.cc
+++ b/tests/routing/replica_selector_test.cc
@@ -1,5 +1,5 @@
 // Where a request goes: its home, who may not be chosen, and what is fetched from whom.
-#include "routing/replica_choice.h"
+#include "routing/replica_selector.h"
 
 #include <boost/test/unit_test.hpp>
 #include <map>
@@ -45,7 +45,7 @@
   ReplicaDecision choose() { return choice.choose(query(), 1, now); }
 
   void hold(const std::string& name, base::WeightsVersion version) {
-    holders.learnChain(base::engineIdOf(name), cacheScope(cacheSalt(version, ""), "m"), chain);
+    holders.addChain(base::engineIdOf(name), cacheScope(cacheSalt(version, ""), "m"), chain);
   }
 
   /// The other one of two nodes has this under way at the replica, and nothing else.
@@ -63,7 +63,7 @@
   WeightsTargets targets{{seconds(8), seconds(1)}};
   CacheStores stores;
   FleetLoad fleet;
-  ReplicaChoice choice{{replicas, holders, targets, stores, fleet, "z"}, {}, random};
+  ReplicaSelector choice{{replicas, holders, targets, stores, fleet, "z"}, {}, random};
 };
 
 }  // namespace
@@ -82,7 +82,7 @@
 BOOST_AUTO_TEST_CASE(ListThatTakesAVersionBackIsBelieved) {
   const auto replica = choose().replica;
   const auto name = replica->facts().instance;
-  replica->learnVersion("m", 3);
+  replica->recordVersion("m", 3);
   // The list lags behind answers: what it never said it does not take back.
   add(name, 2);
   BOOST_TEST(replica->versionOf("m") == 3U);
@@ -157,10 +157,10 @@
     return count;
   };
   const auto unknown = homes("900");
-  replicas.find("r1")->learnSpeed(60);
-  replicas.find("r2")->learnSpeed(100);
-  replicas.find("r3")->learnSpeed(110);
-  replicas.find("r4")->learnSpeed(270);
+  replicas.find("r1")->recordSpeed(60);
+  replicas.find("r2")->recordSpeed(100);
+  replicas.find("r3")->recordSpeed(110);
+  replicas.find("r4")->recordSpeed(270);
   auto ofLong = homes("900");
   BOOST_TEST(ofLong["r4"] > 3 * ofLong["r1"]);
   BOOST_TEST(ofLong["r2"] > ofLong["r1"]);
@@ -168,11 +168,11 @@
   BOOST_TEST(ofShort["r1"] > kParts / 6);
   BOOST_TEST(ofShort["r4"] < kParts / 3);
   // Speeds that hardly differ move no part, nor do those of too few replicas.
-  replicas.find("r1")->learnSpeed(95);
-  replicas.find("r4")->learnSpeed(120);
+  replicas.find("r1")->recordSpeed(95);
+  replicas.find("r4")->recordSpeed(120);
   BOOST_TEST((homes("900") == unknown));
-  for (const char* name : {"r1", "r2"}) replicas.find(name)->learnSpeed(0);
-  replicas.find("r4")->learnSpeed(500);
+  for (const char* name : {"r1", "r2"}) replicas.find(name)->recordSpeed(0);
+  replicas.find("r4")->recordSpeed(500);
   BOOST_TEST((homes("900") == unknown));
 }
 
@@ -204,7 +204,7 @@
   for (const char* name : {"r5", "r6", "r7", "r8"}) add(name, 1);
   for (int part = 0; part < 40; ++part) {
     chain = *prefix::PartChain::parse("f" + std::to_string(part) + ":60,own:90");
-    const auto order = choose().order;
+    const auto order = choose().preferenceOrder;
     BOOST_REQUIRE(order.size() == 6U);
     BOOST_TEST(std::ranges::count_if(
                    order, [](const auto& record) { return record->facts().zone == "z"; }) == 5);
@@ -260,14 +260,14 @@
   // Forbidden from 7 s on; waits of up to 0.6 s are within the margin.
   targets.onNamed("m", 2, now);
   const auto first = choose().replica;
-  first->learnWait(seconds(2));
+  first->recordWait(seconds(2));
   now += milliseconds(5500);
   BOOST_TEST((choose().replica == first));
   now += milliseconds(200);
   BOOST_TEST((choose().replica != first));
   BOOST_TEST((choose().replica != nullptr));
   // Shorter waits are believed slowly.
-  for (int count = 0; count < 40; ++count) first->learnWait(milliseconds(20));
+  for (int count = 0; count < 40; ++count) first->recordWait(milliseconds(20));
   BOOST_TEST((choose().replica == first));
 }
 
@@ -283,7 +283,7 @@
 
 BOOST_AUTO_TEST_CASE(DrainingChangingEjectedAndTriedReplicasAreNotChosen) {
   add("r1", 1, ReplicaState::kDraining);
-  replicas.find("r2")->setChanging(now + seconds(1));
+  replicas.find("r2")->setLoadingWeights(now + seconds(1));
   replicas.find("r3")->health().onUnreachable(now);
   BOOST_TEST(choose().replica->facts().instance == "r4");
   auto tried = query();
@@ -333,28 +333,29 @@
 BOOST_AUTO_TEST_CASE(QueueIsReckonedByTheQuickestAnswers) {
   const auto first = choose().replica;
   // Answers that came late say more of the queue than of the reading.
-  for (int count = 0; count < 20; ++count) first->readSpeed().learn(1000, milliseconds(900));
-  first->readSpeed().learn(1000, milliseconds(20));
-  first->readSpeed().learn(1000, milliseconds(900));
+  for (int count = 0; count < 20; ++count) first->prefillSpeed().learn(1000, milliseconds(900));
+  first->prefillSpeed().learn(1000, milliseconds(20));
+  first->prefillSpeed().learn(1000, milliseconds(900));
   tell(first->facts().instance, {1, 100, 8000});
   BOOST_TEST((choice.choose(query(), 2, now).replica == first));
-  BOOST_TEST((first->readSpeed().leastTime(1000) < milliseconds(40)));
+  BOOST_TEST((first->prefillSpeed().leastTime(1000) < milliseconds(40)));
 }
 
 BOOST_AUTO_TEST_CASE(ReplicaThatShowsNewerWeightsIsChosenAtOnce) {
   for (const char* name : {"r1", "r2", "r3", "r4"})
-    replicas.find(name)->setChanging(now + seconds(2));
+    replicas.find(name)->setLoadingWeights(now + seconds(2));
   BOOST_TEST((choose().replica == nullptr));
-  replicas.find("r3")->learnVersion("m", 1);
+  replicas.find("r3")->recordVersion("m", 1);
   BOOST_TEST((choose().replica == nullptr));
-  replicas.find("r3")->learnVersion("m", 2);
+  replicas.find("r3")->recordVersion("m", 2);
   BOOST_TEST((choose().replica == replicas.find("r3")));
 }
 
 BOOST_AUTO_TEST_CASE(FullReplicaIsTakenOnlyWhenNoOtherIsLeft) {
-  for (const char* name : {"r1", "r2", "r3"}) replicas.find(name)->setFull(now + milliseconds(100));
+  for (const char* name : {"r1", "r2", "r3"})
+    replicas.find(name)->setAtCapacity(now + milliseconds(100));
   BOOST_TEST(choose().replica->facts().instance == "r4");
-  replicas.find("r4")->setFull(now + milliseconds(100));
+  replicas.find("r4")->setAtCapacity(now + milliseconds(100));
   BOOST_TEST((choose().replica != nullptr));
 }
 
@@ -430,15 +431,15 @@
   PrefixHolders holders;
   const auto chain = *prefix::PartChain::parse("aa:10,bb:20,cc:30,own:5");
   const auto replica = base::engineIdOf("r");
-  holders.learn(replica, 1, chain.parts()[1].id, 20);
+  holders.add(replica, 1, chain.parts()[1].id, 20);
   BOOST_TEST(holders.matchedTokens(replica, 1, chain) == 0U);
-  holders.learn(replica, 1, chain.parts()[0].id, 10);
+  holders.add(replica, 1, chain.parts()[0].id, 10);
   BOOST_TEST(holders.matchedTokens(replica, 1, chain) == 30U);
-  holders.learn(replica, 1, chain.parts()[1].id, 8);
+  holders.add(replica, 1, chain.parts()[1].id, 8);
   BOOST_TEST(holders.matchedTokens(replica, 1, chain) == 18U);
-  holders.learn(replica, 1, chain.parts()[0].id, 0);
+  holders.add(replica, 1, chain.parts()[0].id, 0);
   BOOST_TEST(holders.matchedTokens(replica, 1, chain) == 0U);
-  holders.forget(replica);
+  holders.remove(replica);
   BOOST_TEST(holders.size() == 0U);
 }
 
--- a/tests/routing/replica_pace_test.cc
+++ b/tests/routing/replica_speed_model_test.cc
@@ -1,5 +1,5 @@
 // What is learned of a replica's speed from the streams that nodes saw, and what is not believed.
-#include "routing/replica_pace.h"
+#include "routing/replica_speed_model.h"
 
 #include <boost/test/unit_test.hpp>
 #include <limits>
@@ -34,7 +34,7 @@
   int number = 0;
   base::TimePoint now{seconds(100)};
   base::SeededRandom random{3};
-  ReplicaPace pace;
+  ReplicaSpeedModel pace;
 };
 
 }  // namespace
--- a/tests/routing/run_times_test.cc
+++ b/tests/routing/request_durations_test.cc
@@ -1,5 +1,5 @@
 // Which requests are expected to run long, and how many replicas they fill.
-#include "routing/run_times.h"
+#include "routing/request_durations.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -13,8 +13,8 @@
 constexpr base::TimePoint kStart{seconds(100)};
 
 /// Runs of 5 ms a token.
-RunTimes learned() {
-  RunTimes times;
+RequestDurations learned() {
+  RequestDurations times;
   for (const std::uint32_t tokens : {10U, 400U, 40U, 100U, 300U, 20U})
     times.onEnd("llm", tokens, milliseconds(5) * tokens);
   return times;
@@ -25,7 +25,7 @@
 BOOST_AUTO_TEST_SUITE(RunTimesTest)
 
 BOOST_AUTO_TEST_CASE(NothingIsLongBeforeRunsWereSeen) {
-  RunTimes times;
+  RequestDurations times;
   BOOST_TEST(!times.isLong("llm", 100'000));
   for (int run = 0; run < 4; ++run) times.onEnd("llm", 10, seconds(1));
   BOOST_TEST(!times.isLong("llm", 100'000));
--- a/tests/routing/service_model_test.cc
+++ b/tests/routing/service_model_test.cc
@@ -4,7 +4,7 @@
 
 #include "routing/import_queue.h"
 #include "routing/memory_estimate.h"
-#include "routing/prefix_heat.h"
+#include "routing/prefix_demand.h"
 #include "routing/queue_estimate.h"
 
 namespace covewing::routing {
@@ -26,8 +26,8 @@
   const auto estimate = estimateService(
       model, {.promptTokens = 3000, .cachedTokens = 1000, .tokensAhead = 500, .distance = 3ms});
   BOOST_TEST(estimate.uncachedTokens == 2000U);
-  BOOST_TEST(base::toMilliseconds(estimate.firstToken) == 2503.0);
-  BOOST_TEST(base::toMilliseconds(estimate.cost - estimate.firstToken) ==
+  BOOST_TEST(base::toMilliseconds(estimate.timeToFirstToken) == 2503.0);
+  BOOST_TEST(base::toMilliseconds(estimate.cost - estimate.timeToFirstToken) ==
              2000.0 * model.insertionWeight);
   BOOST_TEST(estimate.importedTokens == 0U);
 }
@@ -39,7 +39,7 @@
   model.importLatency = 100ms;
   const auto much = estimateService(model, {.promptTokens = 3000, .storedTokens = 2000});
   BOOST_TEST(much.importedTokens == 2000U);
-  BOOST_TEST(base::toMilliseconds(much.firstToken) == 1300.0);
+  BOOST_TEST(base::toMilliseconds(much.timeToFirstToken) == 1300.0);
   const auto little =
       estimateService(model, {.promptTokens = 3000, .cachedTokens = 1950, .storedTokens = 2000});
   BOOST_TEST(little.importedTokens == 0U);
@@ -118,15 +118,15 @@
 }
 
 BOOST_AUTO_TEST_CASE(HeatWidensAtOnceAndNarrowsByStep) {
-  PrefixHeat heat({});
-  for (int request = 0; request < 20; ++request) heat.note(1, 1000, kStart);
+  PrefixDemand heat({});
+  for (int request = 0; request < 20; ++request) heat.record(1, 1000, kStart);
   BOOST_TEST(heat.tokensPerSecond(1, kStart) == 10'000.0);
   BOOST_TEST(heat.tokensPerSecond(1, kStart + 10s) < 100.0);
-  BOOST_TEST(heat.width(1, 8, kStart) == 8U);
-  BOOST_TEST(heat.width(1, 2, kStart + 1s) == 8U);
-  BOOST_TEST(heat.width(1, 2, kStart + 2s) == 7U);
-  BOOST_TEST(heat.width(1, 2, kStart + 3s) == 7U);
-  BOOST_TEST(heat.width(1, 2, kStart + 4s) == 6U);
+  BOOST_TEST(heat.holderCount(1, 8, kStart) == 8U);
+  BOOST_TEST(heat.holderCount(1, 2, kStart + 1s) == 8U);
+  BOOST_TEST(heat.holderCount(1, 2, kStart + 2s) == 7U);
+  BOOST_TEST(heat.holderCount(1, 2, kStart + 3s) == 7U);
+  BOOST_TEST(heat.holderCount(1, 2, kStart + 4s) == 6U);
 }
 
 BOOST_AUTO_TEST_CASE(ImportsOfAllNodesQueueAtTheStore) {
@@ -139,10 +139,10 @@
 }
 
 BOOST_AUTO_TEST_CASE(HeatForgetsTheColdestRoots) {
-  PrefixHeat heat({.maximumRoots = 2});
-  heat.note(1, 100, kStart);
-  heat.note(2, 5000, kStart);
-  heat.note(3, 5000, kStart);
+  PrefixDemand heat({.maximumRoots = 2});
+  heat.record(1, 100, kStart);
+  heat.record(2, 5000, kStart);
+  heat.record(3, 5000, kStart);
   BOOST_TEST(heat.roots() == 2U);
   BOOST_TEST(heat.tokensPerSecond(1, kStart) == 0.0);
 }
