--- a/src/coordination/capacity_account.cc
+++ b/src/coordination/capacity_account.cc
@@ -5,16 +5,16 @@
 
 namespace covewing::coordination {
 
-std::size_t FleetRoom::spare(double headroom) const {
-  const double able = static_cast<double>(serving + changing);
-  return static_cast<std::size_t>(std::max(0.0, std::floor(able - needed * (1 + headroom))));
+std::size_t FleetCapacity::spareReplicas(double headroom) const {
+  const double available = static_cast<double>(serving + changing);
+  return static_cast<std::size_t>(std::max(0.0, std::floor(available - needed * (1 + headroom))));
 }
 
 void CapacityAccount::onDemand(const std::string& model, double replicas, base::TimePoint now) {
   auto& demand = demands_[model];
-  const double elapsed = base::toSeconds(now - demand.at) / base::toSeconds(options_.memory);
-  const double kept = demand.at == base::TimePoint{} ? 0 : std::exp(-elapsed);
-  demand.replicas = std::max(replicas, replicas + (demand.replicas - replicas) * kept);
+  const double elapsed = base::toSeconds(now - demand.at) / base::toSeconds(options_.decayTime);
+  const double decay = demand.at == base::TimePoint{} ? 0 : std::exp(-elapsed);
+  demand.replicas = std::max(replicas, replicas + (demand.replicas - replicas) * decay);
   demand.at = now;
 }
 
--- a/src/coordination/capacity_account.h
+++ b/src/coordination/capacity_account.h
@@ -16,11 +16,11 @@
 namespace covewing::coordination {
 
 /// The replicas of one model by what they can do now.
-struct FleetRoom {
+struct FleetCapacity {
   /// Can be reached and are neither leaving nor changing, whatever their version.
   std::size_t serving = 0;
   /// Do not answer.
-  std::size_t silent = 0;
+  std::size_t unresponsive = 0;
   /// Leave, or are told not to take requests.
   std::size_t leaving = 0;
   /// Drain for or load new weights.
@@ -29,12 +29,12 @@
   double needed = 0;
 
   /// Replicas that could be away, those that change included, without that callers miss them.
-  std::size_t spare(double headroom) const;
+  std::size_t spareReplicas(double headroom) const;
 };
 
 struct CapacityAccountOptions {
   /// More demand counts at once, less only after about this long: waves and bursts come back.
-  base::Duration memory = std::chrono::seconds(2);
+  base::Duration decayTime = std::chrono::seconds(2);
 };
 
 /// Follows the demand of each model: rises at once, falls slowly.
--- a/src/coordination/coordinator.cc
+++ b/src/coordination/coordinator.cc
@@ -22,10 +22,10 @@
   return executor;
 }
 
-OrderStoreOptions bookOptionsOf(const CoordinatorOptions& options) {
-  OrderStoreOptions book;
-  book.region = options.region;
-  return book;
+OrderStoreOptions storeOptionsOf(const CoordinatorOptions& options) {
+  OrderStoreOptions store;
+  store.region = options.region;
+  return store;
 }
 
 }  // namespace
@@ -36,7 +36,7 @@
              {environment.clock, environment.timers, environment.random, environment.log,
               environment.table, environment.members},
              *this),
-      orders_(bookOptionsOf(options), environment.timers, environment.random, environment.table),
+      orders_(storeOptionsOf(options), environment.timers, environment.random, environment.table),
       executor_(executorOptionsOf(options),
                 {environment.clock, environment.timers, environment.random, environment.log,
                  environment.table, environment.engines, environment.catalogue,
--- a/src/coordination/lease_manager.cc
+++ b/src/coordination/lease_manager.cc
@@ -13,7 +13,7 @@
 /// Writes remembered for recognition; older ones have long taken effect or never will.
 constexpr std::size_t kRememberedAttempts = 8;
 /// Bits of a token below the era that it was given in: a million holders in each.
-constexpr unsigned kTokenBits = 20;
+constexpr unsigned kTokenBitsPerEra = 20;
 
 const clients::TableRow* findRow(const std::vector<clients::TableRow>& rows, std::string_view key) {
   const auto found =
@@ -23,8 +23,8 @@
 
 }  // namespace
 
-base::FencingToken tokensBefore(base::StoreEra era) {
-  return base::FencingToken{era} << kTokenBits;
+base::FencingToken lastTokenBefore(base::StoreEra era) {
+  return base::FencingToken{era} << kTokenBitsPerEra;
 }
 
 base::Duration settleTime(Succession succession, const LeaseOptions& options) {
@@ -32,11 +32,11 @@
   switch (succession) {
     case Succession::kFirst:
       return {};
-    case Succession::kFormerRun:
+    case Succession::kRestartedHolder:
       return options.orderTransitTime;
-    case Succession::kRecent:
+    case Succession::kRecentlyActive:
       return options.orderGap + options.orderTransitTime;
-    case Succession::kLapsed:
+    case Succession::kExpired:
       break;
   }
   // It was taken this long, at least, after the former holder sent its last write.
@@ -123,7 +123,7 @@
   return row.holder == self.name && row.incarnation == self.incarnation;
 }
 
-bool LeaseManager::isFormerRun(const LeaseRow& row) const {
+bool LeaseManager::isEarlierIncarnation(const LeaseRow& row) const {
   const membership::Member& self = environment_.members.self();
   return row.holder == self.name && row.incarnation < self.incarnation &&
          row.address == base::toString(self.endpoint);
@@ -136,31 +136,32 @@
 
 bool LeaseManager::isFree() const {
   // A node that was cut off as the service returned may hold what the copy does not show.
-  if (holderIsUncertain()) return heldUntilReturn_.has_value();
+  if (holderIsUncertain()) return heldAtStoreReturn_.has_value();
   // A former run cannot renew the lease any more; waiting for it to lapse would leave a fleet that
   // was restarted as a whole without orders for some 4 s.
   return !observed_->row || observed_->row->released || isOwn(*observed_->row) ||
-         isFormerRun(*observed_->row);
+         isEarlierIncarnation(*observed_->row);
 }
 
 base::FencingToken LeaseManager::nextToken() const {
   const base::FencingToken last = observed_->row ? observed_->row->token : 0;
-  return std::max({last, greatestToken_, tokensBefore(observed_->era)}) + 1;
+  return std::max({last, highestToken_, lastTokenBefore(observed_->era)}) + 1;
 }
 
 Succession LeaseManager::succession() const {
   if (holderIsUncertain()) {
-    if (!heldUntilReturn_) return Succession::kLapsed;
-    return *heldUntilReturn_ ? Succession::kFormerRun : Succession::kRecent;
+    if (!heldAtStoreReturn_) return Succession::kExpired;
+    return *heldAtStoreReturn_ ? Succession::kRestartedHolder : Succession::kRecentlyActive;
   }
   // A row that cannot be read was written by somebody, who may be ordering.
-  if (!observed_->row) return observed_->revision == 0 ? Succession::kFirst : Succession::kRecent;
+  if (!observed_->row)
+    return observed_->revision == 0 ? Succession::kFirst : Succession::kRecentlyActive;
   const LeaseRow& row = *observed_->row;
-  if (isOwn(row) || isFormerRun(row))
-    return row.settled ? Succession::kFormerRun : Succession::kRecent;
+  if (isOwn(row) || isEarlierIncarnation(row))
+    return row.settled ? Succession::kRestartedHolder : Succession::kRecentlyActive;
   // Versions that write no address order without a window, as long as they hold the lease.
-  const bool windowed = !row.address.empty();
-  return row.released || !windowed ? Succession::kRecent : Succession::kLapsed;
+  const bool hasOrderWindow = !row.address.empty();
+  return row.released || !hasOrderWindow ? Succession::kRecentlyActive : Succession::kExpired;
 }
 
 void LeaseManager::onReleaseHint() {
@@ -178,15 +179,15 @@
                           .era = base::eraOf(announcement.revision)};
   // Announcements tell of rows as they are written.
   observed_->row->era = observed_->era;
-  greatestToken_ = std::max(greatestToken_, announcement.row.token);
-  heldUntilReturn_.reset();
+  highestToken_ = std::max(highestToken_, announcement.row.token);
+  heldAtStoreReturn_.reset();
   if (!callInFlight_) step();
 }
 
 void LeaseManager::onStoreReturned() {
   storeReturned_ = true;
-  heldUntilReturn_ = tenure_ && !hasExpired() ? std::optional{settled()} : std::nullopt;
-  if (tenure_) loseTenure("the table service came back from a copy");
+  heldAtStoreReturn_ = tenure_ && !hasExpired() ? std::optional{settled()} : std::nullopt;
+  if (tenure_) endTenure("the table service came back from a copy");
   observed_.reset();
   attempts_.clear();
   if (started_ && !stopped_ && !callInFlight_) step();
@@ -205,8 +206,8 @@
 
 void LeaseManager::step() {
   if (!started_ || stopped_ || callInFlight_) return;
-  if (releasing_) return giveUp();
-  if (tenure_ && hasExpired()) loseTenure("not renewed in time");
+  if (releasing_) return writeRelease();
+  if (tenure_ && hasExpired()) endTenure("not renewed in time");
   if (tenure_) return renew();
   if (isCandidate()) return stepAsCandidate();
   // What is not watched ages unseen: start over when this node becomes a candidate again.
@@ -253,8 +254,8 @@
   observed_->row = lease == nullptr ? std::nullopt : parseLeaseRow(lease->value, ignored);
   observed_->era = era;
   if (!observed_->row) return;
-  greatestToken_ = std::max(greatestToken_, observed_->row->token);
-  if (!holderIsUncertain() && !isOwn(*observed_->row)) heldUntilReturn_.reset();
+  highestToken_ = std::max(highestToken_, observed_->row->token);
+  if (!holderIsUncertain() && !isOwn(*observed_->row)) heldAtStoreReturn_.reset();
 }
 
 bool LeaseManager::recogniseOwnWrite() {
@@ -329,10 +330,10 @@
         observed_.reset();
         return step();
       }
-      Attempt done = attempt;
-      if (newTenure) done.tenureRevision = reply.revision;
+      Attempt confirmed = attempt;
+      if (newTenure) confirmed.tenureRevision = reply.revision;
       if (attempt.row.released) return finishRelease();
-      becomeHolder(done, reply.revision);
+      becomeHolder(confirmed, reply.revision);
       return;
     }
     case clients::TableStatus::kConflict:
@@ -340,7 +341,7 @@
       observe(reply);
       if (attempt.row.released) return finishRelease();
       if (recogniseOwnWrite()) return;
-      if (tenure_) loseTenure("another node holds it");
+      if (tenure_) endTenure("another node holds it");
       return step();
     case clients::TableStatus::kUnknown:
       if (attempt.row.released) return finishRelease();
@@ -355,29 +356,29 @@
   const base::TimePoint validUntil = attempt.sentAt + options_.duration - options_.margin;
   if (environment_.clock.now() >= validUntil) {
     // The answer took longer than the lease: read the row, then take it anew.
-    if (tenure_) loseTenure("renewed too late");
+    if (tenure_) endTenure("renewed too late");
     observed_.reset();
     return backOff();
   }
   const bool renewed = tenure_ && tenure_->grant.token == attempt.row.token;
-  if (tenure_ && !renewed) loseTenure("taken anew");
+  if (tenure_ && !renewed) endTenure("taken anew");
   const auto settledAt =
       renewed ? tenure_->settledAt : environment_.clock.now() + attempt.settleTime;
-  const bool limited = options_.orderWindow.count() > 0;
+  const bool hasWindow = options_.orderWindow.count() > 0;
   tenure_ = Tenure{.grant = {.token = attempt.row.token,
                              .tenureRevision = attempt.tenureRevision,
                              .settleTime = attempt.settleTime},
                    .revision = revision,
                    .validUntil = validUntil,
-                   .ordersUntil = limited ? attempt.sentAt + options_.orderWindow : validUntil,
+                   .ordersUntil = hasWindow ? attempt.sentAt + options_.orderWindow : validUntil,
                    .settledAt = settledAt};
   observed_ = Observation{.revision = revision,
                           .tenureRevision = attempt.tenureRevision,
                           .row = attempt.row,
                           .firstSeenAt = environment_.clock.now(),
                           .era = attempt.row.era};
-  greatestToken_ = std::max(greatestToken_, attempt.row.token);
-  heldUntilReturn_.reset();
+  highestToken_ = std::max(highestToken_, attempt.row.token);
+  heldAtStoreReturn_.reset();
   armExpiry();
   const base::Duration sinceSent = environment_.clock.now() - attempt.sentAt;
   scheduleStep(releasing_ ? base::Duration::zero() : options_.renewInterval - sinceSent);
@@ -393,41 +394,41 @@
   const base::Duration left = tenure_->validUntil - environment_.clock.now();
   expiryTimer_ = environment_.timers.schedule(left, guarded([this] {
                                                 if (!tenure_ || !hasExpired()) return;
-                                                loseTenure("not renewed in time");
+                                                endTenure("not renewed in time");
                                                 if (!callInFlight_) step();
                                               }));
 }
 
-void LeaseManager::loseTenure(std::string_view why) {
+void LeaseManager::endTenure(std::string_view reason) {
   const base::FencingToken token = tenure_->grant.token;
   tenure_.reset();
   environment_.timers.cancel(expiryTimer_);
-  environment_.log.write(
-      base::Event::kLeaseLost,
-      {{"lease", options_.name}, {"token", std::to_string(token)}, {"detail", std::string(why)}});
+  environment_.log.write(base::Event::kLeaseLost, {{"lease", options_.name},
+                                                   {"token", std::to_string(token)},
+                                                   {"detail", std::string(reason)}});
   listener_.onLeaseLost();
 }
 
 void LeaseManager::release(std::function<void()> done) {
-  released_ = std::move(done);
+  releaseDone_ = std::move(done);
   releasing_ = true;
   if (callInFlight_) return;  // continues with the answer
   scheduleStep(base::Duration::zero());
   if (!started_) finishRelease();
 }
 
-void LeaseManager::giveUp() {
+void LeaseManager::writeRelease() {
   if (!tenure_) return finishRelease();
   const Tenure tenure = *tenure_;
   LeaseRow row = makeRow(tenure.grant.token, true);
-  loseTenure("given up");
+  endTenure("given up");
   commit(std::move(row), {tenure.revision, tenure.grant.tenureRevision}, false);
 }
 
 void LeaseManager::finishRelease() {
   stopped_ = true;
   environment_.timers.cancel(stepTimer_);
-  if (released_) std::exchange(released_, nullptr)();
+  if (releaseDone_) std::exchange(releaseDone_, nullptr)();
 }
 
 }  // namespace covewing::coordination
--- a/src/coordination/lease_manager.h
+++ b/src/coordination/lease_manager.h
@@ -96,17 +96,17 @@
   kFirst,
   /// An earlier run of the same node, at the same address, that had settled: that run has ended,
   /// or this one could not listen there. Only its last order may still be under way.
-  kFormerRun,
+  kRestartedHolder,
   /// The holder before may have ordered just now: it gave the lease up, it is of a version without
   /// `orderWindow` or wrote what cannot be read, or an earlier run of this node had taken the lease
   /// and was still waiting.
-  kRecent,
+  kRecentlyActive,
   /// The holder before did not renew it in time.
-  kLapsed,
+  kExpired,
 };
 
 /// The least token of an era is greater by one than this.
-base::FencingToken tokensBefore(base::StoreEra era);
+base::FencingToken lastTokenBefore(base::StoreEra era);
 
 /// How long a new holder must wait before it orders.
 base::Duration settleTime(Succession succession, const LeaseOptions& options);
@@ -207,7 +207,7 @@
   bool hasExpired() const;
   bool isOwn(const LeaseRow& row) const;
   /// The row was written by an earlier run of this node.
-  bool isFormerRun(const LeaseRow& row) const;
+  bool isEarlierIncarnation(const LeaseRow& row) const;
   /// The lease may have had another holder than the row says, of whom the service has lost all.
   bool holderIsUncertain() const;
   /// Nobody can hold the lease now, by what was observed.
@@ -219,7 +219,7 @@
   void read();
   void acquire();
   void renew();
-  void giveUp();
+  void writeRelease();
   /// Writes the row on condition that both rows still have the revisions in `expected`.
   void commit(LeaseRow row, const Expectation& expected, bool newTenure);
   LeaseRow makeRow(base::FencingToken token, bool released);
@@ -232,7 +232,7 @@
   /// Recognises one of this node's own writes in the row; true when it made this node the holder.
   bool recogniseOwnWrite();
   void becomeHolder(const Attempt& attempt, base::Revision revision);
-  void loseTenure(std::string_view why);
+  void endTenure(std::string_view reason);
   void armExpiry();
   void finishRelease();
 
@@ -246,17 +246,17 @@
   std::optional<Tenure> tenure_;
   std::vector<Attempt> attempts_;
   /// The greatest token that was seen in a row or a message.
-  base::FencingToken greatestToken_ = 0;
+  base::FencingToken highestToken_ = 0;
   /// This node held the lease when the service came back from a copy, and nobody was seen to take
   /// it since: whether it had settled.
-  std::optional<bool> heldUntilReturn_;
+  std::optional<bool> heldAtStoreReturn_;
   /// The service came back from a copy while this node ran.
   bool storeReturned_ = false;
   bool started_ = false;
   bool callInFlight_ = false;
   bool releasing_ = false;
   bool stopped_ = false;
-  std::function<void()> released_;
+  std::function<void()> releaseDone_;
   base::Duration backoff_{};
   base::TimerId stepTimer_ = 0;
   base::TimerId expiryTimer_ = 0;
--- a/src/coordination/order_executor.cc
+++ b/src/coordination/order_executor.cc
@@ -32,7 +32,7 @@
   });
 }
 
-std::uint32_t slotsOf(const Order& order) {
+std::uint32_t loadSlotsOf(const Order& order) {
   return static_cast<std::uint32_t>(std::ranges::count_if(
       order.steps, [](const OrderStep& step) { return usesLoadSlot(step.state); }));
 }
@@ -68,9 +68,9 @@
 
 void OrderExecutor::stop() {
   running_ = false;
-  complete_ = false;
+  scanComplete_ = false;
   scanInFlight_ = false;
-  scanWanted_ = false;
+  rescanRequested_ = false;
   scannedUpTo_ = 0;
   lifetime_.reset();
   orders_.clear();
@@ -98,7 +98,7 @@
   scheduleTick();
   commitsLeft_ = options_.commitsPerTick;
   if (environment_.clock.now() >= nextScanAt_) scan();
-  if (!complete_ || !hasOpenOrders()) return;
+  if (!scanComplete_ || !hasOpenOrders()) return;
   pollEngines(environment_.catalogue.engines());
   advanceAll();
 }
@@ -112,7 +112,7 @@
 }
 
 void OrderExecutor::advanceAll() {
-  if (!complete_ || !grant_() || !hasOpenOrders()) return;
+  if (!scanComplete_ || !grant_() || !hasOpenOrders()) return;
   const std::vector<CatalogueEngine> catalogue = environment_.catalogue.engines();
   // A copy: finished orders leave the queue.
   const std::vector<std::string> open = queue_;
@@ -123,11 +123,11 @@
 
 void OrderExecutor::scan() {
   if (scanInFlight_) {
-    scanWanted_ = true;
+    rescanRequested_ = true;
     return;
   }
   scanInFlight_ = true;
-  scanWanted_ = false;
+  rescanRequested_ = false;
   nextScanAt_ = environment_.clock.now() + options_.scanInterval;
   environment_.table.scan(orderPrefix(options_.region), scannedUpTo_, options_.scanLimit,
                           guarded([this](const clients::TableReply& reply) {
@@ -138,21 +138,21 @@
 
 void OrderExecutor::onScan(const clients::TableReply& reply) {
   if (reply.status != clients::TableStatus::kOk) return;  // the next tick after nextScanAt_
-  for (const clients::TableRow& row : reply.rows) takeRow(row);
+  for (const clients::TableRow& row : reply.rows) applyRow(row);
   scannedUpTo_ = std::max(scannedUpTo_, reply.revision);
-  if (reply.rows.size() >= options_.scanLimit || scanWanted_) return scan();
-  complete_ = true;
+  if (reply.rows.size() >= options_.scanLimit || rescanRequested_) return scan();
+  scanComplete_ = true;
   removeOldOrders();
   advanceSoon();
 }
 
-void OrderExecutor::takeRow(const clients::TableRow& row) {
+void OrderExecutor::applyRow(const clients::TableRow& row) {
   base::Reason ignored;
   auto order = parseOrder(row.value, row.revision, ignored);
-  if (order) takeOrder(std::move(*order));
+  if (order) applyOrder(std::move(*order));
 }
 
-void OrderExecutor::takeOrder(Order order) {
+void OrderExecutor::applyOrder(Order order) {
   const auto known = orders_.find(order.id);
   if (known != orders_.end()) {
     if (order.revision > known->second.order.revision) adopt(known->second, std::move(order));
@@ -170,10 +170,10 @@
 /// Keeps the newest finished orders; one transaction a scan.
 void OrderExecutor::removeOldOrders() {
   const auto grant = grant_();
-  if (!grant || finished_.size() <= options_.keptOrders) return;
+  if (!grant || finished_.size() <= options_.maximumFinishedOrders) return;
   clients::TableTransaction transaction;
   transaction.conditions.push_back({coordinatorTenureKey(options_.region), grant->tenureRevision});
-  while (finished_.size() > options_.keptOrders) {
+  while (finished_.size() > options_.maximumFinishedOrders) {
     transaction.writes.push_back(
         {orderKey(options_.region, finished_.begin()->second), std::nullopt});
     finished_.erase(finished_.begin());
@@ -263,11 +263,11 @@
       earlier = false;
       continue;
     }
-    context.slotsTaken += slotsOf(other);
+    context.slotsInUse += loadSlotsOf(other);
     for (const OrderStep& step : other.steps) {
       if (usesLoadSlot(step.state)) loadingElsewhere[step.engine] = true;
       const bool blocks = !isFinal(step.state) && (earlier || isActive(step.state));
-      if (blocks) context.busyEngines.emplace(step.engine, id);
+      if (blocks) context.blockedEngines.emplace(step.engine, id);
     }
   }
   for (const CatalogueEngine& engine : catalogue) {
@@ -279,7 +279,7 @@
   for (std::size_t step = 0; step < open.order.steps.size(); ++step) {
     context.evidence[open.order.steps[step].engine] = evidenceFor(open, step, catalogue);
   }
-  if (open.settlingSince) context.settled = environment_.clock.now() - *open.settlingSince;
+  if (open.settlingSince) context.settledFor = environment_.clock.now() - *open.settlingSince;
   return context;
 }
 
@@ -343,7 +343,7 @@
   // A cancelled order has a newer row, which comes with the conflict.
   if (reply.status != clients::TableStatus::kConflict) return;
   for (const clients::TableRow& row : reply.rows) {
-    if (row.key == orderKey(options_.region, id)) takeRow(row);
+    if (row.key == orderKey(options_.region, id)) applyRow(row);
   }
 }
 
@@ -368,7 +368,7 @@
       !reply.rows.empty() && reply.rows.front().revision == open->second.order.revision;
   if (unchanged) return commit(id);
   open->second.pending.reset();
-  for (const clients::TableRow& row : reply.rows) takeRow(row);
+  for (const clients::TableRow& row : reply.rows) applyRow(row);
 }
 
 /// Takes over a newer state of the row, keeping the clocks of steps that did not move.
@@ -433,20 +433,23 @@
     }
     const std::string id = open.order.id;
     const std::string name = step.engine;
-    const std::string what = order.orderId;
-    environment_.engines.order(engine, std::move(order),
-                               guarded([this, id, name, what](const clients::OrderReply& reply) {
-                                 onOrderReply(id, name, what, reply);
-                               }));
+    const std::string engineOrderId = order.orderId;
+    environment_.engines.order(
+        engine, std::move(order),
+        guarded([this, id, name, engineOrderId](const clients::OrderReply& reply) {
+          onOrderReply(id, name, engineOrderId, reply);
+        }));
   }
   clock.sentAt = environment_.clock.now();
 }
 
 void OrderExecutor::onOrderReply(const std::string& id, const std::string& engine,
-                                 const std::string& what, const clients::OrderReply& reply) {
+                                 const std::string& engineOrderId,
+                                 const clients::OrderReply& reply) {
   if (reply.status == clients::OrderStatus::kFencedOff) {
-    environment_.log.write(base::Event::kOrderFenced,
-                           {{"order", what}, {"token", std::to_string(reply.fencingToken)}});
+    environment_.log.write(
+        base::Event::kOrderFenced,
+        {{"order", engineOrderId}, {"token", std::to_string(reply.fencingToken)}});
     return;
   }
   const auto open = orders_.find(id);
--- a/src/coordination/order_executor.h
+++ b/src/coordination/order_executor.h
@@ -44,7 +44,7 @@
   /// A report older than this counts as none.
   base::Duration reportValidity = std::chrono::seconds(3);
   /// Finished orders kept for people; older ones are removed.
-  std::size_t keptOrders = 64;
+  std::size_t maximumFinishedOrders = 64;
   std::size_t scanLimit = 64;
   /// Most orders written in one tick.
   std::uint32_t commitsPerTick = 2;
@@ -119,8 +119,8 @@
   void scheduleTick();
   void scan();
   void onScan(const clients::TableReply& reply);
-  void takeRow(const clients::TableRow& row);
-  void takeOrder(Order order);
+  void applyRow(const clients::TableRow& row);
+  void applyOrder(Order order);
   void removeOldOrders();
   bool hasOpenOrders() const;
 
@@ -147,8 +147,8 @@
   void sendOrders(OpenOrder& open, const std::vector<CatalogueEngine>& catalogue);
   void send(OpenOrder& open, std::size_t index, const clients::BackEndAddress& engine,
             const LeaseGrant& grant);
-  void onOrderReply(const std::string& id, const std::string& engine, const std::string& what,
-                    const clients::OrderReply& reply);
+  void onOrderReply(const std::string& id, const std::string& engine,
+                    const std::string& engineOrderId, const clients::OrderReply& reply);
 
   template <class Handler>
   auto guarded(Handler handler);
@@ -158,9 +158,9 @@
   GrantSource grant_;
   bool running_ = false;
   /// All orders were read since the lease was acquired; before, load slots are not known.
-  bool complete_ = false;
+  bool scanComplete_ = false;
   bool scanInFlight_ = false;
-  bool scanWanted_ = false;
+  bool rescanRequested_ = false;
   base::Revision scannedUpTo_ = 0;
   base::TimePoint nextScanAt_{};
   /// By identifier.
--- a/src/coordination/order_progress.cc
+++ b/src/coordination/order_progress.cc
@@ -34,7 +34,7 @@
     return found == context_.evidence.end() ? kNone : found->second;
   }
 
-  static void move(OrderStep& step, StepState state, std::string detail = {}) {
+  static void enter(OrderStep& step, StepState state, std::string detail = {}) {
     step.state = state;
     step.detail = std::move(detail);
   }
@@ -57,44 +57,44 @@
   void advanceActive(OrderStep& step) {
     if (!isActive(step.state)) return;
     const StepEvidence& evidence = evidenceOf(step);
-    if (!evidence.refusal.empty()) return move(step, StepState::kFailed, evidence.refusal);
+    if (!evidence.refusal.empty()) return enter(step, StepState::kFailed, evidence.refusal);
     if (evidence.observation) observe(step, *evidence.observation);
     if (!isActive(step.state)) return;
     if (!evidence.listed && evidence.inState >= context_.limits.absenceTimeout) {
-      return move(step, StepState::kSkipped, "the engine is gone");
+      return enter(step, StepState::kSkipped, "the engine is gone");
     }
     if (evidence.inState >= context_.limits.stepTimeout) {
-      move(step, StepState::kFailed, "the engine did not finish in time");
+      enter(step, StepState::kFailed, "the engine did not finish in time");
     }
   }
 
   void observe(OrderStep& step, const EngineObservation& engine) {
     // A load that runs on keeps its slot, also on an engine that leaves.
     if (engine.leaving && step.state != StepState::kLoading) {
-      return move(step, StepState::kSkipped, "the engine is leaving");
+      return enter(step, StepState::kSkipped, "the engine is leaving");
     }
     step.incarnation = engine.incarnation;
     switch (step.state) {
       case StepState::kLoading:
         if (holdsWeights(engine.weights, order_.weights)) {
-          move(step, order_.type == OrderType::kSwap ? StepState::kLoaded : StepState::kDone);
+          enter(step, order_.type == OrderType::kSwap ? StepState::kLoaded : StepState::kDone);
         }
         return;
       case StepState::kUnloading:
-        if (!holdsOldVersion(step, engine)) move(step, StepState::kDone);
+        if (!holdsOldVersion(step, engine)) enter(step, StepState::kDone);
         return;
       case StepState::kRollingBack:
         if (!holdsVersion(engine.weights, order_.weights.model, order_.weights.version)) {
-          move(step, StepState::kRolledBack);
+          enter(step, StepState::kRolledBack);
         }
         return;
       case StepState::kChanging:
         if (engine.role != order_.role) return;
-        move(step, order_.role == clients::EngineRole::kStandby ? StepState::kDraining
-                                                                : StepState::kDone);
+        enter(step, order_.role == clients::EngineRole::kStandby ? StepState::kDraining
+                                                                 : StepState::kDone);
         return;
       case StepState::kDraining:
-        if (engine.requests == 0) move(step, StepState::kDone);
+        if (engine.requests == 0) enter(step, StepState::kDone);
         return;
       default:
         return;
@@ -113,15 +113,15 @@
     const StepEvidence& evidence = evidenceOf(step);
     if (!evidence.observation) {
       if (evidence.inState >= context_.limits.absenceTimeout) {
-        move(step, StepState::kSkipped, "the engine does not answer");
+        enter(step, StepState::kSkipped, "the engine does not answer");
       }
       return;
     }
     if (evidence.observation->leaving) {
-      return move(step, StepState::kSkipped, "the engine is leaving");
+      return enter(step, StepState::kSkipped, "the engine is leaving");
     }
     if (holdsWeights(evidence.observation->weights, order_.weights)) return;
-    move(step, StepState::kWaiting, "the engine came back without the version");
+    enter(step, StepState::kWaiting, "the engine came back without the version");
   }
 
   // --- starting steps
@@ -129,22 +129,22 @@
   void startStep(OrderStep& step) {
     if (step.state != StepState::kWaiting) return;
     const StepEvidence& evidence = evidenceOf(step);
-    if (!evidence.observation) return waitForAnswer(step, evidence);
+    if (!evidence.observation) return waitForReport(step, evidence);
     if (evidence.observation->leaving) {
-      return move(step, StepState::kSkipped, "the engine is leaving");
+      return enter(step, StepState::kSkipped, "the engine is leaving");
     }
-    const auto busy = context_.busyEngines.find(step.engine);
-    if (busy != context_.busyEngines.end()) {
-      step.detail = "order " + busy->second + " works on the engine";
+    const auto blocking = context_.blockedEngines.find(step.engine);
+    if (blocking != context_.blockedEngines.end()) {
+      step.detail = "order " + blocking->second + " works on the engine";
       return;
     }
     if (order_.type == OrderType::kRole) return startRoleChange(step, *evidence.observation);
     startLoad(step, *evidence.observation);
   }
 
-  void waitForAnswer(OrderStep& step, const StepEvidence& evidence) {
+  void waitForReport(OrderStep& step, const StepEvidence& evidence) {
     if (evidence.inState >= context_.limits.absenceTimeout) {
-      return move(step, StepState::kSkipped, "the engine does not answer");
+      return enter(step, StepState::kSkipped, "the engine does not answer");
     }
     // Steps that are not next are not asked for.
     if (step.detail.empty()) step.detail = "waits for its turn";
@@ -154,14 +154,14 @@
     if (holdsWeights(engine.weights, order_.weights)) {
       step.hadVersion = true;
       recordStart(step, engine);
-      return move(step, order_.type == OrderType::kSwap ? StepState::kLoaded : StepState::kDone,
-                  "was loaded before");
+      return enter(step, order_.type == OrderType::kSwap ? StepState::kLoaded : StepState::kDone,
+                   "was loaded before");
     }
     step.detail = reasonToWait(step);
     if (!step.detail.empty()) return;
     step.hadVersion = holdsVersion(engine.weights, order_.weights.model, order_.weights.version);
     recordStart(step, engine);
-    move(step, StepState::kLoading);
+    enter(step, StepState::kLoading);
   }
 
   void recordStart(OrderStep& step, const EngineObservation& engine) {
@@ -184,7 +184,7 @@
   std::string reasonToWait(const OrderStep& step) const {
     const std::uint32_t own = count(StepState::kLoading);
     if (isCanaryPending()) return "waits for the first engine to finish";
-    if (context_.slotsTaken + own >= context_.limits.loadSlots) {
+    if (context_.slotsInUse + own >= context_.limits.loadSlots) {
       return "all " + std::to_string(context_.limits.loadSlots) + " load slots are in use";
     }
     if (order_.parallel > 0 && own >= order_.parallel) {
@@ -220,14 +220,14 @@
 
   void startRoleChange(OrderStep& step, const EngineObservation& engine) {
     if (engine.role == order_.role) {
-      return move(step, StepState::kDone, "had the role before");
+      return enter(step, StepState::kDone, "had the role before");
     }
     if (order_.role == clients::EngineRole::kStandby) {
       step.detail = reasonToKeepServing(step, engine);
       if (!step.detail.empty()) return;
     }
     step.incarnation = engine.incarnation;
-    move(step, StepState::kChanging);
+    enter(step, StepState::kChanging);
   }
 
   std::string reasonToKeepServing(const OrderStep& step, const EngineObservation& engine) const {
@@ -256,12 +256,12 @@
 
   void startUnloading() {
     if (!isSettling(order_)) return;
-    if (context_.settled < context_.limits.settleTime || !allLoadedConfirmed()) return;
+    if (context_.settledFor < context_.limits.settleTime || !allLoadedConfirmed()) return;
     for (OrderStep& step : order_.steps) {
       if (step.state != StepState::kLoaded) continue;
       addOldVersions(step, *evidenceOf(step).observation);
       const bool nothingToUnload = order_.keepOld || step.oldVersions.empty();
-      move(step, nothingToUnload ? StepState::kDone : StepState::kUnloading);
+      enter(step, nothingToUnload ? StepState::kDone : StepState::kUnloading);
     }
   }
 
@@ -277,7 +277,7 @@
   void startCancellation() {
     if (!order_.cancelRequested) return;
     for (OrderStep& step : order_.steps) {
-      if (step.state == StepState::kWaiting) move(step, StepState::kCancelled);
+      if (step.state == StepState::kWaiting) enter(step, StepState::kCancelled);
     }
     const bool canRollBack = order_.type == OrderType::kSwap && !isUnloadingOrDone();
     if (!canRollBack) return;
@@ -298,10 +298,10 @@
   }
 
   void rollBack(OrderStep& step) {
-    if (step.state == StepState::kWaiting) return move(step, StepState::kCancelled);
+    if (step.state == StepState::kWaiting) return enter(step, StepState::kCancelled);
     if (step.state != StepState::kLoaded) return;
-    if (step.hadVersion) return move(step, StepState::kCancelled, "had the version before");
-    move(step, StepState::kRollingBack);
+    if (step.hadVersion) return enter(step, StepState::kCancelled, "had the version before");
+    enter(step, StepState::kRollingBack);
   }
 
   void finishOrder() {
@@ -332,8 +332,8 @@
 };
 
 /// Identifier of an order to one engine: equal in repetitions, new after a restart of the engine.
-std::string engineOrderId(const Order& order, const OrderStep& step, std::string_view what) {
-  return order.id + "/" + step.engine + "/" + std::string(what) + "/" +
+std::string engineOrderId(const Order& order, const OrderStep& step, std::string_view operation) {
+  return order.id + "/" + step.engine + "/" + std::string(operation) + "/" +
          std::to_string(step.incarnation);
 }
 
--- a/src/coordination/order_progress.h
+++ b/src/coordination/order_progress.h
@@ -57,13 +57,13 @@
   /// By engine name.
   std::map<std::string, StepEvidence> evidence;
   /// Engines on which an earlier order works or will, with that order's identifier.
-  std::map<std::string, std::string> busyEngines;
+  std::map<std::string, std::string> blockedEngines;
   /// Load slots taken by other orders.
-  std::uint32_t slotsTaken = 0;
+  std::uint32_t slotsInUse = 0;
   /// Engines that serve now, of the order's region; a loading engine serves nobody.
   std::vector<CatalogueEngine> servingEngines;
   /// How long all engines of a swap have the new version, as this executor has seen it.
-  base::Duration settled{};
+  base::Duration settledFor{};
 };
 
 /// Moves the order on as far as the evidence allows. Changes neither author's fields nor
--- a/src/coordination/order_store.cc
+++ b/src/coordination/order_store.cc
@@ -34,22 +34,22 @@
  public:
   enum class Kind : std::uint8_t { kCreate, kFind, kCancel };
 
-  Operation(OrderStore& book, Kind kind, Order order, Callback callback)
-      : book_(book),
-        alive_(book.lifetime_),
+  Operation(OrderStore& store, Kind kind, Order order, Callback callback)
+      : store_(store),
+        alive_(store.lifetime_),
         kind_(kind),
         order_(std::move(order)),
         callback_(std::move(callback)) {}
 
   void read() {
     ++attempts_;
-    book_.table_.read({key()}, [self = shared_from_this()](const TableReply& reply) {
+    store_.table_.read({key()}, [self = shared_from_this()](const TableReply& reply) {
       if (!self->alive_.expired()) self->onRead(reply);
     });
   }
 
  private:
-  std::string key() const { return orderKey(book_.options_.region, order_.id); }
+  std::string key() const { return orderKey(store_.options_.region, order_.id); }
 
   void onRead(const TableReply& reply) {
     if (reply.status != TableStatus::kOk) return retry(reply.status);
@@ -65,7 +65,7 @@
 
   void decideCreate(std::optional<Order> found) {
     if (!found) return commit(order_, 0);
-    if (found->operationId == order_.operationId && sameWish(*found)) {
+    if (found->operationId == order_.operationId && isSameRequest(*found)) {
       return finish(OrderCallStatus::kOk, std::move(found), {});
     }
     finish(OrderCallStatus::kConflict, std::move(found),
@@ -74,7 +74,7 @@
   }
 
   /// The row holds what this call asks for; which engines were chosen may differ.
-  bool sameWish(const Order& found) const {
+  bool isSameRequest(const Order& found) const {
     return found.type == order_.type && found.weights == order_.weights &&
            found.role == order_.role;
   }
@@ -91,21 +91,21 @@
   }
 
   void commit(Order order, base::Revision expected) {
-    order.nonce = book_.random_.next();
+    order.nonce = store_.random_.next();
     clients::TableTransaction transaction;
     transaction.conditions.push_back({key(), expected});
     transaction.writes.push_back({key(), encodeOrder(order)});
-    book_.table_.commit(std::move(transaction),
-                        [self = shared_from_this(), order](const TableReply& reply) {
-                          if (!self->alive_.expired()) self->onCommit(reply, order);
-                        });
+    store_.table_.commit(std::move(transaction),
+                         [self = shared_from_this(), order](const TableReply& reply) {
+                           if (!self->alive_.expired()) self->onCommit(reply, order);
+                         });
   }
 
   void onCommit(const TableReply& reply, Order order) {
     switch (reply.status) {
       case TableStatus::kOk:
         order.revision = reply.revision;
-        if (book_.listener_) book_.listener_();
+        if (store_.listener_) store_.listener_();
         return finish(OrderCallStatus::kOk, std::move(order), {});
       case TableStatus::kUnknown:
         maybeWritten_ = true;
@@ -116,16 +116,16 @@
   }
 
   void retry(TableStatus status) {
-    if (attempts_ >= book_.options_.maximumAttempts) return giveUp(status);
+    if (attempts_ >= store_.options_.maximumAttempts) return abandon(status);
     const std::uint32_t doublings = std::min(attempts_ - 1, kMaximumDoublings);
     const base::Duration wait =
-        book_.random_.jittered(book_.options_.firstBackoff * (1U << doublings), kBackoffJitter);
-    book_.timers_.schedule(wait, [self = shared_from_this()] {
+        store_.random_.jittered(store_.options_.firstBackoff * (1U << doublings), kBackoffJitter);
+    store_.timers_.schedule(wait, [self = shared_from_this()] {
       if (!self->alive_.expired()) self->read();
     });
   }
 
-  void giveUp(TableStatus status) {
+  void abandon(TableStatus status) {
     if (maybeWritten_) {
       return finish(OrderCallStatus::kUnknown, std::nullopt,
                     {base::ResultCode::kPlatformOutcomeUnknown,
@@ -138,7 +138,7 @@
     std::exchange(callback_, nullptr)({status, std::move(order), std::move(reason)});
   }
 
-  OrderStore& book_;
+  OrderStore& store_;
   std::weak_ptr<bool> alive_;
   Kind kind_;
   Order order_;
--- a/src/coordination/replica_survey.h
+++ b/src/coordination/replica_survey.h
@@ -22,12 +22,12 @@
 
 struct ReplicaSurveyOptions {
   /// So many are asked each time.
-  std::size_t atOnce = 6;
+  std::size_t batchSize = 6;
   base::Duration interval = std::chrono::milliseconds(250);
   /// What was said counts for so long.
-  base::Duration memory = std::chrono::milliseconds(1500);
+  base::Duration reportValidity = std::chrono::milliseconds(1500);
   /// A replica that has not answered for so long is passed over until it does.
-  base::Duration silentAfter = std::chrono::milliseconds(400);
+  base::Duration unresponsiveAfter = std::chrono::milliseconds(400);
 };
 
 class ReplicaSurvey {
@@ -39,25 +39,25 @@
   ReplicaSurvey& operator=(const ReplicaSurvey&) = delete;
 
   /// Asks some of the candidates, when it is time again.
-  void step(const std::string& model, const std::vector<routing::ReplicaRecordPtr>& candidates);
+  void poll(const std::string& model, const std::vector<routing::ReplicaRecordPtr>& candidates);
   /// Requests that run or wait there, as said lately.
-  std::optional<std::uint32_t> requests(const std::string& instance) const;
+  std::optional<std::uint32_t> requestCount(const std::string& instance) const;
   /// Asked and not heard since.
-  bool silent(const std::string& instance) const;
+  bool unresponsive(const std::string& instance) const;
   /// Forgets a replica, which is begun with or gone.
-  void forget(const std::string& instance) { entries_.erase(instance); }
+  void remove(const std::string& instance) { entries_.erase(instance); }
 
  private:
   struct Entry {
     /// The first question without an answer.
     std::optional<base::TimePoint> unansweredSince;
-    bool underWay = false;
-    base::TimePoint askedAt{};
-    base::TimePoint heardAt{};
+    bool callInFlight = false;
+    base::TimePoint polledAt{};
+    base::TimePoint reportedAt{};
     std::uint32_t requests = 0;
   };
 
-  void ask(const std::string& model, const routing::ReplicaRecord& record);
+  void requestReport(const std::string& model, const routing::ReplicaRecord& record);
 
   ReplicaSurveyOptions options_;
   base::Clock& clock_;
--- a/src/coordination/rollout_plan.h
+++ b/src/coordination/rollout_plan.h
@@ -33,19 +33,19 @@
 
 struct RolloutPlanOptions {
   /// Most of a model's replicas that load at once, as a part of all; at least one may.
-  double mostLoading = 1.0 / 6;
+  double maximumLoading = 1.0 / 6;
   /// Most of a model's replicas that are away at once, whatever the date; at least one may be.
-  double mostAway = 0.4;
+  double maximumUnavailable = 0.4;
   /// Room that is kept beyond what the work under way needs, as a part of that.
   double headroom = 0.25;
   /// What is left shortly before the date is spread over at least this.
-  base::Duration leastTime = std::chrono::milliseconds(500);
+  base::Duration minimumTime = std::chrono::milliseconds(500);
   /// Long runs have ended so long after replicas of newer weights began to take them.
-  base::Duration longRunsEnd = std::chrono::milliseconds(3000);
+  base::Duration longRunDrainTime = std::chrono::milliseconds(3000);
   /// Replicas that take long runs are changed nevertheless so long before the last moment.
   base::Duration longRunSlack = std::chrono::milliseconds(500);
   /// With fewer replicas long runs are not kept together.
-  std::size_t leastForLongRuns = 4;
+  std::size_t minimumForLongRuns = 4;
 };
 
 /// What a step of the plan for one model rests on.
@@ -55,15 +55,15 @@
   /// The replicas of the model that can be reached.
   std::vector<routing::ReplicaRecordPtr> served{};
   /// Instances whose change has begun.
-  std::set<std::string> begun{};
+  std::set<std::string> started{};
   /// Those of them that are away from callers now and answer.
-  std::size_t away = 0;
+  std::size_t unavailable = 0;
   /// Others of them that have asked this node for rest: they serve callers as little.
-  std::size_t resting = 0;
+  std::size_t backingOff = 0;
   /// Replicas that the work under way needs; 0 where it is not known.
   double needed = 0;
   /// Requests that a replica said lately it has; empty where it is not known.
-  std::function<std::optional<std::uint32_t>(const std::string& instance)> requestsAt{};
+  std::function<std::optional<std::uint32_t>(const std::string& instance)> requestCountOf{};
   /// How long changes last, as observed.
   base::Duration changeTime{};
   /// Versions before this one are forbidden.
@@ -77,14 +77,14 @@
 struct PlannedChange {
   std::string instance;
   /// The replica's version is forbidden: it serves nobody, to change it costs nothing.
-  bool unused = false;
+  bool versionForbidden = false;
 };
 
 struct RolloutStep {
-  std::vector<PlannedChange> begin;
+  std::vector<PlannedChange> toStart;
   /// Replicas that may be away, and that may load, at once.
-  std::size_t mostAway = 1;
-  std::size_t mostLoading = 1;
+  std::size_t maximumUnavailable = 1;
+  std::size_t maximumLoading = 1;
 };
 
 class RolloutPlan {
@@ -95,22 +95,22 @@
 
  private:
   /// Replicas that must be away at once for each version to be in force in time.
-  std::size_t awayNeeded(const RolloutView& view) const;
-  std::size_t mostAwayOf(const RolloutView& view) const;
+  std::size_t unavailableNeeded(const RolloutView& view) const;
+  std::size_t maximumUnavailableOf(const RolloutView& view) const;
   /// The replicas that are to be changed, in the order in which they are begun with.
-  std::vector<routing::ReplicaRecordPtr> inOrder(const RolloutView& view) const;
+  std::vector<routing::ReplicaRecordPtr> startOrder(const RolloutView& view) const;
   /// Replicas that may be away without callers missing them.
-  std::size_t spare(const RolloutView& view) const;
+  std::size_t spareReplicas(const RolloutView& view) const;
   /// The replicas of older versions that still take long runs and have time.
   std::set<std::string> waitingForLongRuns(const RolloutView& view);
   /// Whether the long runs of a version's replicas have had the time to end, since at least as many
   /// `newer` replicas as these runs fill take the new ones, or can be waited for no longer.
-  bool relieved(const RolloutView& view, base::WeightsVersion version, std::size_t newer,
-                std::size_t held);
+  bool mayChangeLongRunReplicas(const RolloutView& view, base::WeightsVersion version,
+                                std::size_t newer, std::size_t held);
 
   RolloutPlanOptions options_;
   /// Since when enough replicas of newer versions take a version's long runs, by model.
-  std::map<std::pair<std::string, base::WeightsVersion>, base::TimePoint> relievedSince_;
+  std::map<std::pair<std::string, base::WeightsVersion>, base::TimePoint> takenOverSince_;
 };
 
 }  // namespace covewing::coordination
--- a/src/coordination/version_watch.cc
+++ b/src/coordination/version_watch.cc
@@ -15,8 +15,8 @@
   const Trial* trial = find(model, version);
   if (trial == nullptr || trial->served) return true;
   if (now < trial->stoppedUntil) return false;
-  const bool watched = now - trial->orderedAt < options_.watchFor;
-  return !watched;
+  const bool inTrial = now - trial->orderedAt < options_.canaryTime;
+  return !inTrial;
 }
 
 bool VersionWatch::untried(const std::string& model, base::WeightsVersion version) const {
@@ -33,31 +33,33 @@
                              base::TimePoint now) {
   auto& trial = trials_[{model, version}];
   // Later orders are watched only where a replica has ended.
-  if (trial.orderedAt == base::TimePoint{} || trial.ends > 0) trial.orderedAt = now;
+  if (trial.orderedAt == base::TimePoint{} || trial.terminations > 0) trial.orderedAt = now;
 }
 
 void VersionWatch::onServed(const std::string& model, base::WeightsVersion version) {
   trials_[{model, version}].served = true;
 }
 
-bool VersionWatch::onEnded(const std::string& model, base::WeightsVersion version,
-                           base::TimePoint now) {
+bool VersionWatch::onTerminated(const std::string& model, base::WeightsVersion version,
+                                base::TimePoint now) {
   auto& trial = trials_[{model, version}];
   if (trial.served) return false;
-  ++trial.ends;
+  ++trial.terminations;
   trial.orderedAt = {};
-  if (trial.ends < options_.mostEnds) return false;
-  auto pause = options_.firstPause;
-  for (auto end = options_.mostEnds; end < trial.ends && pause < options_.longestPause; ++end)
-    pause *= 2;
+  if (trial.terminations < options_.maximumTerminations) return false;
+  auto backoff = options_.firstBackoff;
+  for (auto count = options_.maximumTerminations;
+       count < trial.terminations && backoff < options_.maximumBackoff; ++count)
+    backoff *= 2;
   const bool wasStopped = now < trial.stoppedUntil;
-  trial.stoppedUntil = now + std::min(pause, options_.longestPause);
+  trial.stoppedUntil = now + std::min(backoff, options_.maximumBackoff);
   return !wasStopped;
 }
 
-std::size_t VersionWatch::ends(const std::string& model, base::WeightsVersion version) const {
+std::size_t VersionWatch::terminations(const std::string& model,
+                                       base::WeightsVersion version) const {
   const Trial* trial = find(model, version);
-  return trial == nullptr ? 0 : trial->ends;
+  return trial == nullptr ? 0 : trial->terminations;
 }
 
 }  // namespace covewing::coordination
--- a/src/coordination/version_watch.h
+++ b/src/coordination/version_watch.h
@@ -20,12 +20,12 @@
 
 struct VersionWatchOptions {
   /// Replicas that end while they load a version that nobody serves, before it is stopped.
-  std::size_t mostEnds = 2;
+  std::size_t maximumTerminations = 2;
   /// The first replica that loads a version is watched for so long: loads take under a second.
-  base::Duration watchFor = std::chrono::milliseconds(1500);
+  base::Duration canaryTime = std::chrono::milliseconds(1500);
   /// Pauses before a stopped version is tried again.
-  base::Duration firstPause = std::chrono::seconds(4);
-  base::Duration longestPause = std::chrono::seconds(60);
+  base::Duration firstBackoff = std::chrono::seconds(4);
+  base::Duration maximumBackoff = std::chrono::seconds(60);
 };
 
 class VersionWatch {
@@ -41,14 +41,14 @@
   void onOrdered(const std::string& model, base::WeightsVersion version, base::TimePoint now);
   void onServed(const std::string& model, base::WeightsVersion version);
   /// A replica ended while it loaded the version. True when the version is stopped by that.
-  bool onEnded(const std::string& model, base::WeightsVersion version, base::TimePoint now);
+  bool onTerminated(const std::string& model, base::WeightsVersion version, base::TimePoint now);
   /// How many have ended so.
-  std::size_t ends(const std::string& model, base::WeightsVersion version) const;
+  std::size_t terminations(const std::string& model, base::WeightsVersion version) const;
 
  private:
   struct Trial {
     bool served = false;
-    std::size_t ends = 0;
+    std::size_t terminations = 0;
     /// The latest order while nobody serves the version.
     base::TimePoint orderedAt{};
     base::TimePoint stoppedUntil{};
--- a/src/coordination/weights_rollout.cc
+++ b/src/coordination/weights_rollout.cc
@@ -8,13 +8,13 @@
 namespace covewing::coordination {
 
 WeightsRollout::WeightsRollout(WeightsRolloutOptions options, WeightsRolloutEnvironment environment,
-                               Grant grant)
+                               GrantSource grant)
     : options_(options),
       environment_(std::move(environment)),
       grant_(std::move(grant)),
       plan_(options.plan),
       survey_(options.survey, environment_.clock, environment_.replicas),
-      changeTime_(options.firstChange) {}
+      changeTime_(options.initialChangeTime) {}
 
 WeightsRollout::~WeightsRollout() { environment_.timers.cancel(timer_); }
 
@@ -42,7 +42,7 @@
   for (const auto& instance : instances) {
     if (Change* change = find(instance)) advance(instance, *change);
   }
-  for (const auto& [model, targets] : environment_.targets.all()) begin(model, targets);
+  for (const auto& [model, targets] : environment_.targets.all()) startChanges(model, targets);
   timer_ = environment_.timers.schedule(options_.interval, [this] { tick(); });
 }
 
@@ -51,7 +51,7 @@
   const auto record = environment_.directory.find(instance);
   if (record == nullptr || record->terminated()) {
     ordersTaken_.erase(instance);
-    return finishGone(instance, change);
+    return finishTerminated(instance, change);
   }
   // Weights that it loads now would serve nobody, and a place for loads is better used.
   if (record->leaving() && change.phase != Phase::kLoading) return finish(instance, "it leaves");
@@ -60,24 +60,25 @@
     return finishServed(instance, record->versionOf(change.model));
   if (overdue(change)) return finish(instance, "not done in time");
   const auto newest = environment_.targets.newest(change.model);
-  if (change.phase != Phase::kLoading && versions_.stopped(change.model, newest, now))
-    return release(instance);
-  change.limitedPause = limitedPauseOf(*record);
-  if (change.callUnderWay || now < change.nextAt) return;
+  if (change.phase != Phase::kLoading && versionWatch_.stopped(change.model, newest, now))
+    return abandon(instance);
+  change.rateLimitPause = rateLimitPauseOf(*record);
+  if (change.callInFlight || now < change.nextAt) return;
   const bool flush =
       !change.noneWaiting && mustFlush(change.model, record->versionOf(change.model));
-  const bool prepared =
-      change.phase == Phase::kPrepared || (flush && change.phase == Phase::kDraining);
-  if (prepared && ordersTaken_.contains(instance)) {
-    if (!flush && !versions_.mayOrder(change.model, newest, now)) return;
-    const double share = change.running == 0 ? 1 : options_.shareWhileRunning;
-    if (flush || loading() + share <= static_cast<double>(loadLimit_)) order(instance, change);
+  const bool readyToOrder =
+      change.phase == Phase::kAwaitingSlot || (flush && change.phase == Phase::kDraining);
+  if (readyToOrder && ordersTaken_.contains(instance)) {
+    if (!flush && !versionWatch_.mayOrder(change.model, newest, now)) return;
+    const double share = change.running == 0 ? 1 : options_.slotShareWhileRunning;
+    if (flush || slotsInUse() + share <= static_cast<double>(loadLimit_))
+      sendOrder(instance, change);
   } else {
-    askReport(instance, change);
+    requestReport(instance, change);
   }
 }
 
-void WeightsRollout::order(const std::string& instance, Change& change) {
+void WeightsRollout::sendOrder(const std::string& instance, Change& change) {
   const auto grant = grant_();
   if (!grant) return;
   const auto now = environment_.clock.now();
@@ -85,11 +86,11 @@
   const auto record = environment_.directory.find(instance);
   change.version = environment_.targets.newest(change.model);
   change.phase = Phase::kLoading;
-  change.heardAt = now;
-  change.callUnderWay = true;
+  change.lastResponseAt = now;
+  change.callInFlight = true;
   change.orderedAt = now;
   change.accepted = false;
-  versions_.onOrdered(change.model, change.version, now);
+  versionWatch_.onOrdered(change.model, change.version, now);
   const auto expectedOrders = ordersTaken_.at(instance);
   const clients::WeightsOrder order{change.model, change.version, environment_.holder, grant->token,
                                     expectedOrders};
@@ -99,24 +100,25 @@
                           {"version", std::to_string(change.version)},
                           {"token", std::to_string(grant->token)},
                           {"expected_orders", std::to_string(expectedOrders)},
-                          {"loading", std::to_string(std::lround(loading()))},
+                          {"loading", std::to_string(std::lround(slotsInUse()))},
                           {"load_limit", std::to_string(loadLimit_)}});
-  environment_.news.onReplicaChanging(instance);
+  environment_.changeListener.onReplicaChanging(instance);
   environment_.replicas.order(
       record->facts().endpoint, instance, order,
       [this, instance, alive = std::weak_ptr(lifetime_)](clients::WeightsOrderStatus status) {
-        if (!alive.expired()) onOrdered(instance, status);
+        if (!alive.expired()) onOrderResponse(instance, status);
       });
 }
 
-void WeightsRollout::onOrdered(const std::string& instance, clients::WeightsOrderStatus status) {
+void WeightsRollout::onOrderResponse(const std::string& instance,
+                                     clients::WeightsOrderStatus status) {
   Change* change = find(instance);
   if (change == nullptr) return;
   const auto now = environment_.clock.now();
-  change->callUnderWay = false;
+  change->callInFlight = false;
   const bool answered = status != clients::WeightsOrderStatus::kUnknown &&
                         status != clients::WeightsOrderStatus::kUnreachable;
-  if (answered) change->heardAt = now;
+  if (answered) change->lastResponseAt = now;
   environment_.log.write(base::Event::kOrderAnswered,
                          {{"replica", instance},
                           {"version", std::to_string(change->version)},
@@ -126,7 +128,7 @@
     case clients::WeightsOrderStatus::kAccepted:
       ++ordersTaken_[instance];
       change->accepted = true;
-      change->nextAt = now + std::max(options_.loadLead, change->limitedPause);
+      change->nextAt = now + std::max(options_.loadReportDelay, change->rateLimitPause);
       return;
     case clients::WeightsOrderStatus::kInForce:
       change->nextAt = now;
@@ -136,12 +138,12 @@
     case clients::WeightsOrderStatus::kUnreachable:
       // A report tells whether it was taken, and how many were.
       ordersTaken_.erase(instance);
-      change->nextAt = now + std::max(options_.reportInterval, change->limitedPause);
+      change->nextAt = now + std::max(options_.reportInterval, change->rateLimitPause);
       return;
     case clients::WeightsOrderStatus::kFencedOff:
       environment_.log.write(base::Event::kOrderFenced, {{"replica", instance}});
       if (const auto grant = grant_()) fencedToken_ = grant->token;
-      fencedUntil_ = now + options_.fencedPause;
+      fencedUntil_ = now + options_.fencedBackoff;
       finish(instance, "fenced off");
       return;
     case clients::WeightsOrderStatus::kOtherInstance:
@@ -153,11 +155,11 @@
   }
 }
 
-void WeightsRollout::askReport(const std::string& instance, Change& change) {
+void WeightsRollout::requestReport(const std::string& instance, Change& change) {
   const auto record = environment_.directory.find(instance);
-  change.callUnderWay = true;
+  change.callInFlight = true;
   // Others may reach a replica that does not answer this node.
-  if (!silent(change)) environment_.news.onReplicaChanging(instance);
+  if (!unresponsive(change)) environment_.changeListener.onReplicaChanging(instance);
   environment_.replicas.report(record->facts().endpoint, instance, change.model,
                                [this, instance, alive = std::weak_ptr(lifetime_)](
                                    const std::optional<clients::WeightsReport>& report) {
@@ -169,12 +171,12 @@
                               const std::optional<clients::WeightsReport>& report) {
   Change* change = find(instance);
   if (change == nullptr) return;
-  change->callUnderWay = false;
-  const bool silentNow = !report && silent(*change);
-  const auto usual = silentNow ? options_.silentInterval : options_.reportInterval;
-  change->nextAt = environment_.clock.now() + std::max(usual, change->limitedPause);
+  change->callInFlight = false;
+  const bool unresponsiveNow = !report && unresponsive(*change);
+  const auto usual = unresponsiveNow ? options_.unresponsiveInterval : options_.reportInterval;
+  change->nextAt = environment_.clock.now() + std::max(usual, change->rateLimitPause);
   if (!report) return;
-  onHeard(instance, *change);
+  onResponse(instance, *change);
   change->running = report->running;
   if (change->phase == Phase::kLoading) {
     onLoadReport(instance, *change, *report);
@@ -192,9 +194,9 @@
   const auto record = environment_.directory.find(instance);
   const bool flush =
       !change.noneWaiting && record && mustFlush(change.model, record->versionOf(change.model));
-  const bool first = loadsFirst(change);
-  if (!idle && !flush && !first && now - change.startedAt < options_.longestDrain) return;
-  change.phase = Phase::kPrepared;
+  const bool canary = loadsAsCanary(change);
+  if (!idle && !flush && !canary && now - change.startedAt < options_.drainTimeout) return;
+  change.phase = Phase::kAwaitingSlot;
   change.nextAt = now;
   advance(instance, change);
 }
@@ -202,37 +204,38 @@
 void WeightsRollout::onLoadReport(const std::string& instance, Change& change,
                                   const clients::WeightsReport& report) {
   const auto now = environment_.clock.now();
-  if (report.busy) change.busyAt = now;
+  if (report.busy) change.lastBusyAt = now;
   if (report.version >= change.version && !report.busy) {
     finishServed(instance, report.version);
     return;
   }
   // Reports lag: only one that is well younger than the order shows that it was not taken.
-  const bool stale = now - change.orderedAt < options_.repeatOrder;
+  const bool stale = now - change.orderedAt < options_.orderRetryDelay;
   if (report.busy || stale) return;
   ordersTaken_[instance] = report.orders;
-  change.phase = Phase::kPrepared;
+  change.phase = Phase::kAwaitingSlot;
   change.nextAt = now;
 }
 
-void WeightsRollout::finishGone(const std::string& instance, const Change& change) {
+void WeightsRollout::finishTerminated(const std::string& instance, const Change& change) {
   // What ends for another reason mostly ends without having taken the order.
-  const bool stops =
-      change.accepted && versions_.onEnded(change.model, change.version, environment_.clock.now());
+  const bool stopsVersion =
+      change.accepted &&
+      versionWatch_.onTerminated(change.model, change.version, environment_.clock.now());
   finish(instance,
-         stops ? "gone; replicas end while they load this version, it is stopped" : "gone");
+         stopsVersion ? "gone; replicas end while they load this version, it is stopped" : "gone");
 }
 
-void WeightsRollout::release(const std::string& instance) {
+void WeightsRollout::abandon(const std::string& instance) {
   const auto& model = changes_.at(instance).model;
   if (const auto record = environment_.directory.find(instance))
-    environment_.news.onReplicaServing(instance, model, record->versionOf(model));
+    environment_.changeListener.onReplicaServing(instance, model, record->versionOf(model));
   finish(instance, "the version is stopped");
 }
 
 void WeightsRollout::finishServed(const std::string& instance, base::WeightsVersion version) {
-  versions_.onServed(changes_.at(instance).model, version);
-  environment_.news.onReplicaServing(instance, changes_.at(instance).model, version);
+  versionWatch_.onServed(changes_.at(instance).model, version);
+  environment_.changeListener.onReplicaServing(instance, changes_.at(instance).model, version);
   finish(instance, "served");
 }
 
@@ -247,7 +250,7 @@
   if (served) {
     constexpr int kSmoothing = 4;
     changeTime_ +=
-        (std::min(now - change.startedAt, options_.longestChange) - changeTime_) / kSmoothing;
+        (std::min(now - change.startedAt, options_.maximumChangeTime) - changeTime_) / kSmoothing;
   }
   environment_.log.write(served ? base::Event::kOrderFinished : base::Event::kOrderFailed,
                          {{"replica", instance},
--- a/src/coordination/weights_rollout.h
+++ b/src/coordination/weights_rollout.h
@@ -40,37 +40,37 @@
   base::Duration interval = std::chrono::milliseconds(50);
   /// From telling the replica's home until the first report: requests that were granted before
   /// reach the replica within a round trip.
-  base::Duration lead = std::chrono::milliseconds(60);
+  base::Duration firstReportDelay = std::chrono::milliseconds(60);
   /// From an order until the first report; loads take at least about half a second.
-  base::Duration loadLead = std::chrono::milliseconds(350);
+  base::Duration loadReportDelay = std::chrono::milliseconds(350);
   base::Duration reportInterval = std::chrono::milliseconds(100);
   /// Longest pause between calls to a replica with a rate limit: its weights are due at a date.
-  base::Duration longestLimitedPause = std::chrono::milliseconds(1500);
+  base::Duration maximumRateLimitPause = std::chrono::milliseconds(1500);
   /// A replica that is not idle after this is ordered nevertheless; its runs end first.
-  base::Duration longestDrain = std::chrono::milliseconds(1500);
+  base::Duration drainTimeout = std::chrono::milliseconds(1500);
   /// Nothing is ordered with a fencing token for so long after a replica refused it as too old: the
   /// lease has another holder, which this node learns within about a second.
-  base::Duration fencedPause = std::chrono::milliseconds(1500);
+  base::Duration fencedBackoff = std::chrono::milliseconds(1500);
   /// An order without an answer is given again after this.
-  base::Duration repeatOrder = std::chrono::milliseconds(1000);
+  base::Duration orderRetryDelay = std::chrono::milliseconds(1000);
   /// A replica that gives no report for so long, or is not done so long after its order, is left,
   /// and taken up again later.
-  base::Duration giveUp = std::chrono::seconds(5);
+  base::Duration loadTimeout = std::chrono::seconds(5);
   /// A replica that has not answered for so long takes no place any more.
-  base::Duration silentAfter = std::chrono::milliseconds(500);
+  base::Duration unresponsiveAfter = std::chrono::milliseconds(500);
   /// From one report of such a replica to the next.
-  base::Duration silentInterval = std::chrono::milliseconds(250);
+  base::Duration unresponsiveInterval = std::chrono::milliseconds(250);
   /// A replica whose reports show the order under way is waited for so long: its runs end first.
-  base::Duration longestBusy = std::chrono::seconds(10);
+  base::Duration busyTimeout = std::chrono::seconds(10);
   /// Part of a place for loads that an ordered replica takes whose runs have not ended.
-  double shareWhileRunning = 0.5;
+  double slotShareWhileRunning = 0.5;
   /// This long after requests on an older version became forbidden, every replica that still has
   /// both it and requests that wait is ordered: these are refused as not run instead of beginning
   /// on the older version.
   base::Duration flushAfter = std::chrono::milliseconds(400);
   /// How long a change is taken to last at first, and at most.
-  base::Duration firstChange = std::chrono::milliseconds(1800);
-  base::Duration longestChange = std::chrono::milliseconds(4000);
+  base::Duration initialChangeTime = std::chrono::milliseconds(1800);
+  base::Duration maximumChangeTime = std::chrono::milliseconds(4000);
   RolloutPlanOptions plan;
   ReplicaSurveyOptions survey;
 };
@@ -94,7 +94,7 @@
   clients::WeightsClient& replicas;
   const routing::ReplicaDirectory& directory;
   const routing::WeightsTargets& targets;
-  ReplicaChangeListener& news;
+  ReplicaChangeListener& changeListener;
   /// Name of this node.
   std::string holder;
   /// How many replicas of a service long runs fill; none are kept together without it.
@@ -108,9 +108,10 @@
 
 class WeightsRollout {
  public:
-  using Grant = std::function<std::optional<LeaseGrant>()>;
+  using GrantSource = std::function<std::optional<LeaseGrant>()>;
 
-  WeightsRollout(WeightsRolloutOptions options, WeightsRolloutEnvironment environment, Grant grant);
+  WeightsRollout(WeightsRolloutOptions options, WeightsRolloutEnvironment environment,
+                 GrantSource grant);
   ~WeightsRollout();
   WeightsRollout(const WeightsRollout&) = delete;
   WeightsRollout& operator=(const WeightsRollout&) = delete;
@@ -119,10 +120,10 @@
   void start();
   /// The lease was lost or is given up.
   void stop();
-  std::size_t underWay() const { return changes_.size(); }
+  std::size_t changesInProgress() const { return changes_.size(); }
 
  private:
-  enum class Phase : std::uint8_t { kDraining, kPrepared, kLoading };
+  enum class Phase : std::uint8_t { kDraining, kAwaitingSlot, kLoading };
   struct Change {
     std::string model;
     base::WeightsVersion version = 0;
@@ -132,52 +133,52 @@
     base::TimePoint nextAt{};
     base::TimePoint orderedAt{};
     /// The latest answer of the replica, at first the change's start.
-    base::TimePoint heardAt{};
+    base::TimePoint lastResponseAt{};
     /// The latest report that showed the order under way.
-    base::TimePoint busyAt{};
+    base::TimePoint lastBusyAt{};
     /// The replica has taken the order.
     bool accepted = false;
     /// Requests that run there, by the latest report.
     std::uint32_t running = 0;
     /// The latest report showed no requests that wait to begin.
     bool noneWaiting = false;
-    bool callUnderWay = false;
+    bool callInFlight = false;
     /// Between calls, where the replica names a rate limit: it takes them within that.
-    base::Duration limitedPause{};
+    base::Duration rateLimitPause{};
   };
 
   void tick();
   void advance(const std::string& instance, Change& change);
   /// Starts the changes that the plan wants now.
-  void begin(const std::string& model, const routing::WeightsTargetList& targets);
-  void order(const std::string& instance, Change& change);
-  void onOrdered(const std::string& instance, clients::WeightsOrderStatus status);
-  void askReport(const std::string& instance, Change& change);
+  void startChanges(const std::string& model, const routing::WeightsTargetList& targets);
+  void sendOrder(const std::string& instance, Change& change);
+  void onOrderResponse(const std::string& instance, clients::WeightsOrderStatus status);
+  void requestReport(const std::string& instance, Change& change);
   void onReport(const std::string& instance, const std::optional<clients::WeightsReport>& report);
   void onDrainReport(const std::string& instance, Change& change,
                      const clients::WeightsReport& report);
   void onLoadReport(const std::string& instance, Change& change,
                     const clients::WeightsReport& report);
   /// Asks replicas that are still to be changed how many requests they have.
-  void ask(const std::string& model, base::WeightsVersion newest);
+  void surveyOutdated(const std::string& model, base::WeightsVersion newest);
   /// The replica is to be the first that loads the version, before its runs have ended, as the
   /// others wait for it: nobody has loaded it, and no other that drains has fewer runs.
-  bool loadsFirst(const Change& change) const;
+  bool loadsAsCanary(const Change& change) const;
   /// Has not answered lately.
-  bool silent(const Change& change) const;
-  base::Duration limitedPauseOf(const routing::ReplicaRecord& record) const;
+  bool unresponsive(const Change& change) const;
+  base::Duration rateLimitPauseOf(const routing::ReplicaRecord& record) const;
   /// The replica answered; one that was silent begins its change anew.
-  void onHeard(const std::string& instance, Change& change);
+  void onResponse(const std::string& instance, Change& change);
   /// Whether the replica is ready, of a service of the configuration, and has not ended.
   bool usable(const routing::ReplicaRecord& record) const;
   /// Whether the change has taken longer than any does that goes on.
   bool overdue(const Change& change) const;
   /// Replicas that were ordered and answer; those whose runs have not ended count in part.
-  double loading() const;
+  double slotsInUse() const;
   /// The replica ended.
-  void finishGone(const std::string& instance, const Change& change);
+  void finishTerminated(const std::string& instance, const Change& change);
   /// Lets the replica serve the version that it has.
-  void release(const std::string& instance);
+  void abandon(const std::string& instance);
   /// The replica's version is forbidden and requests may still wait there.
   bool mustFlush(const std::string& model, base::WeightsVersion version) const;
   /// The replica serves the version: the other nodes are told and the change is over.
@@ -187,11 +188,11 @@
 
   WeightsRolloutOptions options_;
   WeightsRolloutEnvironment environment_;
-  Grant grant_;
+  GrantSource grant_;
   RolloutPlan plan_;
   ReplicaSurvey survey_;
   CapacityAccount capacity_;
-  VersionWatch versions_;
+  VersionWatch versionWatch_;
   std::map<std::string, Change> changes_;
   /// Orders that each replica has taken, as far as this node knows.
   std::map<std::string, std::uint64_t> ordersTaken_;
--- a/src/coordination/weights_rollout_pace.cc
+++ b/src/coordination/weights_rollout_schedule.cc
@@ -11,37 +11,38 @@
   return version < environment_.targets.oldestAllowed(model, before);
 }
 
-bool WeightsRollout::silent(const Change& change) const {
+bool WeightsRollout::unresponsive(const Change& change) const {
   // One that waits for a place to load is not asked.
-  return change.phase != Phase::kPrepared &&
-         environment_.clock.now() - change.heardAt > options_.silentAfter + change.limitedPause;
+  return change.phase != Phase::kAwaitingSlot &&
+         environment_.clock.now() - change.lastResponseAt >
+             options_.unresponsiveAfter + change.rateLimitPause;
 }
 
-base::Duration WeightsRollout::limitedPauseOf(const routing::ReplicaRecord& record) const {
+base::Duration WeightsRollout::rateLimitPauseOf(const routing::ReplicaRecord& record) const {
   const auto interval = routing::RatePacer::intervalOf(record.notices().rateLimit().perSecond());
-  return std::min(interval, options_.longestLimitedPause);
+  return std::min(interval, options_.maximumRateLimitPause);
 }
 
-bool WeightsRollout::loadsFirst(const Change& change) const {
+bool WeightsRollout::loadsAsCanary(const Change& change) const {
   const auto newest = environment_.targets.newest(change.model);
-  if (!change.noneWaiting || !versions_.untried(change.model, newest)) return false;
+  if (!change.noneWaiting || !versionWatch_.untried(change.model, newest)) return false;
   // Those that were begun with at the same time have answered by the second report.
   const auto age = environment_.clock.now() - change.startedAt;
-  if (age < options_.lead + options_.reportInterval) return false;
+  if (age < options_.firstReportDelay + options_.reportInterval) return false;
   return std::ranges::none_of(changes_, [&](const auto& entry) {
     const Change& other = entry.second;
-    return other.model == change.model && other.heardAt > other.startedAt &&
+    return other.model == change.model && other.lastResponseAt > other.startedAt &&
            other.running < change.running;
   });
 }
 
-void WeightsRollout::onHeard(const std::string& instance, Change& change) {
+void WeightsRollout::onResponse(const std::string& instance, Change& change) {
   const auto now = environment_.clock.now();
-  if (silent(change) && change.phase == Phase::kDraining) {
+  if (unresponsive(change) && change.phase == Phase::kDraining) {
     change.startedAt = now;
-    environment_.news.onReplicaChanging(instance);
+    environment_.changeListener.onReplicaChanging(instance);
   }
-  change.heardAt = now;
+  change.lastResponseAt = now;
 }
 
 bool WeightsRollout::usable(const routing::ReplicaRecord& record) const {
@@ -54,33 +55,34 @@
   const auto now = environment_.clock.now();
   if (change.phase != Phase::kLoading) return false;
   // Reports may show for a while what was before.
-  const bool busy = now - change.busyAt <= options_.giveUp;
-  return now - change.orderedAt > (busy ? options_.longestBusy : options_.giveUp);
+  const bool busy = now - change.lastBusyAt <= options_.loadTimeout;
+  return now - change.orderedAt > (busy ? options_.busyTimeout : options_.loadTimeout);
 }
 
-double WeightsRollout::loading() const {
-  double places = 0;
+double WeightsRollout::slotsInUse() const {
+  double slots = 0;
   for (const auto& [instance, change] : changes_) {
-    if (change.phase != Phase::kLoading || silent(change)) continue;
-    places += change.running == 0 ? 1 : options_.shareWhileRunning;
+    if (change.phase != Phase::kLoading || unresponsive(change)) continue;
+    slots += change.running == 0 ? 1 : options_.slotShareWhileRunning;
   }
-  return places;
+  return slots;
 }
 
-void WeightsRollout::begin(const std::string& model, const routing::WeightsTargetList& targets) {
+void WeightsRollout::startChanges(const std::string& model,
+                                  const routing::WeightsTargetList& targets) {
   const auto now = environment_.clock.now();
   RolloutView view{.model = model, .targets = targets, .changeTime = changeTime_, .now = now};
   for (const auto& [instance, record] : environment_.directory.all()) {
-    const bool reachable = !record->health().ejected(now) && !survey_.silent(instance);
+    const bool reachable = !record->health().ejected(now) && !survey_.unresponsive(instance);
     if (record->versionOf(model) == 0 || !reachable || !usable(*record)) continue;
     view.served.push_back(record);
-    if (record->notices().backingOff(now) && !changes_.contains(instance)) ++view.resting;
+    if (record->notices().backingOff(now) && !changes_.contains(instance)) ++view.backingOff;
     if (record->versionOf(model) == targets.back().version)
-      versions_.onServed(model, targets.back().version);
+      versionWatch_.onServed(model, targets.back().version);
   }
   for (const auto& [instance, change] : changes_) {
-    view.begun.insert(instance);
-    view.away += change.model == model && !silent(change) ? 1 : 0;
+    view.started.insert(instance);
+    view.unavailable += change.model == model && !unresponsive(change) ? 1 : 0;
   }
   view.oldestAllowed = environment_.targets.oldestAllowed(model, now);
   if (environment_.longRunReplicas && !view.served.empty())
@@ -90,32 +92,34 @@
     capacity_.onDemand(model, environment_.replicasInUse(service), now);
     view.needed = capacity_.needed(model);
   }
-  view.requestsAt = [this](const std::string& instance) { return survey_.requests(instance); };
-  if (versions_.stopped(model, targets.back().version, now)) return;
+  view.requestCountOf = [this](const std::string& instance) {
+    return survey_.requestCount(instance);
+  };
+  if (versionWatch_.stopped(model, targets.back().version, now)) return;
   const auto step = plan_.next(view);
-  ask(model, targets.back().version);
-  loadLimit_ = step.mostLoading;
-  for (const auto& [instance, unused] : step.begin) {
+  surveyOutdated(model, targets.back().version);
+  loadLimit_ = step.maximumLoading;
+  for (const auto& [instance, versionForbidden] : step.toStart) {
     Change change;
     change.model = model;
     change.version = targets.back().version;
     change.startedAt = now;
-    change.heardAt = now;
-    change.nextAt = unused ? now : now + options_.lead;
-    survey_.forget(instance);
+    change.lastResponseAt = now;
+    change.nextAt = versionForbidden ? now : now + options_.firstReportDelay;
+    survey_.remove(instance);
     changes_.emplace(instance, change);
-    environment_.news.onReplicaChanging(instance);
+    environment_.changeListener.onReplicaChanging(instance);
   }
 }
 
-void WeightsRollout::ask(const std::string& model, base::WeightsVersion newest) {
+void WeightsRollout::surveyOutdated(const std::string& model, base::WeightsVersion newest) {
   std::vector<routing::ReplicaRecordPtr> outdated;
   for (const auto& [instance, record] : environment_.directory.all()) {
     const auto version = record->versionOf(model);
     if (usable(*record) && version != 0 && version < newest && !changes_.contains(instance))
       outdated.push_back(record);
   }
-  survey_.step(model, outdated);
+  survey_.poll(model, outdated);
 }
 
 }  // namespace covewing::coordination
--- a/tests/coordination/capacity_account_test.cc
+++ b/tests/coordination/capacity_account_test.cc
@@ -10,15 +10,15 @@
 
 BOOST_AUTO_TEST_SUITE(CapacityAccountTest)
 
-BOOST_AUTO_TEST_CASE(WhatIsNeededAndTheHeadroomAreNotSpare) {
-  FleetRoom room;
-  room.serving = 50;
-  room.changing = 10;
-  room.silent = 30;
-  room.needed = 40;
-  BOOST_TEST(room.spare(0.25) == 10U);
-  room.needed = 70;
-  BOOST_TEST(room.spare(0.25) == 0U);
+BOOST_AUTO_TEST_CASE(RequiredCapacityAndHeadroomAreNotSpare) {
+  FleetCapacity capacity;
+  capacity.serving = 50;
+  capacity.changing = 10;
+  capacity.unresponsive = 30;
+  capacity.needed = 40;
+  BOOST_TEST(capacity.spareReplicas(0.25) == 10U);
+  capacity.needed = 70;
+  BOOST_TEST(capacity.spareReplicas(0.25) == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(DemandRisesAtOnceAndFallsSlowly) {
--- a/tests/coordination/coordination_world.h
+++ b/tests/coordination/coordination_world.h
@@ -40,7 +40,7 @@
   // Runs now, or when the pause is over.
   void run(std::function<void()> callback) {
     if (paused_) {
-      held_.push_back(std::move(callback));
+      deferred_.push_back(std::move(callback));
     } else {
       callback();
     }
@@ -48,17 +48,17 @@
   void pause() { paused_ = true; }
   void resume() {
     paused_ = false;
-    for (auto& callback : std::exchange(held_, {})) callback();
+    for (auto& callback : std::exchange(deferred_, {})) callback();
   }
   // The clock alone jumps; no time passes.
   void jump(base::Duration by) { shift_ += by; }
-  std::weak_ptr<bool> life() const { return alive_; }
+  std::weak_ptr<bool> lifetime() const { return alive_; }
 
  private:
   emulator::VirtualTime& world_;
   base::Duration shift_;
   bool paused_ = false;
-  std::vector<std::function<void()>> held_;
+  std::vector<std::function<void()>> deferred_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
@@ -69,33 +69,33 @@
       : time_(time), network_(network), table_(table) {}
 
   void read(std::vector<std::string> keys, clients::TableCallback callback) override {
-    if (refuse(callback)) return;
+    if (failIfCutOff(callback)) return;
     table_.read(std::move(keys), wrap(std::move(callback)));
   }
   void scan(std::string prefix, base::Revision after, std::size_t limit,
             clients::TableCallback callback) override {
-    if (refuse(callback)) return;
+    if (failIfCutOff(callback)) return;
     table_.scan(std::move(prefix), after, limit, wrap(std::move(callback)));
   }
   void commit(clients::TableTransaction transaction, clients::TableCallback callback) override {
-    if (refuse(callback)) return;
+    if (failIfCutOff(callback)) return;
     const bool writesOrder = transaction.writes.front().key.starts_with("order/");
-    if (!writesOrder || holdNextOrderWriteFor == base::Duration::zero()) {
+    if (!writesOrder || delayNextOrderWriteBy == base::Duration::zero()) {
       return table_.commit(std::move(transaction), wrap(std::move(callback)));
     }
-    network_.schedule(std::exchange(holdNextOrderWriteFor, base::Duration::zero()),
+    network_.schedule(std::exchange(delayNextOrderWriteBy, base::Duration::zero()),
                       [&table = table_, transaction, callback = wrap(std::move(callback))] {
                         table.commit(transaction, callback);
                       });
   }
 
   // Keeps the next write of an order's row in the network for this long.
-  base::Duration holdNextOrderWriteFor{};
+  base::Duration delayNextOrderWriteBy{};
   bool cutOff = false;
   std::size_t calls = 0;
 
  private:
-  bool refuse(const clients::TableCallback& callback) {
+  bool failIfCutOff(const clients::TableCallback& callback) {
     ++calls;
     if (!cutOff) return false;
     time_.schedule(std::chrono::milliseconds(1), [callback] {
@@ -104,7 +104,7 @@
     return true;
   }
   clients::TableCallback wrap(clients::TableCallback callback) {
-    return [&time = time_, alive = time_.life(), callback](const clients::TableReply& reply) {
+    return [&time = time_, alive = time_.lifetime(), callback](const clients::TableReply& reply) {
       if (!alive.expired()) time.run([callback, reply] { callback(reply); });
     };
   }
@@ -180,7 +180,7 @@
     }
     return result;
   }
-  std::size_t holding(base::WeightsVersion version) const {
+  std::size_t enginesWith(base::WeightsVersion version) const {
     std::size_t count = 0;
     for (const auto& [id, engine] : engines_) {
       count += holdsVersion(engine->weights(), "rules", version) ? 1 : 0;
@@ -223,7 +223,7 @@
                 std::function<void(std::optional<clients::EngineReport>)>) override {}
   void poll(const clients::BackEndAddress& address, std::uint64_t fromSequence,
             std::function<void(std::optional<clients::EngineReport>)> callback) override {
-    network_.schedule(kDelay, [&time = time_, &engines = engines_, alive = time_.life(),
+    network_.schedule(kDelay, [&time = time_, &engines = engines_, alive = time_.lifetime(),
                                id = address.id, fromSequence, callback] {
       engines.find(id)->report(fromSequence, [&time, alive, callback](const auto& report) {
         if (!alive.expired()) time.run([callback, report] { callback(report); });
@@ -232,8 +232,8 @@
   }
   void order(const clients::BackEndAddress& address, clients::EngineOrder order,
              std::function<void(clients::OrderReply)> callback) override {
-    const base::Duration delay = kDelay + std::exchange(holdNextOrderFor, base::Duration::zero());
-    network_.schedule(delay, [&time = time_, &engines = engines_, alive = time_.life(),
+    const base::Duration delay = kDelay + std::exchange(delayNextOrderBy, base::Duration::zero());
+    network_.schedule(delay, [&time = time_, &engines = engines_, alive = time_.lifetime(),
                               id = address.id, order, callback] {
       engines.find(id)->order(order, [&time, alive, callback](const auto& reply) {
         if (!alive.expired()) time.run([callback, reply] { callback(reply); });
@@ -242,7 +242,7 @@
   }
 
   // Keeps the next engine order in the network for this long.
-  base::Duration holdNextOrderFor{};
+  base::Duration delayNextOrderBy{};
 
  private:
   static constexpr base::Duration kDelay = std::chrono::milliseconds(1);
@@ -327,7 +327,7 @@
     return holder;
   }
   TestNode& holderNode() { return *nodes.at(holder()); }
-  TestNode& bystander() {
+  TestNode& nonHolder() {
     for (auto& [name, node] : nodes) {
       if (name != holder()) return *node;
     }
@@ -376,7 +376,7 @@
         std::chrono::minutes(3), [&] { return isFinal(order(id).state); }, invariant);
   }
 
-  bool losePeerMessages = false;
+  bool dropPeerMessages = false;
   emulator::TestWorld shared;
   emulator::TableModel table{emulator::kTableDefaults, shared.time, shared.time, shared.random};
   WorldEngines engines{shared};
@@ -386,7 +386,7 @@
 
 inline void NodePeers::send(const base::Endpoint& destination, base::Channel /*channel*/,
                             std::string payload) {
-  if (world.losePeerMessages) return;
+  if (world.dropPeerMessages) return;
   for (const auto& member : world.members.live) {
     if (member.endpoint != destination) continue;
     world.shared.time.schedule(std::chrono::milliseconds(1), [this, name = member.name, payload] {
--- a/tests/coordination/fault_schedule_test.cc
+++ b/tests/coordination/fault_schedule_test.cc
@@ -19,7 +19,7 @@
 /// A fleet whose nodes are paused, cut off, restarted and lose the table's answers.
 class FaultyFleet {
  public:
-  explicit FaultyFleet(std::uint64_t seed) : draw_(seed) {
+  explicit FaultyFleet(std::uint64_t seed) : random_(seed) {
     world.addNodes();
     world.addEngines(kEngines);
     world.engines.weightStore.setSpeed(0.3);
@@ -28,9 +28,9 @@
   }
 
   /// One fault, or the end of one.
-  void disturb() {
+  void injectFault() {
     TestNode& node = randomNode();
-    switch (draw_.below(8)) {
+    switch (random_.below(8)) {
       case 0:
         node.time.pause();
         ++faults;
@@ -44,14 +44,14 @@
         ++faults;
         break;
       case 4:
-        world.table.conditions().setAnswerLoss(static_cast<double>(draw_.below(5)) * 0.2);
+        world.table.conditions().setAnswerLoss(static_cast<double>(random_.below(5)) * 0.2);
         ++faults;
         break;
       case 5:
-        node.engines.holdNextOrderFor = seconds(draw_.below(20));
+        node.engines.delayNextOrderBy = seconds(random_.below(20));
         break;
       case 6:
-        node.table.holdNextOrderWriteFor = seconds(draw_.below(20));
+        node.table.delayNextOrderWriteBy = seconds(random_.below(20));
         break;
       default:
         restart(node.members.self());
@@ -60,17 +60,17 @@
     }
   }
 
-  void calm() {
+  void clearFaults() {
     world.table.conditions().setAnswerLoss(0);
     for (auto& [name, node] : world.nodes) {
       node->time.resume();
       node->table.cutOff = false;
-      node->engines.holdNextOrderFor = base::Duration::zero();
-      node->table.holdNextOrderWriteFor = base::Duration::zero();
+      node->engines.delayNextOrderBy = base::Duration::zero();
+      node->table.delayNextOrderWriteBy = base::Duration::zero();
     }
   }
 
-  base::Duration randomTime() { return milliseconds(draw_.below(4000)); }
+  base::Duration randomTime() { return milliseconds(random_.below(4000)); }
 
   World world;
   std::size_t faults = 0;
@@ -78,7 +78,7 @@
  private:
   TestNode& randomNode() {
     auto node = world.nodes.begin();
-    std::advance(node, static_cast<std::ptrdiff_t>(draw_.below(world.nodes.size())));
+    std::advance(node, static_cast<std::ptrdiff_t>(random_.below(world.nodes.size())));
     return *node->second;
   }
 
@@ -88,37 +88,37 @@
         .coordinator.start();
   }
 
-  base::SeededRandom draw_;
+  base::SeededRandom random_;
 };
 
 }  // namespace
 
 BOOST_AUTO_TEST_SUITE(FaultScheduleTest)
 
-BOOST_AUTO_TEST_CASE(OneHolderFewLoadsAndEveryOrderIsFinished) {
+BOOST_AUTO_TEST_CASE(OneHolderBoundedLoadsAndEveryOrderFinishes) {
   std::size_t faults = 0;
   std::size_t fencedOff = 0;
   base::FencingToken highestToken = 0;
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     BOOST_TEST_CONTEXT("seed " << seed) {
       FaultyFleet fleet(seed);
-      fleet.world.losePeerMessages = seed % 3 == 0;
+      fleet.world.dropPeerMessages = seed % 3 == 0;
       OrderRequest request;
       request.type = seed % 2 == 0 ? OrderType::kSwap : OrderType::kLoad;
       request.model = "rules";
       request.version = 2;
       if (request.type == OrderType::kLoad) request.count = kEngines;
-      const std::string id = fleet.world.createOrder(fleet.world.bystander(), request);
+      const std::string id = fleet.world.createOrder(fleet.world.nonHolder(), request);
       for (int round = 0; round < 20; ++round) {
-        fleet.disturb();
+        fleet.injectFault();
         fleet.world.runUntil(
             fleet.randomTime(), [] { return false; }, [&] { fleet.world.holder(); });
       }
-      fleet.calm();
+      fleet.clearFaults();
       BOOST_TEST(fleet.world.runUntilFinished(id, [&] { fleet.world.holder(); }));
       const Order order = fleet.world.order(id);
       BOOST_TEST((order.state == OrderState::kDone));
-      BOOST_TEST(fleet.world.engines.holding(2) == kEngines);
+      BOOST_TEST(fleet.world.engines.enginesWith(2) == kEngines);
       BOOST_TEST(fleet.world.engines.weightStore.peakLoads() <= kLoadSlots);
       faults += fleet.faults;
       fencedOff += fleet.world.engines.fencedOff;
--- a/tests/coordination/lease_manager_test.cc
+++ b/tests/coordination/lease_manager_test.cc
@@ -40,7 +40,7 @@
   BOOST_TEST(leaseRowIn(world).token == token);
 }
 
-BOOST_AUTO_TEST_CASE(CrashedHolderIsReplacedAfterItsLeaseOnly) {
+BOOST_AUTO_TEST_CASE(CrashedHolderIsReplacedOnlyAfterItsLeaseHasExpired) {
   World world;
   world.addNodes();
   world.start();
@@ -70,7 +70,7 @@
   BOOST_TEST(world.holder() != former);
 }
 
-BOOST_AUTO_TEST_CASE(PausedHolderFindsItselfReplaced) {
+BOOST_AUTO_TEST_CASE(PausedHolderIsReplacedAndLosesTheLease) {
   World world;
   world.addNodes();
   world.start();
@@ -101,7 +101,7 @@
   BOOST_TEST(replaced);
 }
 
-BOOST_AUTO_TEST_CASE(LostAnswersAreReadBackByNonce) {
+BOOST_AUTO_TEST_CASE(LostRepliesAreReadBackByNonce) {
   World world;
   world.addNodes();
   world.table.conditions().loseNextAnswers(3);
@@ -143,7 +143,7 @@
       seconds(60), [] { return false; }, [&] { BOOST_TEST(world.holder().empty()); });
 }
 
-BOOST_AUTO_TEST_CASE(RacingCandidatesGiveOneHolderAndGrowingTokens) {
+BOOST_AUTO_TEST_CASE(RacingCandidatesResultInOneHolderAndOneToken) {
   for (int shift = 0; shift < 40; ++shift) {
     World world;
     world.addNode("node-a", "zone-1");
@@ -159,7 +159,7 @@
 
 // The new run never uses what the former one held: it takes the lease anew, with a higher token and
 // another tenure, so that writes of the former run that come late are refused.
-BOOST_AUTO_TEST_CASE(RestartedHolderTakesItsLeaseAnewAtOnce) {
+BOOST_AUTO_TEST_CASE(RestartedHolderReacquiresItsLeaseAtOnce) {
   World world;
   world.addNode("node-a", "zone-1");
   world.start();
@@ -174,7 +174,7 @@
   BOOST_TEST(world.table.readNow({tenure}).rows.at(0).revision > before);
 }
 
-BOOST_AUTO_TEST_CASE(AllNodesRestartedHaveAHolderAtOnce) {
+BOOST_AUTO_TEST_CASE(FleetRestartedAsAWholeHasAHolderAtOnce) {
   World world;
   world.addNodes();
   world.start();
@@ -188,7 +188,7 @@
   BOOST_TEST(leaseRowIn(world).token == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(MachineOfTheSameNameAtAnotherAddressWaitsForTheLeaseToLapse) {
+BOOST_AUTO_TEST_CASE(MachineOfTheSameNameAtAnotherAddressWaitsForTheLeaseToExpire) {
   World world;
   world.addNode("node-a", "zone-1");
   world.start();
@@ -208,28 +208,28 @@
   BOOST_TEST(leaseRowIn(world).token == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(NextHolderOrdersOnlyAfterTheGap) {
+BOOST_AUTO_TEST_CASE(NextHolderSendsOrdersOnlyAfterTheGap) {
   LeaseOptions options;
   options.duration = milliseconds(3600);
   options.margin = milliseconds(300);
-  BOOST_TEST((settleTime(Succession::kLapsed, options) == base::Duration::zero()));
+  BOOST_TEST((settleTime(Succession::kExpired, options) == base::Duration::zero()));
   options.orderGap = milliseconds(3000);
   options.orderTransitTime = milliseconds(800);
   BOOST_TEST((settleTime(Succession::kFirst, options) == base::Duration::zero()));
-  BOOST_TEST((settleTime(Succession::kFormerRun, options) == options.orderTransitTime));
-  BOOST_TEST(
-      (settleTime(Succession::kRecent, options) == options.orderGap + options.orderTransitTime));
+  BOOST_TEST((settleTime(Succession::kRestartedHolder, options) == options.orderTransitTime));
+  BOOST_TEST((settleTime(Succession::kRecentlyActive, options) ==
+              options.orderGap + options.orderTransitTime));
   // The former holder sent its last order at most a window after its last write, and that was under
   // way for its time; the lease was taken its duration and margin after the write.
   for (const auto window : {milliseconds(900), milliseconds(1500), milliseconds(3600)}) {
     options.orderWindow = window;
-    const auto settle = settleTime(Succession::kLapsed, options);
+    const auto settle = settleTime(Succession::kExpired, options);
     BOOST_TEST((options.duration + options.margin + settle - window - options.orderTransitTime >=
                 options.orderGap));
   }
 }
 
-BOOST_AUTO_TEST_CASE(CallsToTheTableAreBoundedHoweverManyNodes) {
+BOOST_AUTO_TEST_CASE(CallsToTheTableAreBoundedForAnyNumberOfNodes) {
   World world;
   for (int index = 0; index < 60; ++index) {
     world.addNode("node-" + std::to_string(index), "zone-" + std::to_string(index % 5));
@@ -242,10 +242,10 @@
   BOOST_TEST(world.table.conditions().admitted() - before <= 30U + 12U + 2U);
 }
 
-BOOST_AUTO_TEST_CASE(CandidatesThatHearNothingLookForThemselves) {
+BOOST_AUTO_TEST_CASE(CandidatesWithoutAnnouncementsReadTheRow) {
   World world;
   world.addNodes();
-  world.losePeerMessages = true;
+  world.dropPeerMessages = true;
   world.start();
   world.run(seconds(10));
   const std::uint64_t before = world.table.conditions().admitted();
@@ -261,7 +261,7 @@
   world.addNodes();
   world.start();
   world.run(seconds(5));
-  TestNode& node = world.bystander();
+  TestNode& node = world.nonHolder();
   base::Writer writer;
   const std::string truncated = writer.array(2).unsignedInteger(3).unsignedInteger(9).take();
   const std::string unknown = writer.array(1).unsignedInteger(77).take();
@@ -287,7 +287,7 @@
   BOOST_TEST(leaseCandidates("lease", "elsewhere", world.members.live, 3).empty());
 }
 
-BOOST_AUTO_TEST_CASE(RowSurvivesItsEncoding) {
+BOOST_AUTO_TEST_CASE(RowIsEqualAfterEncodingAndParsing) {
   const LeaseRow row{"node-a", 7, ~std::uint64_t{0}, 12, true, "10.1.2.3:9", true};
   base::Reason reason;
   const auto parsed = parseLeaseRow(encodeLeaseRow(row), reason);
--- a/tests/coordination/lease_return_test.cc
+++ b/tests/coordination/lease_return_test.cc
@@ -45,21 +45,22 @@
 };
 
 /// A node's way to the service, which may be cut; it tells the eras of answers.
-class Way final : public clients::TableClient {
+class Connection final : public clients::TableClient {
  public:
-  Way(clients::TableClient& service, config::StoreEras& eras) : service_(service), eras_(eras) {}
+  Connection(clients::TableClient& service, config::StoreEras& eras)
+      : service_(service), eras_(eras) {}
   void read(std::vector<std::string> keys, clients::TableCallback callback) override {
     if (cut) return waiting.push_back(std::move(callback));
-    service_.read(std::move(keys), telling(std::move(callback)));
+    service_.read(std::move(keys), observingEra(std::move(callback)));
   }
   void scan(std::string /*prefix*/, base::Revision /*after*/, std::size_t /*limit*/,
             clients::TableCallback /*callback*/) override {}
   void commit(clients::TableTransaction transaction, clients::TableCallback callback) override {
     if (cut) return waiting.push_back(std::move(callback));
-    service_.commit(std::move(transaction), telling(std::move(callback)));
+    service_.commit(std::move(transaction), observingEra(std::move(callback)));
   }
   /// Calls that get no answer while the way is cut end without one.
-  void mend() {
+  void restore() {
     cut = false;
     for (const auto& callback : std::exchange(waiting, {})) callback({});
   }
@@ -67,7 +68,7 @@
   std::vector<clients::TableCallback> waiting;
 
  private:
-  clients::TableCallback telling(clients::TableCallback callback) {
+  clients::TableCallback observingEra(clients::TableCallback callback) {
     return [this, callback = std::move(callback)](const clients::TableReply& reply) {
       eras_.note(base::eraOf(reply.revision), "the service");
       callback(reply);
@@ -78,7 +79,7 @@
 };
 
 /// Who was granted which token, by all nodes together.
-using Holders = std::map<base::FencingToken, std::size_t>;
+using HoldersByToken = std::map<base::FencingToken, std::size_t>;
 
 LeaseOptions options() {
   LeaseOptions options;
@@ -91,12 +92,12 @@
 
 struct LeaseNode final : LeaseListener {
   LeaseNode(test_support::VirtualTime& time, clients::TableClient& service, std::size_t index,
-            Holders& granted)
+            HoldersByToken& granted)
       : members(index),
         random(index + 1),
         eras(time, log),
-        way(service, eras),
-        table(way, eras),
+        connection(service, eras),
+        table(connection, eras),
         lease(options(), {time, time, random, log, table, members}, *this),
         index_(index),
         granted_(granted) {
@@ -115,13 +116,13 @@
   base::SeededRandom random;
   test_support::RecordingLog log;
   config::StoreEras eras;
-  Way way;
+  Connection connection;
   config::EraCheckedTable table;
   LeaseManager lease;
 
  private:
   std::size_t index_;
-  Holders& granted_;
+  HoldersByToken& granted_;
 };
 
 struct LeaseReturnFixture {
@@ -149,13 +150,13 @@
     return **found;
   }
   /// All others hear of the return.
-  void tellOthersThan(const LeaseNode& cutOff) {
+  void notifyAllExcept(const LeaseNode& cutOff) {
     for (auto& node : nodes) {
       if (node.get() != &cutOff) node->eras.note(1, "gossip");
     }
   }
   /// How long there is no holder.
-  base::Duration gap() {
+  base::Duration timeWithoutHolder() {
     const auto since = time.now();
     while (holders() == 0 && time.now() < since + seconds(30)) run(milliseconds(10));
     return time.now() - since;
@@ -163,7 +164,7 @@
 
   test_support::VirtualTime time;
   test_support::MemoryTableService service{time, time, "own"};
-  Holders granted;
+  HoldersByToken granted;
   std::vector<std::unique_ptr<LeaseNode>> nodes;
 };
 
@@ -171,7 +172,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(LeaseReturnTest, LeaseReturnFixture)
 
-BOOST_AUTO_TEST_CASE(HolderTakesTheLeaseAnewAtOnceWithAGreaterToken) {
+BOOST_AUTO_TEST_CASE(HolderReacquiresTheLeaseAtOnceWithAHigherToken) {
   auto& former = holder();
   const auto copy = service.copy();
   run(seconds(3));
@@ -182,15 +183,15 @@
 }
 
 // The copy is of before the lease passed on: its row names the first holder, with the first token.
-BOOST_AUTO_TEST_CASE(TokenThatTheServiceHasForgottenIsNotGivenAgain) {
+BOOST_AUTO_TEST_CASE(TokenLostByTheServiceIsNotIssuedAgain) {
   const auto copy = service.copy();
   auto& first = holder();
-  first.way.cut = true;
+  first.connection.cut = true;
   run(seconds(6));
   auto& second = holder();
   BOOST_TEST(&second != &first);
-  second.way.cut = true;
-  first.way.mend();
+  second.connection.cut = true;
+  first.connection.restore();
   service.returnFrom(copy, 100);
   run(seconds(10));
   BOOST_TEST(granted.size() >= 3U);
@@ -199,19 +200,19 @@
 
 // The second holder is cut off as the service returns without its row: it may order until its lease
 // lapses by its own clock.
-BOOST_AUTO_TEST_CASE(LeaseOfAHolderThatIsCutOffIsWaitedOut) {
+BOOST_AUTO_TEST_CASE(LeaseOfACutOffHolderExpiresBeforeItIsAcquired) {
   const auto empty = test_support::MemoryTableService::Copy{};
   auto& former = holder();
-  former.way.cut = true;
+  former.connection.cut = true;
   service.returnFrom(empty, 100);
-  tellOthersThan(former);
+  notifyAllExcept(former);
   run(seconds(8));
   BOOST_TEST(holders() == 1);
   BOOST_TEST(!former.holds());
 }
 
 // Also where the copy shows the lease as given up, as it had been before the last holder took it.
-BOOST_AUTO_TEST_CASE(CopyThatShowsTheLeaseAsFreeIsNotBelieved) {
+BOOST_AUTO_TEST_CASE(BackupThatShowsTheLeaseAsReleasedIsNotTrusted) {
   auto& first = holder();
   bool released = false;
   first.lease.release([&released] { released = true; });
@@ -220,21 +221,21 @@
   const auto copy = service.copy();
   run(seconds(5));
   auto& second = holder();
-  second.way.cut = true;
+  second.connection.cut = true;
   service.returnFrom(copy, 100);
   run(seconds(8));
   BOOST_TEST(holders() == 1);
   BOOST_TEST(!second.holds());
 }
 
-BOOST_AUTO_TEST_CASE(OrdersGoOnWithinTheTimeOfALease) {
+BOOST_AUTO_TEST_CASE(NextHolderExistsWithinTheDurationOfALease) {
   const auto copy = service.copy();
   run(seconds(2));
   auto& former = holder();
-  former.way.cut = true;
+  former.connection.cut = true;
   service.returnFrom(copy);
-  tellOthersThan(former);
-  BOOST_TEST((gap() < seconds(3) + 3 * milliseconds(300) + seconds(1)));
+  notifyAllExcept(former);
+  BOOST_TEST((timeWithoutHolder() < seconds(3) + 3 * milliseconds(300) + seconds(1)));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/coordination/lease_succession_test.cc
+++ b/tests/coordination/lease_succession_test.cc
@@ -17,8 +17,8 @@
 
 /// The only candidate, beside a row that another holder wrote.
 struct NextHolder : LeaseListener {
-  explicit NextHolder(const std::string& rowOfTheHolder)
-      : NextHolder([&](const membership::Member& /*self*/) { return rowOfTheHolder; }) {}
+  explicit NextHolder(const std::string& previousRow)
+      : NextHolder([&](const membership::Member& /*self*/) { return previousRow; }) {}
   explicit NextHolder(const std::function<std::string(const membership::Member&)>& rowFor) {
     clients::TableTransaction transaction;
     transaction.writes.push_back({leaseKey("orders"), rowFor(node.members.self())});
@@ -40,7 +40,7 @@
   void onLeaseWritten(const LeaseAnnouncement& /*announcement*/) override {}
   void onLeaseAcquired(const LeaseGrant& grant) override {
     ++acquired;
-    settle = grant.settleTime;
+    settleTime = grant.settleTime;
   }
   void onLeaseLost() override { ++lost; }
   bool rowSettled() const {
@@ -48,7 +48,7 @@
     const auto reply = world.table.readNow({leaseKey("orders")});
     return parseLeaseRow(reply.rows.at(0).value, reason)->settled;
   }
-  bool acquires(int times) {
+  bool waitForAcquisition(int times) {
     return world.runUntil(seconds(10), [&] { return acquired == times; });
   }
 
@@ -57,51 +57,51 @@
   std::optional<LeaseManager> lease;
   int acquired = 0;
   int lost = 0;
-  base::Duration settle{};
+  base::Duration settleTime{};
 };
 
 }  // namespace
 
 BOOST_AUTO_TEST_SUITE(LeaseSuccessionTest)
 
-BOOST_AUTO_TEST_CASE(LapsedLeaseOfAHolderWithAnOrderWindow) {
+BOOST_AUTO_TEST_CASE(ExpiredLeaseOfAHolderWithAnOrderWindow) {
   NextHolder next(encodeLeaseRow({"node-b", 1, 5, 7, false, "10.1.2.3:9", true}));
-  BOOST_REQUIRE(next.acquires(1));
-  BOOST_TEST((next.settle == milliseconds(1700)));
+  BOOST_REQUIRE(next.waitForAcquisition(1));
+  BOOST_TEST((next.settleTime == milliseconds(1700)));
 }
 
 // A holder of a version without order windows orders as long as it holds the lease.
-BOOST_AUTO_TEST_CASE(LapsedLeaseOfAnOlderVersionIsFollowedAfterTheWholeGap) {
+BOOST_AUTO_TEST_CASE(ExpiredLeaseOfAnOlderBuildRequiresTheWholeGap) {
   NextHolder next(R"({"holder":"node-b","incarnation":1,"nonce":5,"token":7,"released":false})");
-  BOOST_REQUIRE(next.acquires(1));
-  BOOST_TEST((next.settle == milliseconds(3800)));
+  BOOST_REQUIRE(next.waitForAcquisition(1));
+  BOOST_TEST((next.settleTime == milliseconds(3800)));
 }
 
 // Whoever wrote it may be ordering.
-BOOST_AUTO_TEST_CASE(UnreadableRowIsFollowedAfterTheWholeGap) {
+BOOST_AUTO_TEST_CASE(UnreadableRowRequiresTheWholeGap) {
   NextHolder next("nonsense");
-  BOOST_REQUIRE(next.acquires(1));
-  BOOST_TEST((next.settle == milliseconds(3800)));
+  BOOST_REQUIRE(next.waitForAcquisition(1));
+  BOOST_TEST((next.settleTime == milliseconds(3800)));
 }
 
 // The wait of a tenure is not over because its lease lapsed and a late answer brought it back.
-BOOST_AUTO_TEST_CASE(LeaseThatIsBroughtBackByALateAnswerIsNotSettled) {
+BOOST_AUTO_TEST_CASE(LeaseRestoredByALateReplyIsNotSettled) {
   NextHolder next(encodeLeaseRow({"node-b", 1, 5, 7, true, "10.1.2.3:9", true}));
-  BOOST_REQUIRE(next.acquires(1));
-  BOOST_TEST((next.settle == milliseconds(3800)));
+  BOOST_REQUIRE(next.waitForAcquisition(1));
+  BOOST_TEST((next.settleTime == milliseconds(3800)));
   next.world.table.conditions().setMode(emulator::ServiceMode::kSlow);
   next.world.table.conditions().setSlowLatency(milliseconds(1350));
   next.world.table.conditions().loseNextAnswers(1);
-  BOOST_REQUIRE(next.acquires(2));
+  BOOST_REQUIRE(next.waitForAcquisition(2));
   BOOST_TEST(next.lost == 1);
   BOOST_TEST(next.lease->status().token == 8U);
   BOOST_TEST(!next.lease->grantForOrders().has_value());
-  BOOST_TEST((next.settle > base::Duration::zero()));
+  BOOST_TEST((next.settleTime > base::Duration::zero()));
 }
 
-BOOST_AUTO_TEST_CASE(HolderOrdersFromItsSettlingUntilItsWindowEnds) {
+BOOST_AUTO_TEST_CASE(HolderSendsOrdersAfterItsSettleTimeUntilItsWindowEnds) {
   NextHolder next(encodeLeaseRow({"node-b", 1, 5, 7, false, "10.1.2.3:9", true}));
-  BOOST_REQUIRE(next.acquires(1));
+  BOOST_REQUIRE(next.waitForAcquisition(1));
   next.world.run(milliseconds(1690));
   BOOST_TEST(!next.lease->grantForOrders().has_value());
   next.world.run(milliseconds(20));
@@ -113,27 +113,27 @@
 }
 
 // The next run of the holder goes by it: one that had not settled may follow fresh orders.
-BOOST_AUTO_TEST_CASE(RowTellsOnceTheHolderHasSettled) {
+BOOST_AUTO_TEST_CASE(RowShowsWhetherTheHolderHasSettled) {
   NextHolder next(encodeLeaseRow({"node-b", 1, 5, 7, true, "10.1.2.3:9", true}));
-  BOOST_REQUIRE(next.acquires(1));
+  BOOST_REQUIRE(next.waitForAcquisition(1));
   next.world.run(milliseconds(1600));
   BOOST_TEST(!next.rowSettled());
   next.world.run(seconds(4));
   BOOST_TEST(next.rowSettled());
 }
 
-BOOST_AUTO_TEST_CASE(FormerRunIsFollowedByWhatItsRowTells) {
+BOOST_AUTO_TEST_CASE(SettleTimeAfterARestartDependsOnTheRow) {
   for (const bool settled : {false, true}) {
     NextHolder next([settled](const membership::Member& self) {
       return encodeLeaseRow(
           {self.name, self.incarnation - 1, 5, 7, false, base::toString(self.endpoint), settled});
     });
-    BOOST_REQUIRE(next.acquires(1));
-    BOOST_TEST((next.settle == milliseconds(settled ? 800 : 3800)));
+    BOOST_REQUIRE(next.waitForAcquisition(1));
+    BOOST_TEST((next.settleTime == milliseconds(settled ? 800 : 3800)));
   }
 }
 
-BOOST_AUTO_TEST_CASE(AnnouncementTellsWhatTheRowTells) {
+BOOST_AUTO_TEST_CASE(AnnouncementContainsTheFieldsOfTheRow) {
   const LeaseAnnouncement announcement{{"node-b", 3, 0, 7, false, "10.1.2.3:9", true}, 20, 19};
   const auto message = decodeCoordinationMessage(encodeLeaseWritten(announcement));
   BOOST_REQUIRE(message.has_value());
--- a/tests/coordination/replica_survey_test.cc
+++ b/tests/coordination/replica_survey_test.cc
@@ -25,16 +25,16 @@
   void report(const base::Endpoint& /*replica*/, const std::string& instance,
               const std::string& /*model*/,
               std::function<void(std::optional<clients::WeightsReport>)> callback) override {
-    asked.push_back(instance);
-    const bool silent = instance == dark;
-    time.schedule(silent ? milliseconds(800) : milliseconds(2), [callback, silent] {
-      if (silent) return callback(std::nullopt);
+    polled.push_back(instance);
+    const bool unresponsive = instance == unresponsiveInstance;
+    time.schedule(unresponsive ? milliseconds(800) : milliseconds(2), [callback, unresponsive] {
+      if (unresponsive) return callback(std::nullopt);
       callback(clients::WeightsReport{false, 3, 1, 0, 1});
     });
   }
-  void step(base::Duration duration) {
+  void pollFor(base::Duration duration) {
     for (const auto end = time.now() + duration; time.now() < end;) {
-      survey.step("m", candidates);
+      survey.poll("m", candidates);
       time.advance(milliseconds(50));
     }
   }
@@ -47,8 +47,8 @@
   }
 
   test_support::VirtualTime time;
-  std::vector<std::string> asked;
-  std::string dark;
+  std::vector<std::string> polled;
+  std::string unresponsiveInstance;
   std::vector<routing::ReplicaRecordPtr> candidates;
   ReplicaSurvey survey{{}, time, *this};
 };
@@ -57,43 +57,43 @@
 
 BOOST_FIXTURE_TEST_SUITE(ReplicaSurveyTest, SurveyFixture)
 
-BOOST_AUTO_TEST_CASE(FewAreAskedAtATimeAndAllInTurn) {
+BOOST_AUTO_TEST_CASE(ReplicasArePolledInBatchesAndInTurn) {
   add(18);
-  step(milliseconds(250));
-  BOOST_TEST(asked.size() == 6U);
-  step(milliseconds(500));
-  BOOST_TEST(asked.size() == 18U);
+  pollFor(milliseconds(250));
+  BOOST_TEST(polled.size() == 6U);
+  pollFor(milliseconds(500));
+  BOOST_TEST(polled.size() == 18U);
   for (const auto& record : candidates)
-    BOOST_TEST((survey.requests(record->facts().instance) == 4U));
+    BOOST_TEST((survey.requestCount(record->facts().instance) == 4U));
 }
 
-BOOST_AUTO_TEST_CASE(WhatWasSaidLongAgoDoesNotCount) {
+BOOST_AUTO_TEST_CASE(OldReportIsIgnored) {
   add(1);
-  step(milliseconds(100));
-  BOOST_TEST(survey.requests("r0").has_value());
+  pollFor(milliseconds(100));
+  BOOST_TEST(survey.requestCount("r0").has_value());
   time.advance(seconds(2));
-  BOOST_TEST(!survey.requests("r0").has_value());
-  BOOST_TEST(!survey.requests("other").has_value());
+  BOOST_TEST(!survey.requestCount("r0").has_value());
+  BOOST_TEST(!survey.requestCount("other").has_value());
 }
 
-BOOST_AUTO_TEST_CASE(ReplicaThatDoesNotAnswerIsSilentUntilItDoes) {
+BOOST_AUTO_TEST_CASE(ReplicaIsUnresponsiveUntilItResponds) {
   add(2);
-  dark = "r0";
-  step(milliseconds(600));
-  BOOST_TEST(survey.silent("r0"));
-  BOOST_TEST(!survey.silent("r1"));
-  dark.clear();
-  step(milliseconds(800));
-  BOOST_TEST(!survey.silent("r0"));
+  unresponsiveInstance = "r0";
+  pollFor(milliseconds(600));
+  BOOST_TEST(survey.unresponsive("r0"));
+  BOOST_TEST(!survey.unresponsive("r1"));
+  unresponsiveInstance.clear();
+  pollFor(milliseconds(800));
+  BOOST_TEST(!survey.unresponsive("r0"));
 }
 
-BOOST_AUTO_TEST_CASE(ReplicaWithARateLimitIsNotAsked) {
+BOOST_AUTO_TEST_CASE(ReplicaWithARateLimitIsNotPolled) {
   add(2);
   candidates.front()->notices().rateLimit().update(
       {clients::RateLimitNotice::of(1), time.now(), time.now()});
-  step(seconds(2));
-  BOOST_TEST(std::ranges::count(asked, "r0") == 0);
-  BOOST_TEST(!survey.silent("r0"));
+  pollFor(seconds(2));
+  BOOST_TEST(std::ranges::count(polled, "r0") == 0);
+  BOOST_TEST(!survey.unresponsive("r0"));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/coordination/rollout_plan_test.cc
+++ b/tests/coordination/rollout_plan_test.cc
@@ -19,8 +19,8 @@
 namespace {
 
 /// Replicas that change as long as they are told to.
-struct RolloutDay {
-  explicit RolloutDay(std::size_t replicas) {
+struct SimulatedRollout {
+  explicit SimulatedRollout(std::size_t replicas) {
     for (std::size_t number = 0; number < replicas; ++number) {
       routing::Replica facts;
       facts.instance = "r" + std::to_string(number);
@@ -31,15 +31,17 @@
   }
 
   /// Replicas that requests may begin on.
-  std::size_t counting() const {
+  std::size_t usableReplicas() const {
     const auto oldest = targets.oldestAllowed("m", now);
     std::size_t count = 0;
     for (const auto& [name, record] : directory.all())
-      count += record->versionOf("m") >= oldest && !changing.contains(name) && !dark(name) ? 1 : 0;
+      count += record->versionOf("m") >= oldest && !changing.contains(name) && !unreachable(name)
+                   ? 1
+                   : 0;
     return count;
   }
 
-  std::size_t atLeast(base::WeightsVersion version) const {
+  std::size_t atVersionOrNewer(base::WeightsVersion version) const {
     return static_cast<std::size_t>(std::ranges::count_if(directory.all(), [&](const auto& entry) {
       return entry.second->versionOf("m") >= version;
     }));
@@ -54,8 +56,8 @@
         return true;
       });
       if (!targets.all().empty()) step();
-      leastCounting = std::min(leastCounting, counting());
-      mostAway = std::max(mostAway, changing.size());
+      minimumUsable = std::min(minimumUsable, usableReplicas());
+      maximumUnavailable = std::max(maximumUnavailable, changing.size());
     }
   }
 
@@ -66,14 +68,14 @@
                      .oldestAllowed = targets.oldestAllowed("m", now),
                      .now = now};
     for (const auto& [name, record] : directory.all()) {
-      if (!dark(name)) view.served.push_back(record);
+      if (!unreachable(name)) view.served.push_back(record);
     }
-    for (const auto& [name, change] : changing) view.begun.insert(name);
-    view.away = changing.size();
+    for (const auto& [name, change] : changing) view.started.insert(name);
+    view.unavailable = changing.size();
     view.needed = needed;
-    view.requestsAt = requestsAt;
-    for (const auto& one : plan.next(view).begin) {
-      changing[one.instance] = {targets.newest("m"), now + changeTime};
+    view.requestCountOf = requestCountOf;
+    for (const auto& planned : plan.next(view).toStart) {
+      changing[planned.instance] = {targets.newest("m"), now + changeTime};
       ++loads;
     }
   }
@@ -83,13 +85,15 @@
   routing::WeightsTargets targets{{seconds(10), milliseconds(1500)}};
   base::TimePoint now{seconds(100)};
   base::Duration changeTime = milliseconds(2000);
-  std::function<bool(const std::string&)> dark = [](const std::string& /*name*/) { return false; };
+  std::function<bool(const std::string&)> unreachable = [](const std::string& /*name*/) {
+    return false;
+  };
   /// Replicas that the work under way fills.
   double needed = 0;
-  std::function<std::optional<std::uint32_t>(const std::string&)> requestsAt;
+  std::function<std::optional<std::uint32_t>(const std::string&)> requestCountOf;
   std::map<std::string, std::pair<base::WeightsVersion, base::TimePoint>> changing;
-  std::size_t leastCounting = 1000;
-  std::size_t mostAway = 0;
+  std::size_t minimumUsable = 1000;
+  std::size_t maximumUnavailable = 0;
   std::size_t loads = 0;
 };
 
@@ -97,133 +101,134 @@
 
 BOOST_AUTO_TEST_SUITE(RolloutPlanTest)
 
-BOOST_AUTO_TEST_CASE(AsManyReplicasCountAfterTheDateAsBefore) {
-  RolloutDay day{90};
-  day.targets.onNamed("m", 2, day.now);
-  day.run(seconds(12));
-  BOOST_TEST(day.atLeast(2) == 90U);
+BOOST_AUTO_TEST_CASE(AsManyReplicasAreUsableAfterTheDeadlineAsBefore) {
+  SimulatedRollout rollout{90};
+  rollout.targets.onNamed("m", 2, rollout.now);
+  rollout.run(seconds(12));
+  BOOST_TEST(rollout.atVersionOrNewer(2) == 90U);
   // A change is 2 s of 8.5 s.
-  BOOST_TEST(day.leastCounting >= 64U);
-  BOOST_TEST(day.mostAway <= 26U);
-  BOOST_TEST(day.loads == 90U);
+  BOOST_TEST(rollout.minimumUsable >= 64U);
+  BOOST_TEST(rollout.maximumUnavailable <= 26U);
+  BOOST_TEST(rollout.loads == 90U);
 }
 
-BOOST_AUTO_TEST_CASE(BeginsAtOnceAndGoesOnEvenly) {
-  RolloutDay day{90};
-  day.targets.onNamed("m", 2, day.now);
+BOOST_AUTO_TEST_CASE(ChangesStartAtOnceAndContinueAtAnEvenRate) {
+  SimulatedRollout rollout{90};
+  rollout.targets.onNamed("m", 2, rollout.now);
   std::size_t before = 0;
   for (int second = 0; second < 8; second += 2) {
-    day.run(seconds(2));
-    BOOST_TEST(day.loads - before >= 15U);
-    BOOST_TEST(day.loads - before <= 45U);
-    before = day.loads;
+    rollout.run(seconds(2));
+    BOOST_TEST(rollout.loads - before >= 15U);
+    BOOST_TEST(rollout.loads - before <= 45U);
+    before = rollout.loads;
   }
 }
 
-BOOST_AUTO_TEST_CASE(SlowChangesMakeNoCliffAtTheDate) {
-  RolloutDay day{67};
-  day.changeTime = milliseconds(3000);
-  day.targets.onNamed("m", 2, day.now);
-  day.run(seconds(14));
-  BOOST_TEST(day.atLeast(2) == 67U);
-  BOOST_TEST(day.leastCounting >= 38U);
+BOOST_AUTO_TEST_CASE(SlowChangesCauseNoDropInCapacityAtTheDeadline) {
+  SimulatedRollout rollout{67};
+  rollout.changeTime = milliseconds(3000);
+  rollout.targets.onNamed("m", 2, rollout.now);
+  rollout.run(seconds(14));
+  BOOST_TEST(rollout.atVersionOrNewer(2) == 67U);
+  BOOST_TEST(rollout.minimumUsable >= 38U);
 }
 
-BOOST_AUTO_TEST_CASE(QuarterThatIsDarkUntilAfterTheDateIsChangedWhenItIsBack) {
-  RolloutDay day{90};
-  const auto back = day.now + seconds(11);
-  day.dark = [&day, back](const std::string& name) {
-    return day.now < back && routing::longRunRank(name) % 4 == 0;
+BOOST_AUTO_TEST_CASE(UnreachableQuarterIsChangedWhenItReturnsAfterTheDeadline) {
+  SimulatedRollout rollout{90};
+  const auto returnsAt = rollout.now + seconds(11);
+  rollout.unreachable = [&rollout, returnsAt](const std::string& name) {
+    return rollout.now < returnsAt && routing::longRunRank(name) % 4 == 0;
   };
-  const auto alive = day.counting();
-  day.targets.onNamed("m", 2, day.now);
-  day.run(seconds(11));
-  BOOST_TEST(static_cast<double>(day.leastCounting) >= 0.7 * static_cast<double>(alive));
-  day.run(seconds(3));
-  BOOST_TEST(day.atLeast(2) == 90U);
+  const auto usableAtFirst = rollout.usableReplicas();
+  rollout.targets.onNamed("m", 2, rollout.now);
+  rollout.run(seconds(11));
+  BOOST_TEST(static_cast<double>(rollout.minimumUsable) >=
+             0.7 * static_cast<double>(usableAtFirst));
+  rollout.run(seconds(3));
+  BOOST_TEST(rollout.atVersionOrNewer(2) == 90U);
 }
 
 BOOST_AUTO_TEST_CASE(ThreeVersionsInFifteenSecondsShareLoads) {
-  RolloutDay day{90};
-  day.targets.onNamed("m", 2, day.now);
-  day.run(seconds(5));
-  day.targets.onNamed("m", 3, day.now);
-  day.run(seconds(5));
-  day.targets.onNamed("m", 4, day.now);
-  day.run(seconds(13));
-  BOOST_TEST(day.atLeast(4) == 90U);
-  BOOST_TEST(day.leastCounting >= 54U);
-  BOOST_TEST(day.loads <= 225U);
+  SimulatedRollout rollout{90};
+  rollout.targets.onNamed("m", 2, rollout.now);
+  rollout.run(seconds(5));
+  rollout.targets.onNamed("m", 3, rollout.now);
+  rollout.run(seconds(5));
+  rollout.targets.onNamed("m", 4, rollout.now);
+  rollout.run(seconds(13));
+  BOOST_TEST(rollout.atVersionOrNewer(4) == 90U);
+  BOOST_TEST(rollout.minimumUsable >= 54U);
+  BOOST_TEST(rollout.loads <= 225U);
 }
 
 BOOST_AUTO_TEST_CASE(FewReplicasChangeOneAtATime) {
-  RolloutDay day{2};
-  day.targets.onNamed("m", 2, day.now);
-  day.run(seconds(10));
-  BOOST_TEST(day.mostAway == 1U);
-  BOOST_TEST(day.atLeast(2) == 2U);
+  SimulatedRollout rollout{2};
+  rollout.targets.onNamed("m", 2, rollout.now);
+  rollout.run(seconds(10));
+  BOOST_TEST(rollout.maximumUnavailable == 1U);
+  BOOST_TEST(rollout.atVersionOrNewer(2) == 2U);
 }
 
 BOOST_AUTO_TEST_CASE(SpareReplicasChangeAtOnce) {
-  RolloutDay day{90};
-  day.needed = 30;
-  day.targets.onNamed("m", 2, day.now);
-  day.run(seconds(6));
-  BOOST_TEST(day.mostAway == 36U);
-  BOOST_TEST(day.atLeast(2) >= 70U);
+  SimulatedRollout rollout{90};
+  rollout.needed = 30;
+  rollout.targets.onNamed("m", 2, rollout.now);
+  rollout.run(seconds(6));
+  BOOST_TEST(rollout.maximumUnavailable == 36U);
+  BOOST_TEST(rollout.atVersionOrNewer(2) >= 70U);
 }
 
-BOOST_AUTO_TEST_CASE(WaveTakesTheRoomThatWasSpare) {
-  RolloutDay day{90};
-  day.needed = 40;
-  day.targets.onNamed("m", 2, day.now);
-  day.run(seconds(1));
-  BOOST_TEST(day.changing.size() == 36U);
-  day.needed = 80;
-  day.run(milliseconds(2500));
+BOOST_AUTO_TEST_CASE(DemandIncreaseUsesTheCapacityThatWasSpare) {
+  SimulatedRollout rollout{90};
+  rollout.needed = 40;
+  rollout.targets.onNamed("m", 2, rollout.now);
+  rollout.run(seconds(1));
+  BOOST_TEST(rollout.changing.size() == 36U);
+  rollout.needed = 80;
+  rollout.run(milliseconds(2500));
   // What the date asks for is left.
-  BOOST_TEST(day.changing.size() <= 24U);
-  BOOST_TEST(day.changing.size() >= 10U);
-  day.run(seconds(7));
-  BOOST_TEST(day.atLeast(2) == 90U);
+  BOOST_TEST(rollout.changing.size() <= 24U);
+  BOOST_TEST(rollout.changing.size() >= 10U);
+  rollout.run(seconds(7));
+  BOOST_TEST(rollout.atVersionOrNewer(2) == 90U);
 }
 
 BOOST_AUTO_TEST_CASE(ReplicasWithTheFewestRequestsComeFirst) {
-  RolloutDay day{20};
-  day.requestsAt = [](const std::string& name) -> std::optional<std::uint32_t> {
+  SimulatedRollout rollout{20};
+  rollout.requestCountOf = [](const std::string& name) -> std::optional<std::uint32_t> {
     if (name == "r7") return 1;
     if (name == "r3") return 2;
     if (name == "r11") return std::nullopt;
     return 9;
   };
-  day.changeTime = milliseconds(800);
-  day.targets.onNamed("m", 2, day.now);
-  day.step();
-  BOOST_TEST(day.changing.size() == 2U);
-  BOOST_TEST(day.changing.contains("r7"));
-  BOOST_TEST(day.changing.contains("r3"));
+  rollout.changeTime = milliseconds(800);
+  rollout.targets.onNamed("m", 2, rollout.now);
+  rollout.step();
+  BOOST_TEST(rollout.changing.size() == 2U);
+  BOOST_TEST(rollout.changing.contains("r7"));
+  BOOST_TEST(rollout.changing.contains("r3"));
 }
 
 BOOST_AUTO_TEST_CASE(OldestVersionComesBeforeTheFewestRequests) {
-  RolloutDay day{20};
+  SimulatedRollout rollout{20};
   for (int number = 1; number < 20; ++number)
-    day.directory.find("r" + std::to_string(number))->recordVersion("m", 2);
-  day.requestsAt = [](const std::string& name) { return name == "r0" ? 20U : 0U; };
-  day.targets.onNamed("m", 2, day.now);
-  day.targets.onNamed("m", 3, day.now);
-  day.step();
-  BOOST_TEST(day.changing.contains("r0"));
+    rollout.directory.find("r" + std::to_string(number))->recordVersion("m", 2);
+  rollout.requestCountOf = [](const std::string& name) { return name == "r0" ? 20U : 0U; };
+  rollout.targets.onNamed("m", 2, rollout.now);
+  rollout.targets.onNamed("m", 3, rollout.now);
+  rollout.step();
+  BOOST_TEST(rollout.changing.contains("r0"));
 }
 
-BOOST_AUTO_TEST_CASE(SmallFleetHasOnePlaceForLoads) {
-  RolloutDay day{6};
-  day.targets.onNamed("m", 2, day.now);
-  RolloutView view{.model = "m", .targets = day.targets.all().at("m"), .now = day.now};
-  for (const auto& [name, record] : day.directory.all()) view.served.push_back(record);
-  BOOST_TEST(day.plan.next(view).mostLoading == 1U);
-  day.run(seconds(11));
-  BOOST_TEST(day.atLeast(2) == 6U);
-  BOOST_TEST(day.mostAway <= 2U);
+BOOST_AUTO_TEST_CASE(SmallFleetHasOneLoadSlot) {
+  SimulatedRollout rollout{6};
+  rollout.targets.onNamed("m", 2, rollout.now);
+  RolloutView view{.model = "m", .targets = rollout.targets.all().at("m"), .now = rollout.now};
+  for (const auto& [name, record] : rollout.directory.all()) view.served.push_back(record);
+  BOOST_TEST(rollout.plan.next(view).maximumLoading == 1U);
+  rollout.run(seconds(11));
+  BOOST_TEST(rollout.atVersionOrNewer(2) == 6U);
+  BOOST_TEST(rollout.maximumUnavailable <= 2U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
