--- a/src/coordination/capacity_account.h
+++ b/src/coordination/capacity_account.h
@@ -1,9 +1,10 @@
 /// \file
-/// How much room the fleet has and needs, and so how many replicas may be away at once.
+/// Capacity that the fleet has and requires, and so how many replicas may be unavailable at once.
 ///
-/// Load that it answers: new weights must be in force by a date while callers ask more than usual
-/// or replicas are down. Kept by the holder of the rollout's lease; nothing of it must last: a new
-/// holder learns it again from the replicas' list and from the work under way within a second.
+/// A new version of weights must be loaded by a deadline while callers may send more requests than
+/// usual and replicas may be down. The holder of the rollout's lease keeps these figures. They are
+/// not persisted: a new holder rebuilds them from the replica list and the current load within a
+/// second.
 #pragma once
 
 #include <cstddef>
@@ -15,36 +16,40 @@
 
 namespace covewing::coordination {
 
-/// The replicas of one model by what they can do now.
+/// Replicas of one model, counted by their current state.
 struct FleetCapacity {
-  /// Can be reached and are neither leaving nor changing, whatever their version.
+  /// Replicas that are reachable and neither leaving nor changing weights, whatever their version.
   std::size_t serving = 0;
-  /// Do not answer.
+  /// Replicas that are unresponsive.
   std::size_t unresponsive = 0;
-  /// Leave, or are told not to take requests.
+  /// Replicas that are leaving or are excluded from new requests.
   std::size_t leaving = 0;
-  /// Drain for or load new weights.
+  /// Replicas that are draining for new weights or loading them.
   std::size_t changing = 0;
-  /// Replicas that the work under way and waiting fills, by slots or memory, whichever is more.
+  /// Replicas required for the running and queued requests, by request slots or by memory,
+  /// whichever is more.
   double needed = 0;
 
-  /// Replicas that could be away, those that change included, without that callers miss them.
+  /// Number of replicas that could be unavailable, those that change weights included, while the
+  /// others still have the required capacity. `headroom` is the spare capacity to keep, as a
+  /// fraction of the required capacity.
   std::size_t spareReplicas(double headroom) const;
 };
 
 struct CapacityAccountOptions {
-  /// More demand counts at once, less only after about this long: waves and bursts come back.
+  /// Time constant by which a decrease in demand takes effect; an increase takes effect at once.
+  /// Bursts tend to recur, so capacity is not released right after one.
   base::Duration decayTime = std::chrono::seconds(2);
 };
 
-/// Follows the demand of each model: rises at once, falls slowly.
+/// Tracks the demand of each model: follows increases at once and decreases slowly.
 class CapacityAccount {
  public:
   explicit CapacityAccount(CapacityAccountOptions options = {}) : options_(options) {}
 
-  /// The work under way fills so many replicas now.
+  /// Reports that the requests in progress currently fill this many replicas.
   void onDemand(const std::string& model, double replicas, base::TimePoint now);
-  /// Replicas that the model's callers need.
+  /// Number of replicas required to serve the model's callers; 0 if no demand was reported.
   double needed(const std::string& model) const;
 
  private:
--- a/src/coordination/coordinator.cc
+++ b/src/coordination/coordinator.cc
@@ -72,7 +72,8 @@
     case CoordinationMessageType::kLeaseWritten:
       return lease_.onAnnouncement(*message->announcement);
     case CoordinationMessageType::kReplicaChange:
-      // Of the relay's rollout (node/weights_coordinator.h); orders here are told by the executor.
+      // Used by the weights rollout of relaying nodes (node/weights_coordinator.h). Orders here are
+      // sent to engines by the executor.
       return;
   }
 }
--- a/src/coordination/coordinator.h
+++ b/src/coordination/coordinator.h
@@ -1,8 +1,9 @@
 /// \file
 /// A node's part in coordination: it competes for its region's lease, executes the region's orders
-/// while it holds it, and takes orders from operators whether it holds it or not.
+/// while it holds the lease, and accepts orders from operators at any time.
 ///
-/// Messages between nodes only save waiting; losing all of them costs seconds, nothing else.
+/// Messages between nodes only shorten waits: if all of them are lost, actions are delayed by
+/// seconds and nothing else changes.
 #pragma once
 
 #include <functional>
@@ -20,7 +21,7 @@
 
 struct CoordinatorOptions {
   std::string region;
-  /// Loads at once in the region: the weight store's limit.
+  /// Maximum number of concurrent loads in the region: the weight store's limit.
   std::uint32_t loadSlots = 2;
   LeaseOptions lease;
   OrderExecutorOptions executor;
@@ -50,7 +51,8 @@
   OrderStore& orders() { return orders_; }
   LeaseStatus leaseStatus() const { return lease_.status(); }
   std::size_t openOrders() const { return executor_.openOrders(); }
-  /// Planned stop: executes nothing more, hands the lease over; `done` is called once.
+  /// Planned stop: stops executing orders and releases the lease to the next holder; calls `done`
+  /// once.
   void drain(std::function<void()> done);
   void onPeerMessage(const base::PeerIdentity& sender, std::string_view payload) override;
 
@@ -58,7 +60,7 @@
   void onLeaseWritten(const LeaseAnnouncement& announcement) override;
   void onLeaseAcquired(const LeaseGrant& grant) override;
   void onLeaseLost() override;
-  /// Tells the nodes that may hold the lease.
+  /// Notifies the other candidates for the lease.
   void notifyCandidates(CoordinationMessageType type);
   void send(const std::string& payload);
 
--- a/src/coordination/engine_catalogue.h
+++ b/src/coordination/engine_catalogue.h
@@ -1,7 +1,7 @@
 /// \file
-/// The engines that orders may be for, as this node knows them. The node feeds it from its fleet
-/// view; what is known of an engine may lag by seconds, so an order's executor asks the engine
-/// itself before it acts.
+/// The engines to which orders may be sent, as this node knows them. The node fills the catalogue
+/// from its fleet view. Its data may lag by seconds, so the order executor polls the engine itself
+/// before it acts.
 #pragma once
 
 #include <string>
@@ -26,16 +26,16 @@
 class EngineCatalogue {
  public:
   virtual ~EngineCatalogue() = default;
-  /// All engines known, ascending by identifier.
+  /// All known engines, ascending by identifier.
   virtual std::vector<CatalogueEngine> engines() const = 0;
 };
 
-/// Whether `weights` hold any version of the model.
+/// Whether `weights` contain any version of the model.
 bool holdsModel(const std::vector<clients::LoadedWeights>& weights, std::string_view model);
-/// Whether `weights` hold the version with all adapters of `wanted`.
+/// Whether `weights` contain the version with all adapters of `wanted`.
 bool holdsWeights(const std::vector<clients::LoadedWeights>& weights,
                   const clients::LoadedWeights& wanted);
-/// Whether `weights` hold the version, whatever its adapters.
+/// Whether `weights` contain the version, with any adapters.
 bool holdsVersion(const std::vector<clients::LoadedWeights>& weights, std::string_view model,
                   base::WeightsVersion version);
 
--- a/src/coordination/json_values.h
+++ b/src/coordination/json_values.h
@@ -1,6 +1,6 @@
 /// \file
-/// Tolerant reading of JSON fields of rows that this project wrote: a missing or odd field reads as
-/// its zero value. Internal to this folder.
+/// Lenient access to JSON fields of rows that covewing itself writes: a field that is missing or of
+/// another type reads as its zero value. Internal to this folder.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,7 @@
 
 using Json = nlohmann::json;
 
-/// Compact text; never throws on malformed UTF-8.
+/// Serializes without white space; malformed UTF-8 is replaced and does not throw.
 std::string textOf(const Json& json);
 std::string textField(const Json& object, std::string_view name);
 std::uint64_t numberField(const Json& object, std::string_view name);
--- a/src/coordination/lease_manager.cc
+++ b/src/coordination/lease_manager.cc
@@ -10,9 +10,11 @@
 namespace {
 
 constexpr double kJitter = 0.25;
-/// Writes remembered for recognition; older ones have long taken effect or never will.
+/// Number of this node's latest writes that are kept in order to recognise them in a row read
+/// later; older ones have long taken effect or never will.
 constexpr std::size_t kRememberedAttempts = 8;
-/// Bits of a token below the era that it was given in: a million holders in each.
+/// Bits of a fencing token below the store era in which it was issued: a million tokens in each
+/// era.
 constexpr unsigned kTokenBitsPerEra = 20;
 
 const clients::TableRow* findRow(const std::vector<clients::TableRow>& rows, std::string_view key) {
@@ -39,7 +41,7 @@
     case Succession::kExpired:
       break;
   }
-  // It was taken this long, at least, after the former holder sent its last write.
+  // Minimum time between the last write of the previous holder and the acquisition of the lease.
   const auto waited = options.duration + options.margin;
   const auto window = options.orderWindow.count() == 0 ? options.duration : options.orderWindow;
   return std::max(options.orderGap + options.orderTransitTime + window + options.margin - waited,
@@ -55,7 +57,7 @@
   environment_.timers.cancel(expiryTimer_);
 }
 
-/// Wraps a callback so that it does nothing once this object is gone.
+/// Wraps a callback so that it does nothing once this object is destroyed.
 template <class Handler>
 auto LeaseManager::guarded(Handler handler) {
   return [alive = std::weak_ptr<bool>(lifetime_), handler = std::move(handler)](auto&&... values) {
@@ -65,7 +67,7 @@
 
 void LeaseManager::start() {
   started_ = true;
-  // Nodes that start together do not all call the table service in the same moment.
+  // Prevents nodes that start together from calling the table service at the same moment.
   scheduleStep(environment_.random.jittered(options_.firstBackoff, 1.0));
 }
 
@@ -135,10 +137,11 @@
 }
 
 bool LeaseManager::isFree() const {
-  // A node that was cut off as the service returned may hold what the copy does not show.
+  // A node that was cut off when the service was restored may hold a lease that the backup does not
+  // show.
   if (holderIsUncertain()) return heldAtStoreReturn_.has_value();
-  // A former run cannot renew the lease any more; waiting for it to lapse would leave a fleet that
-  // was restarted as a whole without orders for some 4 s.
+  // An earlier incarnation cannot renew the lease any more. Waiting for it to expire would leave a
+  // fleet that was restarted as a whole without orders for some 4 s.
   return !observed_->row || observed_->row->released || isOwn(*observed_->row) ||
          isEarlierIncarnation(*observed_->row);
 }
@@ -153,13 +156,14 @@
     if (!heldAtStoreReturn_) return Succession::kExpired;
     return *heldAtStoreReturn_ ? Succession::kRestartedHolder : Succession::kRecentlyActive;
   }
-  // A row that cannot be read was written by somebody, who may be ordering.
+  // An unreadable row was written by some node, which may be sending orders.
   if (!observed_->row)
     return observed_->revision == 0 ? Succession::kFirst : Succession::kRecentlyActive;
   const LeaseRow& row = *observed_->row;
   if (isOwn(row) || isEarlierIncarnation(row))
     return row.settled ? Succession::kRestartedHolder : Succession::kRecentlyActive;
-  // Versions that write no address order without a window, as long as they hold the lease.
+  // Builds that write no address into the row have no order window: they send orders as long as
+  // they hold the lease.
   const bool hasOrderWindow = !row.address.empty();
   return row.released || !hasOrderWindow ? Succession::kRecentlyActive : Succession::kExpired;
 }
@@ -177,7 +181,7 @@
                           .row = announcement.row,
                           .firstSeenAt = environment_.clock.now(),
                           .era = base::eraOf(announcement.revision)};
-  // Announcements tell of rows as they are written.
+  // An announcement describes the row as it was just written, in the current era.
   observed_->row->era = observed_->era;
   highestToken_ = std::max(highestToken_, announcement.row.token);
   heldAtStoreReturn_.reset();
@@ -187,7 +191,7 @@
 void LeaseManager::onStoreReturned() {
   storeReturned_ = true;
   heldAtStoreReturn_ = tenure_ && !hasExpired() ? std::optional{settled()} : std::nullopt;
-  if (tenure_) endTenure("the table service came back from a copy");
+  if (tenure_) endTenure("the table service was restored from an older backup");
   observed_.reset();
   attempts_.clear();
   if (started_ && !stopped_ && !callInFlight_) step();
@@ -210,7 +214,8 @@
   if (tenure_ && hasExpired()) endTenure("not renewed in time");
   if (tenure_) return renew();
   if (isCandidate()) return stepAsCandidate();
-  // What is not watched ages unseen: start over when this node becomes a candidate again.
+  // Changes of the row go unnoticed while it is not observed, so its age would be wrong: start over
+  // when this node becomes a candidate again.
   observed_.reset();
   scheduleStep(environment_.random.jittered(options_.membershipInterval, kJitter));
 }
@@ -263,11 +268,13 @@
   const auto attempt = std::ranges::find_if(
       attempts_, [this](const Attempt& one) { return one.row.nonce == observed_->row->nonce; });
   if (attempt == attempts_.end() || attempt->row.released) return false;
-  // Decided by rows of a former era, whose holder the service has forgotten.
+  // The write was decided on a row of an earlier era; the service may have lost the record of a
+  // later holder.
   if (holderIsUncertain()) return false;
   Attempt recognised = *attempt;
   recognised.tenureRevision = observed_->tenureRevision;
-  // The lost answer may come to light too late to be of use.
+  // The row that replaces the lost reply may have been read too late for the lease to be still
+  // valid.
   const base::TimePoint validUntil = recognised.sentAt + options_.duration - options_.margin;
   if (environment_.clock.now() >= validUntil) return false;
   becomeHolder(recognised, observed_->revision);
@@ -302,7 +309,7 @@
       .tenureRevision = expected.tenureRevision,
       .settleTime = newTenure ? settleTime(succession(), options_) : settleTimeLeft()};
   clients::TableTransaction transaction;
-  // A conflict answers with the rows of both conditions.
+  // On a conflict, the reply contains the current rows of both conditions.
   transaction.conditions = {{leaseKey(options_.name), expected.revision},
                             {leaseTenureKey(options_.name), expected.tenureRevision}};
   transaction.writes.push_back({leaseKey(options_.name), encodeLeaseRow(attempt.row)});
@@ -326,7 +333,8 @@
     case clients::TableStatus::kOk: {
       backoff_ = {};
       if (base::eraOf(reply.revision) != attempt.row.era && !attempt.row.released) {
-        // Decided in a former era, done in this one: not a lease of it, and taken anew.
+        // The write was decided in an earlier era and applied in this one: it gives no lease in
+        // this era, so the lease is acquired again.
         observed_.reset();
         return step();
       }
@@ -341,7 +349,7 @@
       observe(reply);
       if (attempt.row.released) return finishRelease();
       if (recogniseOwnWrite()) return;
-      if (tenure_) endTenure("another node holds it");
+      if (tenure_) endTenure("another node holds the lease");
       return step();
     case clients::TableStatus::kUnknown:
       if (attempt.row.released) return finishRelease();
@@ -355,13 +363,13 @@
 void LeaseManager::becomeHolder(const Attempt& attempt, base::Revision revision) {
   const base::TimePoint validUntil = attempt.sentAt + options_.duration - options_.margin;
   if (environment_.clock.now() >= validUntil) {
-    // The answer took longer than the lease: read the row, then take it anew.
-    if (tenure_) endTenure("renewed too late");
+    // The reply took longer than the lease lasts: read the row, then acquire the lease again.
+    if (tenure_) endTenure("renewal confirmed too late");
     observed_.reset();
     return backOff();
   }
   const bool renewed = tenure_ && tenure_->grant.token == attempt.row.token;
-  if (tenure_ && !renewed) endTenure("taken anew");
+  if (tenure_ && !renewed) endTenure("acquired again with another token");
   const auto settledAt =
       renewed ? tenure_->settledAt : environment_.clock.now() + attempt.settleTime;
   const bool hasWindow = options_.orderWindow.count() > 0;
@@ -412,7 +420,7 @@
 void LeaseManager::release(std::function<void()> done) {
   releaseDone_ = std::move(done);
   releasing_ = true;
-  if (callInFlight_) return;  // continues with the answer
+  if (callInFlight_) return;  // continues in the callback of that call
   scheduleStep(base::Duration::zero());
   if (!started_) finishRelease();
 }
@@ -421,7 +429,7 @@
   if (!tenure_) return finishRelease();
   const Tenure tenure = *tenure_;
   LeaseRow row = makeRow(tenure.grant.token, true);
-  endTenure("given up");
+  endTenure("released");
   commit(std::move(row), {tenure.revision, tenure.grant.tenureRevision}, false);
 }
 
--- a/src/coordination/lease_manager.h
+++ b/src/coordination/lease_manager.h
@@ -1,33 +1,39 @@
 /// \file
-/// One node's part in a lease kept in the table service.
+/// One node's part in a lease that is stored in the table service.
 ///
-/// Protocol. The row names the holder and carries a fencing token that grows with each change of
-/// holder. Every write is a compare-and-set on the revision last seen and carries a fresh nonce. A
-/// write whose answer was lost is looked for by its nonce before anything else is tried.
+/// Protocol. The row contains the holder's name and a fencing token that increases with each change
+/// of holder. Every write is a compare-and-set on the revision last seen and contains a fresh
+/// nonce. If the reply to a write is lost, the node first looks for the write's nonce in the row
+/// before it tries anything else.
 ///
 /// No clocks are shared. The holder counts `duration` from the moment before it sent the write that
-/// put or renewed it, and stops using the lease `margin` before that ends. Another candidate takes
-/// over only when it has known the row unchanged for `duration + margin` on its own clock, counted
-/// from the moment it first learned of that revision; its compare-and-set is the proof that the row
-/// did not change until then. Both clocks may run at rates that differ by less than
-/// 2 * margin / duration. A process that is paused between its check and its use of the lease is
-/// not stopped by any of this: there the receivers' check of the fencing token holds.
+/// acquired or renewed the lease, and stops using the lease `margin` before that time ends. Another
+/// candidate takes over only after the row has been unchanged for `duration + margin` by its own
+/// clock, counted from the moment at which it first received that revision; its compare-and-set
+/// proves that the row did not change until then. Both clocks may run at rates that differ by less
+/// than 2 * margin / duration. None of this stops a process that is paused between its check and
+/// its use of the lease: that case is covered by the receivers, which check the fencing token.
 ///
-/// The holder tells the other candidates of each write. Such a message may be lost; one that
-/// arrives is knowledge of a revision that did exist, at a moment after it came into force, and so
-/// as good as a read. It spares them the table calls and lets them count from the last renewal.
+/// The holder announces each write to the other candidates. An announcement may be lost. One that
+/// arrives proves that a revision existed, at a moment after it took effect, and so is as good as a
+/// read. Announcements save the candidates calls to the table service, and let them count from the
+/// latest renewal.
 ///
-/// When the service comes back from a copy, rows and tokens of the last seconds are gone, and the
-/// row may name whoever held the lease before its last holder. So the holder stops at once, as any
-/// other would, and every token carries the era that it was given in: those of a later era are
-/// greater than all before, and none is given twice. Whoever held the lease until the return was
-/// the last one to do so, and may take it anew at once; all others wait as long as for a holder
-/// that they know, from when they first saw the row in the new era.
+/// If the table service is restored from an older backup, the rows and tokens of the last seconds
+/// are lost, and the row may name an earlier holder than the last one. So the holder stops at once,
+/// as any other node would, and every token contains the store era in which it was issued: tokens
+/// of a later era are greater than all earlier ones, and no token is issued twice. The node that
+/// held the lease until the restore was its last holder and may acquire it again at once; all
+/// others wait as long as for a known holder, counted from when they first saw the row in the new
+/// era.
 ///
-/// States: idle (no candidate) -> watching -> acquiring -> holding -> watching; stopped at the end.
-/// Cost: a holder makes one call per `renewInterval`; a watching candidate none while it is told of
-/// the renewals, else one per `duration + margin` (a failed compare-and-set answers with the
-/// current row, so it reads too); all other nodes none.
+/// States: idle (not a candidate) -> watching -> acquiring -> holding -> watching; stopped at the
+/// end.
+///
+/// Cost: a holder makes one call per `renewInterval`; a watching candidate makes none while it
+/// receives announcements of the renewals, otherwise one per `duration + margin` (the reply to a
+/// failed compare-and-set contains the current row, so it serves as a read too); all other nodes
+/// make none.
 #pragma once
 
 #include <cstdint>
@@ -50,24 +56,25 @@
 struct LeaseOptions {
   /// Name of the lease, such as "coordinator/brno-south".
   std::string name;
-  /// Only members of this region compete; empty: all do.
+  /// Only members of this region compete for the lease; if empty, all members do.
   std::string region;
   base::Duration duration = std::chrono::seconds(6);
   base::Duration margin = std::chrono::milliseconds(500);
   base::Duration renewInterval = std::chrono::seconds(2);
-  /// Wait after a call that failed, with jitter; doubles up to `maximumBackoff`.
+  /// Wait after a failed call, with jitter; doubles up to `maximumBackoff`.
   base::Duration firstBackoff = std::chrono::milliseconds(200);
   base::Duration maximumBackoff = std::chrono::seconds(2);
-  /// How often a node that is no candidate looks at the membership again.
+  /// Interval at which a node that is not a candidate checks the membership again.
   base::Duration membershipInterval = std::chrono::seconds(2);
   std::size_t candidates = 3;
-  /// Least time between the last order of one holder and the first of the next, where receivers do
-  /// not check fencing tokens; zero where they do.
+  /// Minimum time between the last order of one holder and the first order of the next, for
+  /// receivers that do not check fencing tokens; zero if they do.
   base::Duration orderGap{};
-  /// A holder orders only so long after it sent the last write that the table service confirmed;
-  /// zero: as long as it holds the lease. The shorter, the sooner the next holder may order.
+  /// A holder sends orders only for this long after it sent the last write that the table service
+  /// confirmed; zero: as long as it holds the lease. A shorter window lets the next holder send
+  /// orders sooner.
   base::Duration orderWindow{};
-  /// How long an order may be under way after the holder's check, at most.
+  /// Maximum time that an order may be in transit after the holder has checked its lease.
   base::Duration orderTransitTime{};
 };
 
@@ -81,48 +88,49 @@
   const membership::MemberDirectory& members;
 };
 
-/// Proof of holding a lease, for conditions and orders.
+/// Proof of holding a lease, for conditions of writes and for orders.
 struct LeaseGrant {
   base::FencingToken token = 0;
   /// Revision of the tenure row (lease_row.h).
   base::Revision tenureRevision = 0;
-  /// From the acquisition until the first order.
+  /// Time from the acquisition of the lease until the first order may be sent.
   base::Duration settleTime{};
 };
 
-/// How a lease came to its holder.
+/// The circumstances in which a node acquired the lease.
 enum class Succession : std::uint8_t {
-  /// Nobody held it before.
+  /// There was no holder before.
   kFirst,
-  /// An earlier run of the same node, at the same address, that had settled: that run has ended,
-  /// or this one could not listen there. Only its last order may still be under way.
+  /// An earlier incarnation of the same node, at the same address, held the lease and had settled.
+  /// That process has ended, or this one could not listen at the address; only its last order may
+  /// still be in transit.
   kRestartedHolder,
-  /// The holder before may have ordered just now: it gave the lease up, it is of a version without
-  /// `orderWindow` or wrote what cannot be read, or an earlier run of this node had taken the lease
-  /// and was still waiting.
+  /// The previous holder may have sent orders just before: it released the lease, runs a build
+  /// without `orderWindow`, or wrote a row that cannot be read; or it is an earlier incarnation of
+  /// this node that acquired the lease and had not settled yet.
   kRecentlyActive,
-  /// The holder before did not renew it in time.
+  /// The previous holder did not renew the lease in time.
   kExpired,
 };
 
-/// The least token of an era is greater by one than this.
+/// The token just below the lowest one that is issued in the era.
 base::FencingToken lastTokenBefore(base::StoreEra era);
 
-/// How long a new holder must wait before it orders.
+/// Time that a new holder must wait before it sends orders.
 base::Duration settleTime(Succession succession, const LeaseOptions& options);
 
-/// What a node knows of the lease, for people.
+/// This node's view of the lease, for status output.
 struct LeaseStatus {
   bool candidate = false;
   bool held = false;
-  /// Holder and token last seen in the row; empty when this node has not read it.
+  /// Holder and token last seen in the row; empty and 0 if this node has not read it.
   std::string holder;
   base::FencingToken token = 0;
-  /// Time left by this node's clock, while it holds the lease.
+  /// Remaining validity by this node's clock, while it holds the lease.
   base::Duration remaining{};
 };
 
-/// A write that put or renewed the lease, as its holder tells the other candidates.
+/// A write that acquired or renewed the lease, as announced by the holder to the other candidates.
 struct LeaseAnnouncement {
   LeaseRow row;
   /// Revisions of the lease row and of the tenure row.
@@ -133,7 +141,7 @@
 class LeaseListener {
  public:
   virtual ~LeaseListener() = default;
-  /// The row was written: the other candidates may be told.
+  /// The row was written: the write may be announced to the other candidates.
   virtual void onLeaseWritten(const LeaseAnnouncement& announcement) = 0;
   virtual void onLeaseAcquired(const LeaseGrant& grant) = 0;
   /// The lease may no longer be used.
@@ -149,21 +157,22 @@
 
   /// Starts competing; call once.
   void start();
-  /// The grant, if it may be used at this moment by this node's clock.
+  /// The grant, if it is valid at this moment by this node's clock.
   std::optional<LeaseGrant> grant() const;
-  /// The same for orders, which receivers may not check (LeaseOptions::orderWindow).
+  /// The grant, if orders may be sent now. Receivers may not check the fencing token, so orders are
+  /// limited in time (LeaseOptions::orderWindow).
   std::optional<LeaseGrant> grantForOrders() const;
   LeaseStatus status() const;
-  /// The nodes that compete for the lease, as this node sees the membership.
+  /// The candidates for the lease, according to this node's view of the membership.
   std::vector<membership::Member> candidates() const;
-  /// Another node says what it wrote. Counts like a read of the row at this moment.
+  /// Another node announced what it wrote. Equivalent to reading the row at this moment.
   void onAnnouncement(const LeaseAnnouncement& announcement);
-  /// Another node says that it gave the lease up: look at once instead of waiting.
+  /// Another node reported that it released the lease: read the row at once instead of waiting.
   void onReleaseHint();
-  /// The table service came back from a copy: what was read, written and granted in its former era
-  /// counts no more.
+  /// The table service was restored from an older backup: what was read, written and granted in the
+  /// earlier era is no longer valid.
   void onStoreReturned();
-  /// Stops using the lease and competing for it, gives it up in the table, then calls `done` once.
+  /// Stops using the lease and competing for it, releases it in the table, then calls `done` once.
   void release(std::function<void()> done);
 
  private:
@@ -171,9 +180,9 @@
     base::Revision revision = 0;
     base::Revision tenureRevision = 0;
     std::optional<LeaseRow> row;
-    /// When this revision was first known here.
+    /// When this node first received this revision.
     base::TimePoint firstSeenAt{};
-    /// Era of the service in which it was seen.
+    /// Store era in which the row was seen.
     base::StoreEra era = 0;
   };
   struct Tenure {
@@ -183,22 +192,22 @@
     base::TimePoint ordersUntil{};
     base::TimePoint settledAt{};
   };
-  /// Revisions that a write relies on.
+  /// Revisions on which a write is conditional.
   struct Expectation {
     base::Revision revision = 0;
     base::Revision tenureRevision = 0;
   };
-  /// A write of which the answer is outstanding or was lost.
+  /// A write whose reply is outstanding or was lost.
   struct Attempt {
     LeaseRow row;
     base::TimePoint sentAt{};
     base::Revision tenureRevision = 0;
-    /// How long this node must wait before it orders, once the write made it the holder. A renewal
-    /// does so when its answer is found after the lease has lapsed here.
+    /// Time that this node must wait before it sends orders if the write makes it the holder. A
+    /// renewal does so when it is recognised in the row after the lease has expired here.
     base::Duration settleTime{};
   };
 
-  /// Does what is next and due; called by the timer and after each answer.
+  /// Performs the next due action; called by the timer and after each reply.
   void step();
   void stepAsCandidate();
   void scheduleStep(base::Duration delay);
@@ -206,30 +215,31 @@
   bool isCandidate() const;
   bool hasExpired() const;
   bool isOwn(const LeaseRow& row) const;
-  /// The row was written by an earlier run of this node.
+  /// The row was written by an earlier incarnation of this node.
   bool isEarlierIncarnation(const LeaseRow& row) const;
-  /// The lease may have had another holder than the row says, of whom the service has lost all.
+  /// The lease may have had a later holder than the row shows, of which the service has lost all
+  /// record.
   bool holderIsUncertain() const;
-  /// Nobody can hold the lease now, by what was observed.
+  /// According to the observed row, no node can hold the lease now.
   bool isFree() const;
   base::FencingToken nextToken() const;
-  /// How the lease would come to this node now.
+  /// The circumstances in which this node would acquire the lease now.
   Succession succession() const;
 
   void read();
   void acquire();
   void renew();
   void writeRelease();
-  /// Writes the row on condition that both rows still have the revisions in `expected`.
+  /// Writes the lease row on condition that both rows still have the revisions in `expected`.
   void commit(LeaseRow row, const Expectation& expected, bool newTenure);
   LeaseRow makeRow(base::FencingToken token, bool released);
   bool settled() const;
   base::Duration settleTimeLeft() const;
   void onReadReply(const clients::TableReply& reply);
   void onCommitReply(const clients::TableReply& reply, const Attempt& attempt, bool newTenure);
-  /// Takes in the rows of a reply: read, or returned by a conflict.
+  /// Records the rows of a reply, either read or returned with a conflict.
   void observe(const clients::TableReply& reply);
-  /// Recognises one of this node's own writes in the row; true when it made this node the holder.
+  /// Recognises one of this node's own writes in the row; true if that made this node the holder.
   bool recogniseOwnWrite();
   void becomeHolder(const Attempt& attempt, base::Revision revision);
   void endTenure(std::string_view reason);
@@ -245,12 +255,12 @@
   std::optional<Observation> observed_;
   std::optional<Tenure> tenure_;
   std::vector<Attempt> attempts_;
-  /// The greatest token that was seen in a row or a message.
+  /// The highest token that was seen in a row or a message.
   base::FencingToken highestToken_ = 0;
-  /// This node held the lease when the service came back from a copy, and nobody was seen to take
-  /// it since: whether it had settled.
+  /// Set if this node held the lease when the service was restored from a backup and no other node
+  /// was seen to acquire it since. The value is whether this node had settled.
   std::optional<bool> heldAtStoreReturn_;
-  /// The service came back from a copy while this node ran.
+  /// The service was restored from a backup while this node was running.
   bool storeReturned_ = false;
   bool started_ = false;
   bool callInFlight_ = false;
@@ -260,7 +270,8 @@
   base::Duration backoff_{};
   base::TimerId stepTimer_ = 0;
   base::TimerId expiryTimer_ = 0;
-  /// Outlived by callbacks that must no longer reach this object.
+  /// Callbacks that may outlive this object hold a weak reference and do nothing once it has
+  /// expired.
   std::shared_ptr<bool> lifetime_ = std::make_shared<bool>(true);
 };
 
--- a/src/coordination/lease_messages.cc
+++ b/src/coordination/lease_messages.cc
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr std::uint32_t kAnnouncementFields = 8;
-/// Nodes of older versions leave out the last two: where the holder listens, and `settled`.
+/// Older builds leave out the last two fields: the holder's address and `settled`.
 constexpr std::uint32_t kOlderAnnouncementFields = 6;
 constexpr std::uint32_t kReplicaChangeFields = 4;
 
--- a/src/coordination/lease_messages.h
+++ b/src/coordination/lease_messages.h
@@ -1,6 +1,7 @@
 /// \file
-/// Messages of a lease's holder and candidates: between candidates, and to the home of a replica
-/// whose weights change. They only save waiting; losing all of them costs seconds, nothing else.
+/// Messages of a lease's holder and candidates: among the candidates, and to the home node of a
+/// replica whose weights change. They only shorten waits: if all of them are lost, actions are
+/// delayed by seconds and nothing else changes.
 #pragma once
 
 #include <optional>
@@ -21,13 +22,14 @@
   kReplicaChange = 4,
 };
 
-/// A message that has no fields but its type.
+/// Encodes a message that consists of its type only.
 std::string encodeCoordinationMessage(CoordinationMessageType type);
 std::string encodeLeaseWritten(const LeaseAnnouncement& announcement);
-/// The gossip record of a replica's change, sent straight to whom it matters to most.
+/// Encodes the gossip record of a replica's change of weights, which is sent directly to the node
+/// that depends on it most.
 std::string encodeReplicaChange(const membership::GossipRecord& record);
 
-/// A decoded message; `announcement` is there with kLeaseWritten only, `record` with kReplicaChange
+/// A decoded message. `announcement` is set for kLeaseWritten only, `record` for kReplicaChange
 /// only.
 struct CoordinationMessage {
   CoordinationMessageType type = CoordinationMessageType::kLeaseReleased;
@@ -38,7 +40,7 @@
 /// Empty when the payload is malformed.
 std::optional<CoordinationMessage> decodeCoordinationMessage(std::string_view payload);
 
-/// Sends the payload to the other nodes that compete for the lease.
+/// Sends the payload to the other candidates for the lease.
 void sendToCandidates(base::PeerTransport& peers, const LeaseManager& lease, base::NodeId self,
                       const std::string& payload);
 
--- a/src/coordination/lease_row.h
+++ b/src/coordination/lease_row.h
@@ -1,13 +1,13 @@
 /// \file
-/// Rows of the table service that carry a lease.
+/// Rows of the table service that store a lease.
 ///
 /// | key | value | written |
 /// | --- | --- | --- |
 /// | `lease/NAME` | LeaseRow | at each change of holder, renewal and release |
 /// | `lease-tenure/NAME` | the fencing token as text | at each change of holder only |
 ///
-/// The revision of the tenure row is constant while one holder keeps the lease. A holder puts it as
-/// a condition on whatever it writes under the lease, so that the table service itself refuses the
+/// The revision of the tenure row is constant while one holder keeps the lease. A holder adds it as
+/// a condition to whatever it writes under the lease, so that the table service itself rejects the
 /// writes of an earlier holder.
 #pragma once
 
@@ -22,22 +22,23 @@
 namespace covewing::coordination {
 
 struct LeaseRow {
-  /// Name of the holding node.
+  /// Name of the node that holds the lease.
   std::string holder;
-  /// The holder's incarnation: a restarted node does not hold what its former run held.
+  /// The holder's incarnation: a restarted node does not hold a lease of its earlier incarnation.
   base::Incarnation incarnation = 0;
-  /// Drawn for each write; recognises a write whose answer was lost.
+  /// Random number of each write, by which a node recognises its own write after a lost reply.
   std::uint64_t nonce = 0;
-  /// Grows with each change of holder.
+  /// Fencing token; increases with each change of holder.
   base::FencingToken token = 0;
-  /// The holder gave the lease up: it may be taken at once.
+  /// The holder released the lease: it may be acquired at once.
   bool released = false;
-  /// Where the holding node listens: with its name it tells a restarted node from another machine.
+  /// Address at which the holder listens. Together with its name it distinguishes a restarted node
+  /// from another machine with the same name.
   std::string address;
-  /// The holder may order: orders of the one before it are over (LeaseOptions::orderGap).
+  /// The holder may send orders: those of its predecessor are finished (LeaseOptions::orderGap).
   bool settled = false;
-  /// Era of the service in which the row was written: one of a former era came with a copy, and the
-  /// lease may have passed on since. 0 also in rows of builds without eras.
+  /// Store era in which the row was written. A row of an earlier era came from a restored backup,
+  /// and the lease may have had other holders since. Also 0 in rows of builds without eras.
   base::StoreEra era = 0;
 };
 
@@ -47,7 +48,7 @@
 std::string coordinatorLeaseName(std::string_view region);
 std::string coordinatorTenureKey(std::string_view region);
 std::string encodeLeaseRow(const LeaseRow& row);
-/// Empty with the reason when the value is not of this form.
+/// Empty, with the reason, if the value does not have this form.
 std::optional<LeaseRow> parseLeaseRow(std::string_view value, base::Reason& reason);
 
 }  // namespace covewing::coordination
--- a/src/coordination/order.cc
+++ b/src/coordination/order.cc
@@ -153,7 +153,7 @@
 
 std::optional<Order> parseOrder(std::string_view value, base::Revision revision,
                                 base::Reason& reason) {
-  reason = {base::ResultCode::kMessageMalformed, "the order row has not the form of an order"};
+  reason = {base::ResultCode::kMessageMalformed, "the order row is not a valid order"};
   const Json json = Json::parse(value, nullptr, false);
   if (!json.is_object()) return std::nullopt;
   const auto type = parseOrderType(textField(json, "kind"));
--- a/src/coordination/order.h
+++ b/src/coordination/order.h
@@ -1,6 +1,6 @@
 /// \file
-/// Operators' orders to engines, as they stand in the table service: one row an order, holding
-/// every step and its state, so that whoever holds the lease next can finish it.
+/// Operators' orders to engines as stored in the table service: one row per order, with every step
+/// and its state, so that the next holder of the lease can complete the order.
 ///
 /// Step states by kind of order (`waiting` first, a final state last):
 ///
@@ -9,7 +9,8 @@
 ///     role:  waiting -> changing [-> draining] -> done
 ///
 /// `failed`, `skipped` and `cancelled` are final too. A swap that fails or is cancelled before
-/// every engine has loaded takes back what it loaded: loaded -> rolling_back -> rolled_back.
+/// every engine has loaded the version unloads it again where it was loaded: loaded -> rolling_back
+/// -> rolled_back.
 #pragma once
 
 #include <cstdint>
@@ -58,22 +59,22 @@
 std::optional<OrderType> parseOrderType(std::string_view name);
 std::optional<clients::EngineRole> parseEngineRole(std::string_view name);
 
-/// What an order does to one engine.
+/// The part of an order that concerns one engine.
 struct OrderStep {
   /// Name of the engine in the machine list.
   std::string engine;
   StepState state = StepState::kWaiting;
-  /// Why it waits or failed.
+  /// Reason why the step waits or failed.
   std::string detail;
-  /// Node that made the last change of state.
+  /// Name of the node that made the last change of state.
   std::string executor;
   /// Time from the start of the step to its last change of state, by the executors' clocks.
   base::Duration elapsed{};
   /// Incarnation of the engine when the step started.
   base::Incarnation incarnation = 0;
-  /// The engine had the version before: nothing to take back.
+  /// The engine already had the version before the order, so a rollback does not unload it.
   bool hadVersion = false;
-  /// Versions of the model that the engine had besides, to be unloaded by a swap.
+  /// Other versions of the model that the engine had, which a swap unloads.
   std::vector<base::WeightsVersion> oldVersions;
 };
 
@@ -84,41 +85,42 @@
   /// Weights to load or to swap to.
   clients::LoadedWeights weights;
   clients::EngineRole role = clients::EngineRole::kServing;
-  /// Most loads of this order at once; 0: the weight store's limit alone.
+  /// Maximum number of concurrent loads of this order; 0: limited by the weight store only.
   std::uint32_t parallel = 0;
-  /// Engines of the model that must be able to serve at every moment.
+  /// Minimum number of engines of the model that must be able to serve at every moment.
   std::uint32_t minimumServing = 0;
-  /// A swap leaves the old versions loaded.
+  /// Whether a swap leaves the old versions loaded.
   bool keepOld = false;
-  /// Identifier of the operator's call; recognises a repeated one.
+  /// Identifier of the operator's call, by which a repeated call is recognised.
   std::string operationId;
   std::string author;
   bool cancelRequested = false;
   OrderState state = OrderState::kPending;
   std::string detail;
   std::vector<OrderStep> steps;
-  /// Drawn for each write; recognises a write whose answer was lost.
+  /// Random number of each write, by which a node recognises its own write after a lost reply.
   std::uint64_t nonce = 0;
   /// Fencing token of the last executor that wrote the row; 0 before the first.
   base::FencingToken token = 0;
-  /// Revision of the row. Not part of the value.
+  /// Revision of the row; not part of the stored value.
   base::Revision revision = 0;
 };
 
 bool isFinal(StepState state);
 bool isFinal(OrderState state);
-/// The step keeps one of the weight store's load slots.
+/// Whether a step in this state occupies one of the weight store's load slots.
 bool usesLoadSlot(StepState state);
-/// The engine is being worked on.
+/// Whether a step in this state is in progress on the engine.
 bool isActive(StepState state);
 
-/// Identifier of the order that this operator call makes, equal in its repetitions.
+/// Identifier of the order that results from this operator call; repetitions of the call give the
+/// same one.
 std::string orderIdOf(std::string_view operationId);
-/// Prefix of the rows of a region's orders.
+/// Prefix of the row keys of a region's orders.
 std::string orderPrefix(std::string_view region);
 std::string orderKey(std::string_view region, std::string_view id);
 std::string encodeOrder(const Order& order);
-/// Empty with the reason when the value is not of this form.
+/// Empty, with the reason, if the value does not have this form.
 std::optional<Order> parseOrder(std::string_view value, base::Revision revision,
                                 base::Reason& reason);
 
--- a/src/coordination/order_executor.cc
+++ b/src/coordination/order_executor.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Lets reports that come together be looked at together.
+/// Delay by which reports that arrive together are processed together.
 constexpr base::Duration kAdvanceDelay = std::chrono::milliseconds(5);
 
 const CatalogueEngine* findEngine(const std::vector<CatalogueEngine>& catalogue,
@@ -23,7 +23,7 @@
   return requests;
 }
 
-/// Whether people or the next holder would see a difference.
+/// Whether the two states are the same for operators and for the next holder.
 bool sameProgress(const Order& left, const Order& right) {
   if (left.state != right.state || left.detail != right.detail) return false;
   return std::ranges::equal(left.steps, right.steps, [](const auto& one, const auto& other) {
@@ -114,7 +114,7 @@
 void OrderExecutor::advanceAll() {
   if (!scanComplete_ || !grant_() || !hasOpenOrders()) return;
   const std::vector<CatalogueEngine> catalogue = environment_.catalogue.engines();
-  // A copy: finished orders leave the queue.
+  // A copy, because finished orders are removed from the queue.
   const std::vector<std::string> open = queue_;
   for (const std::string& id : open) advance(orders_.at(id), catalogue);
 }
@@ -137,7 +137,8 @@
 }
 
 void OrderExecutor::onScan(const clients::TableReply& reply) {
-  if (reply.status != clients::TableStatus::kOk) return;  // the next tick after nextScanAt_
+  if (reply.status != clients::TableStatus::kOk)
+    return;  // repeated by the next tick after nextScanAt_
   for (const clients::TableRow& row : reply.rows) applyRow(row);
   scannedUpTo_ = std::max(scannedUpTo_, reply.revision);
   if (reply.rows.size() >= options_.scanLimit || rescanRequested_) return scan();
@@ -167,7 +168,7 @@
   adopt(orders_[id], std::move(order));
 }
 
-/// Keeps the newest finished orders; one transaction a scan.
+/// Removes all but the newest finished orders, in one transaction per scan.
 void OrderExecutor::removeOldOrders() {
   const auto grant = grant_();
   if (!grant || finished_.size() <= options_.maximumFinishedOrders) return;
@@ -178,7 +179,7 @@
         {orderKey(options_.region, finished_.begin()->second), std::nullopt});
     finished_.erase(finished_.begin());
   }
-  // Whatever the answer: rows that stayed are met again by the next holder.
+  // The reply does not matter: rows that were not removed are found again by the next holder.
   environment_.table.commit(std::move(transaction), [](const clients::TableReply&) {});
 }
 
@@ -232,7 +233,7 @@
   advanceSoon();
 }
 
-// --- moving orders on
+// --- advancing orders
 
 void OrderExecutor::advance(OpenOrder& open, const std::vector<CatalogueEngine>& catalogue) {
   if (open.pending) return;
@@ -340,16 +341,16 @@
     adopt(open->second, std::move(next));
     return advanceSoon();
   }
-  // A cancelled order has a newer row, which comes with the conflict.
+  // A cancelled order has a newer row, which the reply to the conflict contains.
   if (reply.status != clients::TableStatus::kConflict) return;
   for (const clients::TableRow& row : reply.rows) {
     if (row.key == orderKey(options_.region, id)) applyRow(row);
   }
 }
 
-/// Tells from the row whether the write whose answer was lost took effect. It may still be under
-/// way, so the pending state is written again until one of the two is confirmed: meanwhile its load
-/// slots stay taken.
+/// Determines from the row whether the write whose reply was lost took effect. It may still be in
+/// flight, so the pending state is written again until one of the two writes is confirmed; its load
+/// slots stay in use until then.
 void OrderExecutor::readBack(const std::string& id) {
   environment_.table.read(
       {orderKey(options_.region, id)},
@@ -371,7 +372,7 @@
   for (const clients::TableRow& row : reply.rows) applyRow(row);
 }
 
-/// Takes over a newer state of the row, keeping the clocks of steps that did not move.
+/// Adopts a newer state of the row; steps whose state did not change keep their clocks.
 void OrderExecutor::adopt(OpenOrder& open, Order order) {
   const base::TimePoint now = environment_.clock.now();
   open.clocks.resize(order.steps.size());
@@ -412,7 +413,7 @@
     StepClock& clock = open.clocks[index];
     if (clock.sentAt && now - *clock.sentAt < options_.resendInterval) continue;
     const CatalogueEngine* engine = findEngine(catalogue, step.engine);
-    // Asked at each order: the lease may have run out since the last one.
+    // Checked for each order, because the lease may have expired since the previous one.
     const auto grant = grant_();
     if (engine == nullptr || !grant) continue;
     send(open, index, engine->address, *grant);
--- a/src/coordination/order_executor.h
+++ b/src/coordination/order_executor.h
@@ -1,15 +1,15 @@
 /// \file
-/// Executes the orders of a region while its node holds the region's lease.
+/// Executes the orders of a region while this node holds the region's lease.
 ///
-/// Write ahead: a step's new state is committed to the order's row, on condition of the row's
-/// revision and of the lease's tenure row, before any engine is told. So the row shows every load
-/// that may be running, and with it every load slot in use, to whoever holds the lease next. The
-/// next holder goes on by looking: it asks the engines what they have and repeats the engine orders
-/// of steps under way with its own, higher fencing token.
+/// Write-ahead: a step's new state is committed to the order's row, on condition of the row's
+/// revision and of the lease's tenure row, before any order is sent to an engine. So the row shows
+/// the next holder every load that may be running, and with it every load slot in use. The next
+/// holder continues from observed state: it polls the engines for their weights and repeats the
+/// engine orders of the steps in progress with its own, higher fencing token.
 ///
-/// Cost: nothing while no order is open except one scan per `scanInterval`; while one is, a poll
-/// per `tickInterval` of each engine under way or next, and one commit per order and tick in which
-/// a state changed.
+/// Cost: with no open order, one scan per `scanInterval`; otherwise also a poll per `tickInterval`
+/// of each engine whose step is in progress or next, and one commit per order and tick in which a
+/// state changed.
 #pragma once
 
 #include <cstdint>
@@ -39,14 +39,14 @@
   base::Duration tickInterval = std::chrono::milliseconds(500);
   /// Time between two scans for orders created or cancelled elsewhere.
   base::Duration scanInterval = std::chrono::seconds(5);
-  /// An engine order is repeated this often until its effect is seen.
+  /// An engine order is sent again at this interval until its effect is observed.
   base::Duration resendInterval = std::chrono::seconds(2);
-  /// A report older than this counts as none.
+  /// A report older than this is ignored.
   base::Duration reportValidity = std::chrono::seconds(3);
-  /// Finished orders kept for people; older ones are removed.
+  /// Number of finished orders kept for operators; older ones are removed.
   std::size_t maximumFinishedOrders = 64;
   std::size_t scanLimit = 64;
-  /// Most orders written in one tick.
+  /// Maximum number of orders written in one tick.
   std::uint32_t commitsPerTick = 2;
 };
 
@@ -59,13 +59,13 @@
   clients::TableClient& table;
   clients::EngineClient& engines;
   const EngineCatalogue& catalogue;
-  /// Name of this node, for the orders' history.
+  /// Name of this node, recorded in the steps that it changes.
   std::string nodeName;
 };
 
 class OrderExecutor {
  public:
-  /// `lease` gives the grant that may be used at the moment of the call.
+  /// Returns the grant that is valid at the moment of the call.
   using GrantSource = std::function<std::optional<LeaseGrant>()>;
 
   OrderExecutor(OrderExecutorOptions options, OrderExecutorEnvironment environment,
@@ -74,24 +74,24 @@
   OrderExecutor(const OrderExecutor&) = delete;
   OrderExecutor& operator=(const OrderExecutor&) = delete;
 
-  /// The lease was acquired: reads all orders and goes on with them.
+  /// Called when the lease was acquired: reads all orders and continues them.
   void start();
-  /// The lease was lost: forgets everything at once.
+  /// Called when the lease was lost: discards all state at once.
   void stop();
-  /// An order was created or cancelled somewhere: look now.
+  /// Called when an order was created or cancelled by any node: scans now.
   void onOrdersChanged();
-  /// Orders that are not finished, as executed here.
+  /// Number of orders that are not finished, as far as this executor has read them.
   std::size_t openOrders() const;
 
  private:
-  /// What is known of one engine under an order.
+  /// State of one engine that is part of an order.
   struct EngineRecord {
     std::optional<EngineObservation> observation;
     base::TimePoint observedAt{};
     std::uint64_t nextSequence = 0;
     bool pollInFlight = false;
   };
-  /// Local clocks of one step; not part of the row.
+  /// Times of one step by the local clock; not part of the row.
   struct StepClock {
     StepState state = StepState::kWaiting;
     base::TimePoint enteredAt{};
@@ -100,21 +100,22 @@
     std::string refusal;
   };
   struct OpenOrder {
-    /// As committed.
+    /// The state as committed.
     Order order;
-    /// As it will be once the commit under way is confirmed.
+    /// The state that applies once the commit in flight is confirmed.
     std::optional<Order> pending;
     std::vector<StepClock> clocks;
     std::optional<base::TimePoint> settlingSince;
 
-    /// The state that load slots and engines are counted by.
+    /// The state from which load slots and engines in use are counted.
     const Order& latest() const { return pending ? *pending : order; }
   };
 
   void tick();
-  /// Moves every open order on as far as is known.
+  /// Advances every open order as far as the observed state allows.
   void advanceAll();
-  /// Something became known: looks at the orders a moment later, once for all that comes meanwhile.
+  /// New information arrived: advances the orders after a short delay, once for everything that
+  /// arrives in the meantime.
   void advanceSoon();
   void scheduleTick();
   void scan();
@@ -135,7 +136,7 @@
   StepEvidence evidenceFor(const OpenOrder& open, std::size_t step,
                            const std::vector<CatalogueEngine>& catalogue) const;
   void stampSteps(const OpenOrder& open, Order& next) const;
-  /// Writes the order's pending state.
+  /// Writes the pending state of the order.
   void commit(const std::string& id);
   void onCommit(const std::string& id, const clients::TableReply& reply);
   void readBack(const std::string& id);
@@ -157,13 +158,14 @@
   OrderExecutorEnvironment environment_;
   GrantSource grant_;
   bool running_ = false;
-  /// All orders were read since the lease was acquired; before, load slots are not known.
+  /// All orders were read since the lease was acquired; until then the load slots in use are not
+  /// known.
   bool scanComplete_ = false;
   bool scanInFlight_ = false;
   bool rescanRequested_ = false;
   base::Revision scannedUpTo_ = 0;
   base::TimePoint nextScanAt_{};
-  /// By identifier.
+  /// Open orders by identifier.
   std::map<std::string, OpenOrder> orders_;
   /// Identifiers of open orders, oldest first.
   std::vector<std::string> queue_;
@@ -173,7 +175,7 @@
   std::uint32_t commitsLeft_ = 0;
   base::TimerId tickTimer_ = 0;
   base::TimerId advanceTimer_ = 0;
-  /// Replaced at each start and stop; callbacks of an earlier tenure find it gone.
+  /// Replaced at each start and stop, so that callbacks of an earlier tenure find it expired.
   std::shared_ptr<bool> lifetime_;
 };
 
--- a/src/coordination/order_progress.cc
+++ b/src/coordination/order_progress.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// One pass over one order.
+/// Advances one order once.
 class Progress {
  public:
   Progress(Order& order, const ProgressContext& context) : order_(order), context_(context) {}
@@ -52,7 +52,7 @@
                                [](const OrderStep& step) { return isFinal(step.state); });
   }
 
-  // --- steps under way
+  // --- steps in progress
 
   void advanceActive(OrderStep& step) {
     if (!isActive(step.state)) return;
@@ -69,7 +69,7 @@
   }
 
   void observe(OrderStep& step, const EngineObservation& engine) {
-    // A load that runs on keeps its slot, also on an engine that leaves.
+    // A load that continues keeps its slot, also on an engine that is leaving.
     if (engine.leaving && step.state != StepState::kLoading) {
       return enter(step, StepState::kSkipped, "the engine is leaving");
     }
@@ -107,7 +107,8 @@
     });
   }
 
-  /// An engine that came back without the version loads it again; one that is gone is left out.
+  /// A step whose engine restarted without the version loads it again; one whose engine is
+  /// unresponsive or leaving is skipped.
   void reviewLoaded(OrderStep& step) {
     if (step.state != StepState::kLoaded) return;
     const StepEvidence& evidence = evidenceOf(step);
@@ -146,7 +147,8 @@
     if (evidence.inState >= context_.limits.absenceTimeout) {
       return enter(step, StepState::kSkipped, "the engine does not answer");
     }
-    // Steps that are not next are not asked for.
+    // The engine of a step that is not among the next ones is not polled, so that there is no
+    // report.
     if (step.detail.empty()) step.detail = "waits for its turn";
   }
 
@@ -169,7 +171,8 @@
     addOldVersions(step, engine);
   }
 
-  /// Adds to those known: an engine that restarts shows for a while less than it will have.
+  /// Adds to the versions already recorded: an engine that is restarting reports fewer versions for
+  /// a while than it will have.
   void addOldVersions(OrderStep& step, const EngineObservation& engine) const {
     for (const clients::LoadedWeights& loaded : engine.weights) {
       const bool isOld =
@@ -180,7 +183,7 @@
     }
   }
 
-  /// Why the engine's load may not start now; empty when it may.
+  /// Reason why the engine's load may not start now; empty if it may.
   std::string reasonToWait(const OrderStep& step) const {
     const std::uint32_t own = count(StepState::kLoading);
     if (isCanaryPending()) return "waits for the first engine to finish";
@@ -208,7 +211,7 @@
     });
   }
 
-  /// Engines that serve the model while this step and those under way load.
+  /// Number of engines that serve the model while this step and those in progress load.
   std::uint32_t servingWithout(const OrderStep& step) const {
     return static_cast<std::uint32_t>(
         std::ranges::count_if(context_.servingEngines, [&](const CatalogueEngine& engine) {
@@ -245,7 +248,7 @@
     return {};
   }
 
-  /// The order has begun to take the engine out of service.
+  /// Whether the order has begun to take the engine out of service.
   bool isLeavingService(const std::string& engine) const {
     return std::ranges::any_of(order_.steps, [&](const OrderStep& step) {
       return step.engine == engine && step.state != StepState::kWaiting;
@@ -265,7 +268,7 @@
     }
   }
 
-  /// Every engine has said lately that it has the new version.
+  /// Whether every engine has recently reported the new version.
   bool allLoadedConfirmed() const {
     return std::ranges::all_of(order_.steps, [this](const OrderStep& step) {
       return step.state != StepState::kLoaded || evidenceOf(step).observation.has_value();
@@ -331,7 +334,7 @@
   const ProgressContext& context_;
 };
 
-/// Identifier of an order to one engine: equal in repetitions, new after a restart of the engine.
+/// Identifier of an engine order: the same in repetitions, a new one after a restart of the engine.
 std::string engineOrderId(const Order& order, const OrderStep& step, std::string_view operation) {
   return order.id + "/" + step.engine + "/" + std::string(operation) + "/" +
          std::to_string(step.incarnation);
--- a/src/coordination/order_progress.h
+++ b/src/coordination/order_progress.h
@@ -1,6 +1,6 @@
 /// \file
-/// Decides the next states of an order's steps from what its engines report. A pure function of its
-/// inputs: the executor writes the result to the table before it acts on it.
+/// Decides the next states of an order's steps from the reports of its engines. A pure function of
+/// its inputs: the executor writes the result to the table before it acts on it.
 #pragma once
 
 #include <cstdint>
@@ -16,65 +16,68 @@
 
 namespace covewing::coordination {
 
-/// What an engine itself reported lately.
+/// State that an engine itself reported recently.
 struct EngineObservation {
   base::Incarnation incarnation = 0;
   clients::EngineRole role = clients::EngineRole::kServing;
   bool leaving = false;
   std::vector<clients::LoadedWeights> weights;
-  /// Requests running and waiting.
+  /// Number of running and waiting requests.
   std::uint32_t requests = 0;
 };
 
-/// What the executor knows about one step besides the row.
+/// Information about one step beyond the order's row.
 struct StepEvidence {
-  /// Empty while the engine has not answered lately.
+  /// Empty if the engine has not reported recently.
   std::optional<EngineObservation> observation;
-  /// The machine list names the engine.
+  /// Whether the machine list contains the engine.
   bool listed = true;
-  /// Time since the step entered its state or its engine last answered, whichever is later, for a
-  /// step that waits or has loaded; else time in the state. As this executor has seen it.
+  /// For a step that waits or has loaded: time since it entered its state or since its engine last
+  /// reported, whichever is later. Otherwise the time in the state. As observed by this executor.
   base::Duration inState{};
-  /// The engine refused the order for good.
+  /// Reason with which the engine permanently refused the order; empty if it did not.
   std::string refusal;
 };
 
 struct ProgressLimits {
-  /// Loads at once over all orders: the weight store's limit.
+  /// Maximum number of concurrent loads over all orders: the weight store's limit.
   std::uint32_t loadSlots = 2;
-  /// A load or unload that takes longer has failed.
+  /// A load or unload that takes longer than this has failed.
   base::Duration stepTimeout = std::chrono::minutes(10);
-  /// An engine that does not answer for this long before its step starts is skipped.
+  /// A step is skipped if its engine is unresponsive for this long before the step starts.
   base::Duration absenceTimeout = std::chrono::minutes(1);
-  /// Time between the last engine's load and the first unload of a swap, in which the nodes learn
-  /// of the new version and send requests there.
+  /// Time between the last engine's load and the first unload of a swap, in which the nodes receive
+  /// the new version and route requests to it.
   base::Duration settleTime = std::chrono::seconds(3);
 };
 
-/// The surroundings of one order.
+/// Inputs for advancing one order.
 struct ProgressContext {
   ProgressLimits limits;
   /// By engine name.
   std::map<std::string, StepEvidence> evidence;
-  /// Engines on which an earlier order works or will, with that order's identifier.
+  /// Engines on which another order takes precedence, because it is older or already in progress
+  /// there, with that order's identifier.
   std::map<std::string, std::string> blockedEngines;
-  /// Load slots taken by other orders.
+  /// Number of load slots in use by other orders.
   std::uint32_t slotsInUse = 0;
-  /// Engines that serve now, of the order's region; a loading engine serves nobody.
+  /// Engines of the order's region that serve now; an engine that loads for another order does not
+  /// count.
   std::vector<CatalogueEngine> servingEngines;
-  /// How long all engines of a swap have the new version, as this executor has seen it.
+  /// Time for which all engines of a swap have had the new version, as observed by this executor.
   base::Duration settledFor{};
 };
 
-/// Moves the order on as far as the evidence allows. Changes neither author's fields nor
+/// Advances the order as far as the evidence allows. Changes neither the author's fields nor
 /// `revision`.
 void advanceOrder(Order& order, const ProgressContext& context);
 
-/// Orders for the engine that the step's state calls for; none where it calls for nothing.
+/// Engine orders that the step's state requires; empty if it requires none.
 std::vector<clients::EngineOrder> engineOrdersFor(const Order& order, const OrderStep& step,
                                                   base::FencingToken token);
 
-/// Every engine of a swap has the new version and none was told to unload the old one yet.
+/// Whether every engine of a swap has the new version and none was ordered to unload the old one
+/// yet.
 bool isSettling(const Order& order);
 
 }  // namespace covewing::coordination
--- a/src/coordination/order_request.cc
+++ b/src/coordination/order_request.cc
@@ -20,7 +20,7 @@
   return found == engines.end() ? nullptr : &*found;
 }
 
-/// The named engines, with a mistake for each that cannot be ordered about.
+/// Finds the engines named in the request; adds a mistake for each that cannot receive an order.
 EnginePointers namedEngines(const OrderRequest& request,
                             const std::vector<CatalogueEngine>& engines,
                             std::vector<config::FieldMistake>& mistakes) {
@@ -43,7 +43,7 @@
   return chosen;
 }
 
-/// Whether an engine that was not named takes part in the order.
+/// Whether an engine that the request does not name may be part of the order.
 bool qualifies(const OrderRequest& request, const CatalogueEngine& engine) {
   if (engine.region != request.region || engine.leaving || engine.unreachable) return false;
   if (!request.zone.empty() && engine.zone != request.zone) return false;
@@ -67,7 +67,7 @@
   return chosen;
 }
 
-/// Zones in turn, names ascending within a zone.
+/// Orders engines by alternating zones, names ascending within a zone.
 EnginePointers interleaveZones(EnginePointers engines) {
   std::ranges::sort(engines, {},
                     [](const CatalogueEngine* engine) { return engine->address.name; });
@@ -82,8 +82,8 @@
   return result;
 }
 
-/// Serving engines first, and among them those that have the model: a version on an engine that has
-/// no other of the model would be served by that engine alone.
+/// Serving engines first, and among them those that have the model: on an engine that has no other
+/// version of the model, the new version would be served by that engine alone.
 EnginePointers inOrderOfPreference(const EnginePointers& engines, const std::string& model) {
   std::map<std::pair<clients::EngineRole, bool>, EnginePointers> groups;
   for (const CatalogueEngine* engine : engines) {
@@ -115,7 +115,7 @@
   return servingEngines(request, engines) / kDefaultServingDivisor;
 }
 
-/// Adapters that the engines have with any version of the model, ascending.
+/// Adapters that the engines have loaded with any version of the model, ascending.
 std::vector<std::string> adaptersOf(const EnginePointers& engines, const std::string& model) {
   std::set<std::string> adapters;
   for (const CatalogueEngine* engine : engines) {
@@ -170,7 +170,7 @@
   order.region = request.region;
   order.type = request.type;
   order.weights = {request.model, request.version, request.adapters};
-  // A swap must not take adapters away from the tenants that use them.
+  // A swap must keep the adapters that tenants use.
   if (request.type == OrderType::kSwap && request.adapters.empty()) {
     order.weights.adapters = adaptersOf(chosen, request.model);
   }
--- a/src/coordination/order_request.h
+++ b/src/coordination/order_request.h
@@ -1,5 +1,5 @@
 /// \file
-/// An operator's wish, and the order with its steps that it becomes on the fleet as known now.
+/// An operator's request, and the order that results from it for the fleet as currently known.
 #pragma once
 
 #include <cstdint>
@@ -18,25 +18,25 @@
   std::string region;
   std::string model;
   base::WeightsVersion version = 0;
-  /// Empty for a swap: those that the engines have with the model now.
+  /// If empty for a swap: the adapters that the engines currently have with the model.
   std::vector<std::string> adapters;
   clients::EngineRole role = clients::EngineRole::kServing;
-  /// Engines by name; empty: chosen from the region.
+  /// Names of the engines; if empty, engines of the region are chosen.
   std::vector<std::string> engines;
-  /// Choose engines of this zone only; empty: any.
+  /// Choose engines of this zone only; if empty, of any zone.
   std::string zone;
-  /// How many engines to choose; empty: all that qualify (a swap), or one.
+  /// Number of engines to choose; if empty, all that qualify, or one for a load without a zone.
   std::optional<std::uint32_t> count;
   std::uint32_t parallel = 0;
-  /// Empty: half of the model's serving engines for a swap, 1 for a role, 0 for a load.
+  /// If empty: half of the model's serving engines for a swap, 1 for a role, 0 for a load.
   std::optional<std::uint32_t> minimumServing;
   bool keepOld = false;
   std::string operationId;
   std::string author;
 };
 
-/// Chooses the engines and lays out the steps, zones in turn so that no zone is worked on alone.
-/// Empty with every mistake when the request cannot be an order.
+/// Chooses the engines and creates the steps, alternating between zones so that work is not
+/// concentrated on one zone. Returns empty and all mistakes if the request cannot become an order.
 std::optional<Order> makeOrder(const OrderRequest& request,
                                const std::vector<CatalogueEngine>& engines,
                                std::vector<config::FieldMistake>& mistakes);
--- a/src/coordination/order_store.cc
+++ b/src/coordination/order_store.cc
@@ -28,8 +28,8 @@
 
 }  // namespace
 
-/// One call in progress. Reads the row, decides, writes; reads again after a conflict or a lost
-/// answer, a bounded number of times.
+/// One operation in progress. Reads the row, decides, and writes; reads again after a conflict or a
+/// lost reply, a bounded number of times.
 class OrderStore::Operation : public std::enable_shared_from_this<OrderStore::Operation> {
  public:
   enum class Kind : std::uint8_t { kCreate, kFind, kCancel };
@@ -73,7 +73,7 @@
             "the operation identifier was used for another order"});
   }
 
-  /// The row holds what this call asks for; which engines were chosen may differ.
+  /// Whether the row has what this operation requests; the chosen engines may differ.
   bool isSameRequest(const Order& found) const {
     return found.type == order_.type && found.weights == order_.weights &&
            found.role == order_.role;
--- a/src/coordination/order_store.h
+++ b/src/coordination/order_store.h
@@ -1,10 +1,10 @@
 /// \file
-/// Orders as any node handles them for an operator: create, list, show, cancel. Only the holder of
-/// the region's lease moves them on (order_executor.h).
+/// Creates, lists, shows and cancels orders for an operator, on any node. Only the holder of the
+/// region's lease executes them (order_executor.h).
 ///
-/// Creating is idempotent: an order's identifier derives from the operation identifier, and its row
-/// is written on condition that there is none. Cancelling sets a mark in the row that the executor
-/// obeys. Lost answers are read back before anything is repeated.
+/// Creating is idempotent: the identifier of an order is derived from the operation identifier, and
+/// its row is written on condition that it does not exist. Cancelling sets a flag in the row that
+/// the executor acts on. After a lost reply the row is read back before anything is repeated.
 #pragma once
 
 #include <cstdint>
@@ -25,13 +25,14 @@
 enum class OrderCallStatus : std::uint8_t {
   kOk,
   kNotFound,
-  /// The operation identifier was used for another order, which `order` holds.
+  /// The operation identifier was used for another order, which is in `order`.
   kConflict,
-  /// The order is finished: nothing to cancel.
+  /// The order is finished and cannot be cancelled.
   kFinished,
-  /// The table service does not answer; nothing was changed.
+  /// The table service is not available; nothing was changed.
   kUnavailable,
-  /// The change may be in force. Repeating the call with the same operation identifier tells.
+  /// The change may have taken effect. Repeating the call with the same operation identifier shows
+  /// whether it did.
   kUnknown,
 };
 
@@ -42,17 +43,17 @@
 };
 
 struct OrderListResult {
-  /// Newest change last; empty when the table service did not answer.
+  /// Ascending by last change; empty if the table service did not reply.
   std::optional<std::vector<Order>> orders;
   base::Reason reason;
 };
 
 struct OrderStoreOptions {
   std::string region;
-  /// Calls to the table service in one operation before it gives up.
+  /// Maximum number of reads of the row in one operation before it is abandoned.
   std::uint32_t maximumAttempts = 8;
   base::Duration firstBackoff = std::chrono::milliseconds(50);
-  /// Most orders that a list holds.
+  /// Maximum number of orders in a list.
   std::size_t listLimit = 256;
 };
 
@@ -60,7 +61,7 @@
  public:
   using Callback = std::function<void(OrderCallResult)>;
   using ListCallback = std::function<void(OrderListResult)>;
-  /// Called when an order of the region was created or marked by this node.
+  /// Called when this node created an order of the region or requested its cancellation.
   using ChangeListener = std::function<void()>;
 
   OrderStore(OrderStoreOptions options, base::TimerService& timers, base::RandomSource& random,
@@ -71,7 +72,7 @@
 
   const std::string& region() const { return options_.region; }
   void setChangeListener(ChangeListener listener) { listener_ = std::move(listener); }
-  /// Each answers exactly once, later.
+  /// Each calls its callback exactly once, later.
   void create(Order order, Callback callback);
   void find(std::string id, Callback callback);
   void cancel(std::string id, Callback callback);
@@ -85,7 +86,8 @@
   base::RandomSource& random_;
   clients::TableClient& table_;
   ChangeListener listener_;
-  /// Outlived by operations that must no longer reach this object.
+  /// Operations that may outlive this object hold a weak reference and do nothing once it has
+  /// expired.
   std::shared_ptr<bool> lifetime_ = std::make_shared<bool>(true);
 };
 
--- a/src/coordination/replica_survey.cc
+++ b/src/coordination/replica_survey.cc
@@ -11,7 +11,8 @@
   nextAt_ = now + options_.interval;
   std::vector<routing::ReplicaRecordPtr> due;
   std::ranges::copy_if(candidates, std::back_inserter(due), [this](const auto& record) {
-    // One with a rate limit takes calls within it; what it says at the change itself is enough.
+    // Calls to a replica with a rate limit count against that limit; its reports during the change
+    // itself are sufficient.
     const bool rateLimited = record->notices().rateLimit().perSecond().has_value();
     return !rateLimited && !entries_[record->facts().instance].callInFlight;
   });
--- a/src/coordination/replica_survey.h
+++ b/src/coordination/replica_survey.h
@@ -1,10 +1,11 @@
 /// \file
-/// What replicas that are to be changed say of themselves shortly before: how many runs they have,
-/// and whether they answer at all.
+/// Polls the replicas that are to be changed shortly before: how many requests they have, and
+/// whether they respond at all.
 ///
-/// Gain: a replica with few runs is rid of them sooner, so that it is away for a shorter time; one
-/// that does not answer is not begun with. A few are asked at a time, the one asked the longest ago
-/// first, so that the holder's link bears a few kilobytes a second.
+/// Benefit: a replica with few requests drains sooner and so is unavailable for a shorter time, and
+/// no change is started on one that is unresponsive. Only a few replicas are polled at a time, the
+/// one polled longest ago first, so that the traffic of the lease holder is a few kilobytes a
+/// second.
 #pragma once
 
 #include <cstdint>
@@ -21,12 +22,12 @@
 namespace covewing::coordination {
 
 struct ReplicaSurveyOptions {
-  /// So many are asked each time.
+  /// Maximum number of replicas polled in each interval.
   std::size_t batchSize = 6;
   base::Duration interval = std::chrono::milliseconds(250);
-  /// What was said counts for so long.
+  /// A report older than this is ignored.
   base::Duration reportValidity = std::chrono::milliseconds(1500);
-  /// A replica that has not answered for so long is passed over until it does.
+  /// A replica that has not responded for this long counts as unresponsive until it does.
   base::Duration unresponsiveAfter = std::chrono::milliseconds(400);
 };
 
@@ -38,18 +39,18 @@
   ReplicaSurvey(const ReplicaSurvey&) = delete;
   ReplicaSurvey& operator=(const ReplicaSurvey&) = delete;
 
-  /// Asks some of the candidates, when it is time again.
+  /// Polls some of the candidates if the interval is over.
   void poll(const std::string& model, const std::vector<routing::ReplicaRecordPtr>& candidates);
-  /// Requests that run or wait there, as said lately.
+  /// Number of running and waiting requests at the replica; empty if there is no recent report.
   std::optional<std::uint32_t> requestCount(const std::string& instance) const;
-  /// Asked and not heard since.
+  /// Whether the replica has been polled for longer than `unresponsiveAfter` without a response.
   bool unresponsive(const std::string& instance) const;
-  /// Forgets a replica, which is begun with or gone.
+  /// Removes a replica whose change starts or which has terminated.
   void remove(const std::string& instance) { entries_.erase(instance); }
 
  private:
   struct Entry {
-    /// The first question without an answer.
+    /// Time of the first poll since the last response; empty if the last poll was answered.
     std::optional<base::TimePoint> unansweredSince;
     bool callInFlight = false;
     base::TimePoint polledAt{};
--- a/src/coordination/rollout_plan.cc
+++ b/src/coordination/rollout_plan.cc
@@ -53,7 +53,7 @@
     return true;
   const auto due = std::ranges::find_if(
       view.targets, [version](const auto& target) { return target.version > version; });
-  // As many as may be away change in one turn.
+  // The maximum number of unavailable replicas change in one batch.
   const auto batches = std::max<std::size_t>(
       1, (held + maximumUnavailableOf(view) - 1) / maximumUnavailableOf(view));
   return due != view.targets.end() &&
@@ -64,7 +64,8 @@
 std::set<std::string> RolloutPlan::waitingForLongRuns(const RolloutView& view) {
   std::set<std::string> waiting;
   if (view.longRunReplicas == 0 || view.served.size() < options_.minimumForLongRuns) return waiting;
-  // The newest first; of one version, those that take the long runs first.
+  // The newest version first; within one version, the replicas that take long-running requests come
+  // first.
   auto served = view.served;
   std::ranges::sort(served, [&view](const auto& left, const auto& right) {
     return routing::takesLongRunsBefore(view.model, *left, *right);
@@ -94,14 +95,15 @@
     return record->versionOf(view.model) < view.targets.back().version &&
            !view.started.contains(record->facts().instance);
   });
-  // Of one version, the replicas that take long runs come last, so that these runs end while others
-  // take the new ones.
+  // Within one version, the replicas that take long-running requests come last, so that these
+  // requests end while other replicas take the new ones.
   std::ranges::stable_sort(outdated, [&view](const auto& left, const auto& right) {
     return routing::takesLongRunsBefore(view.model, *right, *left);
   });
   if (!view.requestCountOf) return outdated;
-  // The oldest first: they are due first. Of these, those with the fewest requests, which are rid
-  // of them the soonest; what is not known comes after what is.
+  // Replicas of the oldest version come first, because their deadline is the earliest. Within one
+  // version, those with the fewest requests come first, because they drain soonest; replicas whose
+  // number of requests is unknown come last.
   constexpr auto kUnknown = std::numeric_limits<std::uint32_t>::max();
   std::ranges::stable_sort(outdated, {}, [&](const auto& record) {
     return std::pair{record->versionOf(view.model),
--- a/src/coordination/rollout_plan.h
+++ b/src/coordination/rollout_plan.h
@@ -1,18 +1,20 @@
 /// \file
-/// Which replicas are to be changed to new weights next, and how many at once.
+/// Decides which replicas are to be changed to new weights next, and how many at once.
 ///
-/// Load that it answers: a version must be in force by a date, a change takes its replica away for
-/// some seconds, callers need the others. An even pace loses the least: with `n` replicas, changes
-/// of `c` seconds and `T` seconds until the date, `n * c / T` away at once leave as many replicas
-/// to callers just before the date, when the older version still counts, as just after it. Slower,
-/// and at the date all replicas that are left cease to count at once; faster, and more are away
-/// before it than need be. The pace follows from what is left at each step, so that a step that
-/// comes late, a replica that comes back and a change that takes longer are made up for evenly.
+/// A version must be loaded by a deadline; each change makes its replica unavailable for some
+/// seconds, and callers need the other replicas. An even rate costs the least capacity: with `n`
+/// replicas, changes of `c` seconds and `T` seconds until the deadline, having `n * c / T` replicas
+/// unavailable at once leaves callers as many replicas just before the deadline, when the older
+/// version may still be used, as just after it. If changes are slower, all remaining replicas
+/// become unusable at once at the deadline; if they are faster, more replicas than necessary are
+/// unavailable before it. The rate is computed at each step from the remaining replicas, so that a
+/// late step, a replica that returns and a change that takes longer are compensated evenly.
 ///
-/// Where the work under way needs fewer replicas than there are, the spare ones change at once:
-/// requests on an older version are worth less.
+/// If the current load requires fewer replicas than there are, the spare ones are changed at once,
+/// because requests on an older version are worth less.
 ///
-/// Decides only; keeps nothing but since when long runs go elsewhere.
+/// The plan only decides. The only state it keeps is since when long-running requests are taken by
+/// other replicas.
 #pragma once
 
 #include <cstddef>
@@ -32,57 +34,64 @@
 namespace covewing::coordination {
 
 struct RolloutPlanOptions {
-  /// Most of a model's replicas that load at once, as a part of all; at least one may.
+  /// Maximum share of a model's replicas that load at once; at least one may.
   double maximumLoading = 1.0 / 6;
-  /// Most of a model's replicas that are away at once, whatever the date; at least one may be.
+  /// Maximum share of a model's replicas that are unavailable at once, whatever the deadline; at
+  /// least one may be.
   double maximumUnavailable = 0.4;
-  /// Room that is kept beyond what the work under way needs, as a part of that.
+  /// Spare capacity to keep beyond what the current load requires, as a fraction of that.
   double headroom = 0.25;
-  /// What is left shortly before the date is spread over at least this.
+  /// The changes that remain shortly before the deadline are spread over at least this time.
   base::Duration minimumTime = std::chrono::milliseconds(500);
-  /// Long runs have ended so long after replicas of newer weights began to take them.
+  /// Time after which long-running requests have ended, counted from when replicas of newer
+  /// versions began to take them.
   base::Duration longRunDrainTime = std::chrono::milliseconds(3000);
-  /// Replicas that take long runs are changed nevertheless so long before the last moment.
+  /// Replicas that take long-running requests are changed in any case this long before the last
+  /// possible moment.
   base::Duration longRunSlack = std::chrono::milliseconds(500);
-  /// With fewer replicas long runs are not kept together.
+  /// With fewer replicas than this, long-running requests are not concentrated on some of them.
   std::size_t minimumForLongRuns = 4;
 };
 
-/// What a step of the plan for one model rests on.
+/// Inputs of one step of the plan for one model.
 struct RolloutView {
   std::string model;
   const routing::WeightsTargetList& targets;
-  /// The replicas of the model that can be reached.
+  /// Reachable replicas of the model.
   std::vector<routing::ReplicaRecordPtr> served{};
-  /// Instances whose change has begun.
+  /// Instances whose change has started.
   std::set<std::string> started{};
-  /// Those of them that are away from callers now and answer.
+  /// Number of responsive replicas that are unavailable to callers because of a change.
   std::size_t unavailable = 0;
-  /// Others of them that have asked this node for rest: they serve callers as little.
+  /// Number of other replicas that have asked this node to back off: they do not serve its callers
+  /// either.
   std::size_t backingOff = 0;
-  /// Replicas that the work under way needs; 0 where it is not known.
+  /// Number of replicas required for the current load; 0 if unknown.
   double needed = 0;
-  /// Requests that a replica said lately it has; empty where it is not known.
+  /// Returns the number of requests that the replica reported recently; empty if unknown.
   std::function<std::optional<std::uint32_t>(const std::string& instance)> requestCountOf{};
-  /// How long changes last, as observed.
+  /// Observed duration of a change.
   base::Duration changeTime{};
-  /// Versions before this one are forbidden.
+  /// Requests may not start on versions older than this one.
   base::WeightsVersion oldestAllowed = 0;
-  /// How many replicas long runs fill; none are kept together where 0.
+  /// Number of replicas that long-running requests fill; 0: they are not concentrated on some
+  /// replicas.
   std::size_t longRunReplicas = 0;
   base::TimePoint now{};
 };
 
-/// A change that is to begin now.
+/// A change that is to start now.
 struct PlannedChange {
   std::string instance;
-  /// The replica's version is forbidden: it serves nobody, to change it costs nothing.
+  /// Requests may no longer start on the replica's version: it serves nobody, so that changing it
+  /// costs no capacity.
   bool versionForbidden = false;
 };
 
 struct RolloutStep {
   std::vector<PlannedChange> toStart;
-  /// Replicas that may be away, and that may load, at once.
+  /// Maximum number of replicas that may be unavailable at once, and of those that may load at
+  /// once.
   std::size_t maximumUnavailable = 1;
   std::size_t maximumLoading = 1;
 };
@@ -94,22 +103,27 @@
   RolloutStep next(const RolloutView& view);
 
  private:
-  /// Replicas that must be away at once for each version to be in force in time.
+  /// Number of replicas that must be unavailable at once for each version to be loaded by its
+  /// deadline.
   std::size_t unavailableNeeded(const RolloutView& view) const;
   std::size_t maximumUnavailableOf(const RolloutView& view) const;
-  /// The replicas that are to be changed, in the order in which they are begun with.
+  /// The replicas that are to be changed, in the order in which their changes start.
   std::vector<routing::ReplicaRecordPtr> startOrder(const RolloutView& view) const;
-  /// Replicas that may be away without callers missing them.
+  /// Number of replicas that may be unavailable while the others still have the required capacity.
   std::size_t spareReplicas(const RolloutView& view) const;
-  /// The replicas of older versions that still take long runs and have time.
+  /// Replicas of older versions that still take long-running requests and whose deadline still
+  /// allows waiting.
   std::set<std::string> waitingForLongRuns(const RolloutView& view);
-  /// Whether the long runs of a version's replicas have had the time to end, since at least as many
-  /// `newer` replicas as these runs fill take the new ones, or can be waited for no longer.
+  /// Whether the replicas of a version that take long-running requests may be changed: either these
+  /// requests have had the time to end since at least `longRunReplicas` replicas of newer versions
+  /// (`newer`) take the new ones, or the deadline does not allow waiting any longer. `held` is the
+  /// number of replicas that wait.
   bool mayChangeLongRunReplicas(const RolloutView& view, base::WeightsVersion version,
                                 std::size_t newer, std::size_t held);
 
   RolloutPlanOptions options_;
-  /// Since when enough replicas of newer versions take a version's long runs, by model.
+  /// Since when enough replicas of newer versions take the long-running requests of a version, by
+  /// model and version.
   std::map<std::pair<std::string, base::WeightsVersion>, base::TimePoint> takenOverSince_;
 };
 
--- a/src/coordination/version_watch.cc
+++ b/src/coordination/version_watch.cc
@@ -32,7 +32,7 @@
 void VersionWatch::onOrdered(const std::string& model, base::WeightsVersion version,
                              base::TimePoint now) {
   auto& trial = trials_[{model, version}];
-  // Later orders are watched only where a replica has ended.
+  // Later orders restart the observation only if a replica has terminated during a load.
   if (trial.orderedAt == base::TimePoint{} || trial.terminations > 0) trial.orderedAt = now;
 }
 
--- a/src/coordination/version_watch.h
+++ b/src/coordination/version_watch.h
@@ -1,11 +1,12 @@
 /// \file
-/// Whether a version of weights may be loaded by more replicas.
+/// Decides whether more replicas may load a version of weights.
 ///
-/// Failure that it prevents: a version whose load ends the replica, ordered to all of them. A new
-/// version is loaded by one replica first and by more when that one serves it, or goes on loading
-/// for longer than a load takes. When two replicas have ended while they loaded it and none serves
-/// it, it is stopped; replicas also end for other reasons, so that it is tried again at one, after
-/// pauses that double, until one serves it.
+/// Prevents a version whose load terminates the replica from being ordered to all replicas. A new
+/// version is loaded by one replica first, as a canary, and by more once that one serves it or has
+/// been loading for longer than a load takes. If two replicas have terminated while they loaded a
+/// version that none serves, the version is stopped. Replicas also terminate for other reasons, so
+/// a stopped version is tried again on one replica, after a back-off that doubles each time, until
+/// a replica serves it.
 #pragma once
 
 #include <cstddef>
@@ -19,11 +20,12 @@
 namespace covewing::coordination {
 
 struct VersionWatchOptions {
-  /// Replicas that end while they load a version that nobody serves, before it is stopped.
+  /// A version that no replica serves is stopped after this many replicas terminated while they
+  /// loaded it.
   std::size_t maximumTerminations = 2;
-  /// The first replica that loads a version is watched for so long: loads take under a second.
+  /// The first replica that loads a version is observed for this long; loads take under a second.
   base::Duration canaryTime = std::chrono::milliseconds(1500);
-  /// Pauses before a stopped version is tried again.
+  /// Back-off before a stopped version is tried again.
   base::Duration firstBackoff = std::chrono::seconds(4);
   base::Duration maximumBackoff = std::chrono::seconds(60);
 };
@@ -34,22 +36,22 @@
 
   /// Whether one more replica may be ordered to load the version.
   bool mayOrder(const std::string& model, base::WeightsVersion version, base::TimePoint now) const;
-  /// Nobody was ordered to load it, and nobody is known to serve it.
+  /// Whether no replica was ordered to load the version and none is known to serve it.
   bool untried(const std::string& model, base::WeightsVersion version) const;
-  /// Too many have ended, and it is not yet time to try again.
+  /// Whether too many replicas have terminated and the back-off is not over.
   bool stopped(const std::string& model, base::WeightsVersion version, base::TimePoint now) const;
   void onOrdered(const std::string& model, base::WeightsVersion version, base::TimePoint now);
   void onServed(const std::string& model, base::WeightsVersion version);
-  /// A replica ended while it loaded the version. True when the version is stopped by that.
+  /// A replica terminated while it loaded the version. Returns true if that stops the version.
   bool onTerminated(const std::string& model, base::WeightsVersion version, base::TimePoint now);
-  /// How many have ended so.
+  /// Number of replicas that terminated while they loaded the version.
   std::size_t terminations(const std::string& model, base::WeightsVersion version) const;
 
  private:
   struct Trial {
     bool served = false;
     std::size_t terminations = 0;
-    /// The latest order while nobody serves the version.
+    /// Start of the observation: the first order, or the latest one since a replica terminated.
     base::TimePoint orderedAt{};
     base::TimePoint stoppedUntil{};
   };
--- a/src/coordination/weights_rollout.cc
+++ b/src/coordination/weights_rollout.cc
@@ -36,7 +36,7 @@
 
 void WeightsRollout::tick() {
   if (!running_) return;
-  // A step may end its change, so the instances are copied first.
+  // Advancing a change may remove it, so the instances are copied first.
   std::vector<std::string> instances;
   for (const auto& [instance, change] : changes_) instances.push_back(instance);
   for (const auto& instance : instances) {
@@ -53,12 +53,13 @@
     ordersTaken_.erase(instance);
     return finishTerminated(instance, change);
   }
-  // Weights that it loads now would serve nobody, and a place for loads is better used.
-  if (record->leaving() && change.phase != Phase::kLoading) return finish(instance, "it leaves");
-  // The list or an answer may show the version before a report does.
+  // Weights loaded now would serve nobody, and another replica makes better use of the load slot.
+  if (record->leaving() && change.phase != Phase::kLoading)
+    return finish(instance, "the replica is leaving");
+  // The replica list or a response may show the version before a report does.
   if (change.phase == Phase::kLoading && record->versionOf(change.model) >= change.version)
     return finishServed(instance, record->versionOf(change.model));
-  if (overdue(change)) return finish(instance, "not done in time");
+  if (overdue(change)) return finish(instance, "load not finished in time");
   const auto newest = environment_.targets.newest(change.model);
   if (change.phase != Phase::kLoading && versionWatch_.stopped(change.model, newest, now))
     return abandon(instance);
@@ -136,7 +137,7 @@
     case clients::WeightsOrderStatus::kConflict:
     case clients::WeightsOrderStatus::kUnknown:
     case clients::WeightsOrderStatus::kUnreachable:
-      // A report tells whether it was taken, and how many were.
+      // The next report shows whether the order was accepted, and how many orders were.
       ordersTaken_.erase(instance);
       change->nextAt = now + std::max(options_.reportInterval, change->rateLimitPause);
       return;
@@ -158,7 +159,7 @@
 void WeightsRollout::requestReport(const std::string& instance, Change& change) {
   const auto record = environment_.directory.find(instance);
   change.callInFlight = true;
-  // Others may reach a replica that does not answer this node.
+  // Other nodes may reach a replica that is unresponsive to this one.
   if (!unresponsive(change)) environment_.changeListener.onReplicaChanging(instance);
   environment_.replicas.report(record->facts().endpoint, instance, change.model,
                                [this, instance, alive = std::weak_ptr(lifetime_)](
@@ -209,7 +210,8 @@
     finishServed(instance, report.version);
     return;
   }
-  // Reports lag: only one that is well younger than the order shows that it was not taken.
+  // Reports lag behind: only one that is well younger than the order proves that the order was not
+  // accepted.
   const bool stale = now - change.orderedAt < options_.orderRetryDelay;
   if (report.busy || stale) return;
   ordersTaken_[instance] = report.orders;
@@ -218,12 +220,13 @@
 }
 
 void WeightsRollout::finishTerminated(const std::string& instance, const Change& change) {
-  // What ends for another reason mostly ends without having taken the order.
+  // A replica that terminates for another reason has usually not accepted the order.
   const bool stopsVersion =
       change.accepted &&
       versionWatch_.onTerminated(change.model, change.version, environment_.clock.now());
-  finish(instance,
-         stopsVersion ? "gone; replicas end while they load this version, it is stopped" : "gone");
+  finish(instance, stopsVersion
+                       ? "gone; replicas terminate while they load this version, so it is stopped"
+                       : "gone");
 }
 
 void WeightsRollout::abandon(const std::string& instance) {
--- a/src/coordination/weights_rollout.h
+++ b/src/coordination/weights_rollout.h
@@ -1,18 +1,19 @@
 /// \file
-/// Brings all replicas to the versions of weights that operators named, a few at a time.
+/// Changes all replicas to the versions of weights that operators published, a few at a time.
 ///
-/// One node does so, the holder of a lease. For each replica in turn: the other nodes are told to
-/// route around it -> it is asked, until it is idle or the time for that is up, how many requests
-/// it has and how many orders it has taken -> the fenced order, when not too many load already ->
-/// reports until the version is served -> the other nodes are told. A version that was named
-/// meanwhile takes the place of an older one for all replicas that have not been ordered yet.
+/// One node does this, the holder of a lease. For each replica: notify the other nodes, which route
+/// around it -> request reports of the number of its requests and of the orders that it has
+/// accepted, until it is idle or the drain timeout is over -> send the fenced order once a load
+/// slot is free -> request reports until the version is served -> notify the other nodes. If a
+/// newer version is published meanwhile, it replaces the older one for all replicas that have not
+/// been ordered yet.
 ///
-/// Which replicas change, and how many at once, is the plan's matter (coordination/rollout_plan.h).
-/// A replica that does not answer takes no place among those that are away or load: others go on,
-/// and it is taken up again as soon as it answers.
+/// The plan decides which replicas change, and how many at once (coordination/rollout_plan.h). An
+/// unresponsive replica counts neither as unavailable nor as loading, so that others can proceed;
+/// its change continues as soon as it responds.
 ///
-/// An order without an answer may still be carried out, also late. It is given again only with the
-/// same expected number of orders, so that a replica takes at most one of them.
+/// An order without a response may still be carried out, even late. It is sent again only with the
+/// same expected number of orders, so that a replica accepts at most one of them.
 #pragma once
 
 #include <cstdint>
@@ -38,50 +39,54 @@
 
 struct WeightsRolloutOptions {
   base::Duration interval = std::chrono::milliseconds(50);
-  /// From telling the replica's home until the first report: requests that were granted before
-  /// reach the replica within a round trip.
+  /// Time from the notification of the replica's home node until the first report: requests granted
+  /// before that reach the replica within a round trip.
   base::Duration firstReportDelay = std::chrono::milliseconds(60);
-  /// From an order until the first report; loads take at least about half a second.
+  /// Time from an order until the first report; loads take at least about half a second.
   base::Duration loadReportDelay = std::chrono::milliseconds(350);
   base::Duration reportInterval = std::chrono::milliseconds(100);
-  /// Longest pause between calls to a replica with a rate limit: its weights are due at a date.
+  /// Maximum interval between calls to a replica with a rate limit, because its weights must be
+  /// loaded by a deadline.
   base::Duration maximumRateLimitPause = std::chrono::milliseconds(1500);
-  /// A replica that is not idle after this is ordered nevertheless; its runs end first.
+  /// A replica that is not idle after this time is sent the order nevertheless; it completes its
+  /// running requests first.
   base::Duration drainTimeout = std::chrono::milliseconds(1500);
-  /// Nothing is ordered with a fencing token for so long after a replica refused it as too old: the
-  /// lease has another holder, which this node learns within about a second.
+  /// After a replica rejected a fencing token as outdated, no order is sent with that token for
+  /// this long: the lease has another holder, as this node will observe within about a second.
   base::Duration fencedBackoff = std::chrono::milliseconds(1500);
-  /// An order without an answer is given again after this.
+  /// An order without a response is sent again after this time.
   base::Duration orderRetryDelay = std::chrono::milliseconds(1000);
-  /// A replica that gives no report for so long, or is not done so long after its order, is left,
-  /// and taken up again later.
+  /// A change is abandoned, and started again later, if its load has not finished this long after
+  /// the order and no report of the same period shows the order in progress.
   base::Duration loadTimeout = std::chrono::seconds(5);
-  /// A replica that has not answered for so long takes no place any more.
+  /// A replica that has not responded for this long no longer counts as unavailable or loading.
   base::Duration unresponsiveAfter = std::chrono::milliseconds(500);
-  /// From one report of such a replica to the next.
+  /// Interval between reports from an unresponsive replica.
   base::Duration unresponsiveInterval = std::chrono::milliseconds(250);
-  /// A replica whose reports show the order under way is waited for so long: its runs end first.
+  /// Maximum time to wait for a replica whose reports show the order in progress; it completes its
+  /// running requests first.
   base::Duration busyTimeout = std::chrono::seconds(10);
-  /// Part of a place for loads that an ordered replica takes whose runs have not ended.
+  /// Share of a load slot that is taken by an ordered replica whose running requests have not
+  /// ended.
   double slotShareWhileRunning = 0.5;
-  /// This long after requests on an older version became forbidden, every replica that still has
-  /// both it and requests that wait is ordered: these are refused as not run instead of beginning
-  /// on the older version.
+  /// This long after requests may no longer start on an older version, every replica that still has
+  /// both the version and waiting requests is sent the order: it then refuses these requests as not
+  /// run instead of starting them on the older version.
   base::Duration flushAfter = std::chrono::milliseconds(400);
-  /// How long a change is taken to last at first, and at most.
+  /// Assumed duration of a change at first, and its maximum.
   base::Duration initialChangeTime = std::chrono::milliseconds(1800);
   base::Duration maximumChangeTime = std::chrono::milliseconds(4000);
   RolloutPlanOptions plan;
   ReplicaSurveyOptions survey;
 };
 
-/// Tells all nodes about one replica.
+/// Notifies all nodes of changes of one replica.
 class ReplicaChangeListener {
  public:
   virtual ~ReplicaChangeListener() = default;
-  /// The replica is about to load weights: route around it for now.
+  /// The replica is about to load weights and should receive no requests for now.
   virtual void onReplicaChanging(const std::string& instance) = 0;
-  /// The replica serves the version.
+  /// The replica serves the version: the new one, or its present one if the change was abandoned.
   virtual void onReplicaServing(const std::string& instance, const std::string& model,
                                 base::WeightsVersion version) = 0;
 };
@@ -97,12 +102,13 @@
   ReplicaChangeListener& changeListener;
   /// Name of this node.
   std::string holder;
-  /// How many replicas of a service long runs fill; none are kept together without it.
+  /// Number of replicas of a service that long-running requests fill. If not set, these requests
+  /// are not concentrated on some replicas.
   std::function<std::size_t(const std::string& service)> longRunReplicas;
-  /// How many replicas of a service the work under way fills; not known without it.
+  /// Number of replicas of a service that the current load fills; unknown if not set.
   std::function<double(const std::string& service)> replicasInUse;
-  /// Whether the configuration has the service: an entry of any other names no replica to order.
-  /// Every service counts as configured without it.
+  /// Whether the configuration contains the service. A replica whose entry names another service is
+  /// sent no orders. If not set, every service counts as configured.
   std::function<bool(const std::string& service)> isConfigured{};
 };
 
@@ -118,7 +124,7 @@
 
   /// The lease was acquired.
   void start();
-  /// The lease was lost or is given up.
+  /// The lease was lost or is being released.
   void stop();
   std::size_t changesInProgress() const { return changes_.size(); }
 
@@ -129,27 +135,28 @@
     base::WeightsVersion version = 0;
     Phase phase = Phase::kDraining;
     base::TimePoint startedAt{};
-    /// When the next step is due.
+    /// Time at which the next step is due.
     base::TimePoint nextAt{};
     base::TimePoint orderedAt{};
-    /// The latest answer of the replica, at first the change's start.
+    /// Time of the latest response of the replica; initially the start of the change.
     base::TimePoint lastResponseAt{};
-    /// The latest report that showed the order under way.
+    /// Time of the latest report that showed the order in progress.
     base::TimePoint lastBusyAt{};
-    /// The replica has taken the order.
+    /// Whether the replica has accepted the order.
     bool accepted = false;
-    /// Requests that run there, by the latest report.
+    /// Number of running requests, according to the latest report.
     std::uint32_t running = 0;
-    /// The latest report showed no requests that wait to begin.
+    /// Whether the latest report showed no waiting requests.
     bool noneWaiting = false;
     bool callInFlight = false;
-    /// Between calls, where the replica names a rate limit: it takes them within that.
+    /// Minimum interval between calls, if the replica reports a rate limit; calls count against
+    /// that limit.
     base::Duration rateLimitPause{};
   };
 
   void tick();
   void advance(const std::string& instance, Change& change);
-  /// Starts the changes that the plan wants now.
+  /// Starts the changes that the plan requires now.
   void startChanges(const std::string& model, const routing::WeightsTargetList& targets);
   void sendOrder(const std::string& instance, Change& change);
   void onOrderResponse(const std::string& instance, clients::WeightsOrderStatus status);
@@ -159,29 +166,31 @@
                      const clients::WeightsReport& report);
   void onLoadReport(const std::string& instance, Change& change,
                     const clients::WeightsReport& report);
-  /// Asks replicas that are still to be changed how many requests they have.
+  /// Polls the replicas that are still to be changed for their number of requests.
   void surveyOutdated(const std::string& model, base::WeightsVersion newest);
-  /// The replica is to be the first that loads the version, before its runs have ended, as the
-  /// others wait for it: nobody has loaded it, and no other that drains has fewer runs.
+  /// Whether the replica is to load the version as the first one (canary), before its running
+  /// requests have ended, because the other replicas wait for it: no replica has loaded the
+  /// version, and no other draining replica has fewer running requests.
   bool loadsAsCanary(const Change& change) const;
-  /// Has not answered lately.
+  /// Whether the replica has not responded recently.
   bool unresponsive(const Change& change) const;
   base::Duration rateLimitPauseOf(const routing::ReplicaRecord& record) const;
-  /// The replica answered; one that was silent begins its change anew.
+  /// The replica responded. If it was unresponsive, its drain starts again.
   void onResponse(const std::string& instance, Change& change);
-  /// Whether the replica is ready, of a service of the configuration, and has not ended.
+  /// Whether the replica is ready, belongs to a configured service, and has not terminated.
   bool usable(const routing::ReplicaRecord& record) const;
-  /// Whether the change has taken longer than any does that goes on.
+  /// Whether the change has taken longer than any change that makes progress.
   bool overdue(const Change& change) const;
-  /// Replicas that were ordered and answer; those whose runs have not ended count in part.
+  /// Number of load slots taken by responsive replicas that were sent an order; those whose running
+  /// requests have not ended count in part.
   double slotsInUse() const;
-  /// The replica ended.
+  /// Ends the change of a replica that has terminated.
   void finishTerminated(const std::string& instance, const Change& change);
-  /// Lets the replica serve the version that it has.
+  /// Abandons the change: the replica continues to serve its present version.
   void abandon(const std::string& instance);
-  /// The replica's version is forbidden and requests may still wait there.
+  /// Whether requests may no longer start on the version and may still be waiting at its replicas.
   bool mustFlush(const std::string& model, base::WeightsVersion version) const;
-  /// The replica serves the version: the other nodes are told and the change is over.
+  /// Ends the change of a replica that serves the version and notifies the other nodes.
   void finishServed(const std::string& instance, base::WeightsVersion version);
   void finish(const std::string& instance, std::string_view outcome);
   Change* find(const std::string& instance);
@@ -194,14 +203,14 @@
   CapacityAccount capacity_;
   VersionWatch versionWatch_;
   std::map<std::string, Change> changes_;
-  /// Orders that each replica has taken, as far as this node knows.
+  /// Number of orders that each replica has accepted, as far as this node knows.
   std::map<std::string, std::uint64_t> ordersTaken_;
-  /// The latest token that a replica refused as too old, and until when nothing is ordered with it.
+  /// The latest token that a replica rejected as outdated, and until when no order is sent with it.
   base::FencingToken fencedToken_ = 0;
   base::TimePoint fencedUntil_{};
-  /// How long changes last, averaged over the latest.
+  /// Moving average of the duration of changes.
   base::Duration changeTime_;
-  /// Replicas that may load at once now.
+  /// Maximum number of replicas that may load at once now.
   std::size_t loadLimit_ = 1;
   bool running_ = false;
   base::TimerId timer_ = 0;
--- a/src/coordination/weights_rollout_schedule.cc
+++ b/src/coordination/weights_rollout_schedule.cc
@@ -1,4 +1,4 @@
-// Which changes begin, and which of those that go on take a place.
+// Which changes start, and which of the changes in progress occupy a load slot.
 #include <algorithm>
 
 #include "coordination/weights_rollout.h"
@@ -12,7 +12,7 @@
 }
 
 bool WeightsRollout::unresponsive(const Change& change) const {
-  // One that waits for a place to load is not asked.
+  // A replica that waits for a load slot is not polled.
   return change.phase != Phase::kAwaitingSlot &&
          environment_.clock.now() - change.lastResponseAt >
              options_.unresponsiveAfter + change.rateLimitPause;
@@ -26,7 +26,7 @@
 bool WeightsRollout::loadsAsCanary(const Change& change) const {
   const auto newest = environment_.targets.newest(change.model);
   if (!change.noneWaiting || !versionWatch_.untried(change.model, newest)) return false;
-  // Those that were begun with at the same time have answered by the second report.
+  // Replicas whose changes started at the same time have responded by the second report.
   const auto age = environment_.clock.now() - change.startedAt;
   if (age < options_.firstReportDelay + options_.reportInterval) return false;
   return std::ranges::none_of(changes_, [&](const auto& entry) {
@@ -54,7 +54,7 @@
 bool WeightsRollout::overdue(const Change& change) const {
   const auto now = environment_.clock.now();
   if (change.phase != Phase::kLoading) return false;
-  // Reports may show for a while what was before.
+  // Reports lag behind and may still show the earlier state.
   const bool busy = now - change.lastBusyAt <= options_.loadTimeout;
   return now - change.orderedAt > (busy ? options_.busyTimeout : options_.loadTimeout);
 }
