--- a/tests/coordination/capacity_account_test.cc
+++ b/tests/coordination/capacity_account_test.cc
@@ -1,4 +1,4 @@
-// How many replicas the work under way needs, and how many may be away.
+// How many replicas the current load requires, and how many may be unavailable.
 #include "coordination/capacity_account.h"
 
 #include <boost/test/unit_test.hpp>
--- a/tests/coordination/coordination_world.h
+++ b/tests/coordination/coordination_world.h
@@ -1,4 +1,4 @@
-// Nodes with clocks of their own over the emulator's table and engines, on virtual time. A node can
+// Nodes with separate clocks that use the emulator's table and engines, in virtual time. A node can
 // be paused, cut off from the table or crashed.
 #pragma once
 
@@ -24,7 +24,8 @@
 
 inline constexpr const char* kRegion = "south";
 
-// A node's clock and timers: shifted against the world's, and held while the node is paused.
+// A node's clock and timers. The clock is offset from the shared virtual time; callbacks are held
+// back while the node is paused.
 class NodeTime final : public base::Clock, public base::TimerService {
  public:
   NodeTime(emulator::VirtualTime& world, base::Duration shift) : world_(world), shift_(shift) {}
@@ -37,7 +38,7 @@
   }
   void cancel(base::TimerId timer) override { world_.cancel(timer); }
 
-  // Runs now, or when the pause is over.
+  // Runs the callback now, or after the pause.
   void run(std::function<void()> callback) {
     if (paused_) {
       deferred_.push_back(std::move(callback));
@@ -50,7 +51,7 @@
     paused_ = false;
     for (auto& callback : std::exchange(deferred_, {})) callback();
   }
-  // The clock alone jumps; no time passes.
+  // Only the clock jumps; no time passes.
   void jump(base::Duration by) { shift_ += by; }
   std::weak_ptr<bool> lifetime() const { return alive_; }
 
@@ -62,7 +63,7 @@
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
-// A node's way to the table.
+// A node's connection to the table.
 class NodeTable final : public clients::TableClient {
  public:
   NodeTable(NodeTime& time, emulator::VirtualTime& network, emulator::TableModel& table)
@@ -89,7 +90,7 @@
                       });
   }
 
-  // Keeps the next write of an order's row in the network for this long.
+  // Delays the next write of an order's row in the network for this long.
   base::Duration delayNextOrderWriteBy{};
   bool cutOff = false;
   std::size_t calls = 0;
@@ -138,7 +139,7 @@
   membership::Member self_;
 };
 
-// The engines of the region, and every order that they obeyed.
+// The engines of the region, with a record of the orders that they accepted.
 class WorldEngines final : public emulator::ExecutionObserver, public EngineCatalogue {
   emulator::TestWorld& world_;
 
@@ -208,7 +209,8 @@
   std::map<base::EngineId, std::string> zones_;
 };
 
-// A node's way to the engines: a millisecond there, answers held while the node is paused.
+// A node's connection to the engines: one millisecond to the engine; replies are held back while
+// the node is paused.
 class NodeEngines final : public clients::EngineClient {
  public:
   NodeEngines(NodeTime& time, emulator::VirtualTime& network, WorldEngines& engines)
@@ -241,7 +243,7 @@
     });
   }
 
-  // Keeps the next engine order in the network for this long.
+  // Delays the next engine order in the network for this long.
   base::Duration delayNextOrderBy{};
 
  private:
@@ -316,7 +318,8 @@
     nodes.erase(name);
     std::erase_if(members.live, [&](const membership::Member& one) { return one.name == name; });
   }
-  // The name of the node that holds the lease by its own clock; checks that there is one at most.
+  // Name of the node that holds the lease by its own clock; empty if there is none. Checks that
+  // there is at most one.
   std::string holder() const {
     std::string holder;
     for (const auto& [name, node] : nodes) {
@@ -334,7 +337,7 @@
     return *nodes.begin()->second;
   }
   void run(base::Duration duration) { shared.time.run(duration); }
-  // Runs until `condition` holds, checking `invariant` at each step; false after `limit`.
+  // Runs until `condition` holds and checks `invariant` at each step; returns false after `limit`.
   bool runUntil(
       base::Duration limit, const std::function<bool()>& condition,
       const std::function<void()>& invariant = [] {}) {
@@ -361,7 +364,7 @@
     BOOST_REQUIRE((result->status == OrderCallStatus::kOk));
     return result->order->id;
   }
-  // The order as the table has it.
+  // The order as stored in the table.
   Order order(const std::string& id) const {
     const auto reply = table.readNow({orderKey(kRegion, id)});
     BOOST_REQUIRE(!reply.rows.empty());
--- a/tests/coordination/fault_schedule_test.cc
+++ b/tests/coordination/fault_schedule_test.cc
@@ -1,4 +1,4 @@
-// Orders under faults drawn at random from a seed: what must hold in every run.
+// Execution of orders under random faults that are derived from a seed: invariants of every run.
 #include <boost/test/unit_test.hpp>
 
 #include "coordination/order_request.h"
@@ -16,7 +16,7 @@
 constexpr std::size_t kLoadSlots = 2;
 constexpr std::size_t kEngines = 6;
 
-/// A fleet whose nodes are paused, cut off, restarted and lose the table's answers.
+/// A fleet whose nodes are paused, cut off and restarted, and lose replies of the table service.
 class FaultyFleet {
  public:
   explicit FaultyFleet(std::uint64_t seed) : random_(seed) {
@@ -27,7 +27,7 @@
     world.run(seconds(5));
   }
 
-  /// One fault, or the end of one.
+  /// Injects one fault, or ends one.
   void injectFault() {
     TestNode& node = randomNode();
     switch (random_.below(8)) {
@@ -125,7 +125,7 @@
       highestToken = std::max(highestToken, order.token);
     }
   }
-  // The faults did occur.
+  // Checks that faults did occur.
   BOOST_TEST(faults > 8 * kSeeds);
   BOOST_TEST(fencedOff > 0U);
   BOOST_TEST(highestToken > 3U);
--- a/tests/coordination/lease_manager_test.cc
+++ b/tests/coordination/lease_manager_test.cc
@@ -1,4 +1,4 @@
-// The lease under crashes, pauses, lost answers, races and clocks that differ.
+// The lease under crashes, pauses, lost replies, races and differing clocks.
 #include "coordination/lease_manager.h"
 
 #include <boost/test/unit_test.hpp>
@@ -48,7 +48,7 @@
   const base::FencingToken token = leaseRowIn(world).token;
   const LeaseOptions defaults;
   world.crash(world.holder());
-  // Its last renewal was at most one interval ago.
+  // The last renewal was at most one interval before the crash.
   world.run(defaults.duration - defaults.renewInterval - milliseconds(100));
   BOOST_TEST(world.holder().empty());
   BOOST_TEST(world.runUntil(defaults.renewInterval + 2 * defaults.margin + milliseconds(200),
@@ -112,7 +112,7 @@
   world.table.conditions().setAnswerLoss(0.7);
   for (int tick = 0; tick < 600; ++tick) {
     world.run(milliseconds(100));
-    world.holder();  // never two
+    world.holder();  // checks that there are never two
   }
   world.table.conditions().setAnswerLoss(0);
   world.run(seconds(10));
@@ -157,8 +157,8 @@
   }
 }
 
-// The new run never uses what the former one held: it takes the lease anew, with a higher token and
-// another tenure, so that writes of the former run that come late are refused.
+// The new incarnation never uses the lease of the earlier one. It acquires the lease again, with a
+// higher token and another tenure, so that late writes of the earlier incarnation are rejected.
 BOOST_AUTO_TEST_CASE(RestartedHolderReacquiresItsLeaseAtOnce) {
   World world;
   world.addNode("node-a", "zone-1");
@@ -193,7 +193,7 @@
   world.addNode("node-a", "zone-1");
   world.start();
   world.run(seconds(10));
-  // Moved in the row, since the world gives a name one address.
+  // The address is changed in the row, because the test fleet assigns one address to each name.
   LeaseRow row = leaseRowIn(world);
   world.crash("node-a");
   row.address = "10.9.9.9:1";
@@ -219,8 +219,9 @@
   BOOST_TEST((settleTime(Succession::kRestartedHolder, options) == options.orderTransitTime));
   BOOST_TEST((settleTime(Succession::kRecentlyActive, options) ==
               options.orderGap + options.orderTransitTime));
-  // The former holder sent its last order at most a window after its last write, and that was under
-  // way for its time; the lease was taken its duration and margin after the write.
+  // The previous holder sent its last order at most one window after its last write, and the order
+  // was in transit for up to its transit time. The lease was acquired `duration + margin` after
+  // that write.
   for (const auto window : {milliseconds(900), milliseconds(1500), milliseconds(3600)}) {
     options.orderWindow = window;
     const auto settle = settleTime(Succession::kExpired, options);
@@ -238,7 +239,7 @@
   world.run(seconds(10));
   const std::uint64_t before = world.table.conditions().admitted();
   world.run(seconds(60));
-  // The holder: a renewal each 2 s and a scan each 5 s.
+  // Calls of the holder: a renewal every 2 s and a scan every 5 s.
   BOOST_TEST(world.table.conditions().admitted() - before <= 30U + 12U + 2U);
 }
 
@@ -250,7 +251,7 @@
   world.run(seconds(10));
   const std::uint64_t before = world.table.conditions().admitted();
   world.run(seconds(60));
-  // The holder as ever; two watchers: a look each 6.5 s.
+  // Calls of the holder as above, and of two watching candidates: a read every 6.5 s.
   BOOST_TEST(world.table.conditions().admitted() - before <= 30U + 12U + 20U + 2U);
   world.crash(world.holder());
   BOOST_TEST(world.runUntil(seconds(14), [&] { return !world.holder().empty(); }));
--- a/tests/coordination/lease_return_test.cc
+++ b/tests/coordination/lease_return_test.cc
@@ -1,6 +1,7 @@
-// The table service came back from a copy while a lease had passed on: the row named its holder of
-// before, with its token. Who took the lease next gave the token of the last holder again, or a
-// lower one, which replicas refuse; and a holder that was cut off went on beside the new one.
+// The table service is restored from an older backup after the lease has changed hands, so that the
+// row names the previous holder with its token. Guards against two failures: the next node to
+// acquire the lease issued the last holder's token again, or a lower one, which replicas reject;
+// and a holder that was cut off continued beside the new one.
 #include <boost/test/unit_test.hpp>
 #include <map>
 #include <memory>
@@ -20,7 +21,7 @@
 
 constexpr std::size_t kNodes = 3;
 
-/// All nodes are members; `self` is one of them.
+/// Directory in which all nodes are members; `self` is the index of this node.
 class AllMembers final : public membership::MemberDirectory {
  public:
   explicit AllMembers(std::size_t self) : self_(self) {
@@ -44,7 +45,7 @@
   std::vector<membership::Member> members_;
 };
 
-/// A node's way to the service, which may be cut; it tells the eras of answers.
+/// A node's connection to the service, which can be cut. Reports the store era of each reply.
 class Connection final : public clients::TableClient {
  public:
   Connection(clients::TableClient& service, config::StoreEras& eras)
@@ -59,7 +60,7 @@
     if (cut) return waiting.push_back(std::move(callback));
     service_.commit(std::move(transaction), observingEra(std::move(callback)));
   }
-  /// Calls that get no answer while the way is cut end without one.
+  /// Restores the connection; calls made while it was cut end without a reply.
   void restore() {
     cut = false;
     for (const auto& callback : std::exchange(waiting, {})) callback({});
@@ -78,7 +79,7 @@
   config::StoreEras& eras_;
 };
 
-/// Who was granted which token, by all nodes together.
+/// Index of the node to which each token was granted, over all nodes.
 using HoldersByToken = std::map<base::FencingToken, std::size_t>;
 
 LeaseOptions options() {
@@ -133,7 +134,7 @@
     for (auto& node : nodes) node->lease.start();
     run(seconds(2));
   }
-  /// Never are there two holders.
+  /// Advances the time and checks that there are never two holders.
   void run(base::Duration duration) {
     const auto end = time.now() + duration;
     while (time.now() < end) {
@@ -149,13 +150,13 @@
     BOOST_REQUIRE((found != nodes.end()));
     return **found;
   }
-  /// All others hear of the return.
+  /// Notifies all other nodes of the restore.
   void notifyAllExcept(const LeaseNode& cutOff) {
     for (auto& node : nodes) {
       if (node.get() != &cutOff) node->eras.note(1, "gossip");
     }
   }
-  /// How long there is no holder.
+  /// Advances the time until there is a holder, for at most 30 s, and returns how long that took.
   base::Duration timeWithoutHolder() {
     const auto since = time.now();
     while (holders() == 0 && time.now() < since + seconds(30)) run(milliseconds(10));
@@ -182,7 +183,8 @@
   BOOST_TEST(granted.size() == 2U);
 }
 
-// The copy is of before the lease passed on: its row names the first holder, with the first token.
+// The backup was made before the lease changed hands: its row names the first holder, with the
+// first token.
 BOOST_AUTO_TEST_CASE(TokenLostByTheServiceIsNotIssuedAgain) {
   const auto copy = service.copy();
   auto& first = holder();
@@ -198,8 +200,8 @@
   BOOST_TEST(holders() == 1);
 }
 
-// The second holder is cut off as the service returns without its row: it may order until its lease
-// lapses by its own clock.
+// The second holder is cut off when the service is restored without its row: it may send orders
+// until its lease expires by its own clock.
 BOOST_AUTO_TEST_CASE(LeaseOfACutOffHolderExpiresBeforeItIsAcquired) {
   const auto empty = test_support::MemoryTableService::Copy{};
   auto& former = holder();
@@ -211,7 +213,8 @@
   BOOST_TEST(!former.holds());
 }
 
-// Also where the copy shows the lease as given up, as it had been before the last holder took it.
+// The same if the backup shows the lease as released, which it was before the last holder acquired
+// it.
 BOOST_AUTO_TEST_CASE(BackupThatShowsTheLeaseAsReleasedIsNotTrusted) {
   auto& first = holder();
   bool released = false;
--- a/tests/coordination/lease_succession_test.cc
+++ b/tests/coordination/lease_succession_test.cc
@@ -1,4 +1,4 @@
-// How long a new holder waits before it orders, by what it found in the row.
+// Time that a new holder waits before it sends orders, depending on the row that it found.
 #include <boost/test/unit_test.hpp>
 #include <functional>
 #include <optional>
@@ -15,7 +15,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// The only candidate, beside a row that another holder wrote.
+/// The only candidate for a lease whose row was written by another holder.
 struct NextHolder : LeaseListener {
   explicit NextHolder(const std::string& previousRow)
       : NextHolder([&](const membership::Member& /*self*/) { return previousRow; }) {}
@@ -70,21 +70,21 @@
   BOOST_TEST((next.settleTime == milliseconds(1700)));
 }
 
-// A holder of a version without order windows orders as long as it holds the lease.
+// A holder of a build without order windows sends orders as long as it holds the lease.
 BOOST_AUTO_TEST_CASE(ExpiredLeaseOfAnOlderBuildRequiresTheWholeGap) {
   NextHolder next(R"({"holder":"node-b","incarnation":1,"nonce":5,"token":7,"released":false})");
   BOOST_REQUIRE(next.waitForAcquisition(1));
   BOOST_TEST((next.settleTime == milliseconds(3800)));
 }
 
-// Whoever wrote it may be ordering.
+// The node that wrote the row may be sending orders.
 BOOST_AUTO_TEST_CASE(UnreadableRowRequiresTheWholeGap) {
   NextHolder next("nonsense");
   BOOST_REQUIRE(next.waitForAcquisition(1));
   BOOST_TEST((next.settleTime == milliseconds(3800)));
 }
 
-// The wait of a tenure is not over because its lease lapsed and a late answer brought it back.
+// The settle time of a tenure is not over because its lease expired and a late reply restored it.
 BOOST_AUTO_TEST_CASE(LeaseRestoredByALateReplyIsNotSettled) {
   NextHolder next(encodeLeaseRow({"node-b", 1, 5, 7, true, "10.1.2.3:9", true}));
   BOOST_REQUIRE(next.waitForAcquisition(1));
@@ -112,7 +112,8 @@
   BOOST_TEST(next.lease->grant().has_value());
 }
 
-// The next run of the holder goes by it: one that had not settled may follow fresh orders.
+// The next incarnation of the holder relies on it: an incarnation that had not settled may have
+// acquired the lease just after another holder sent orders.
 BOOST_AUTO_TEST_CASE(RowShowsWhetherTheHolderHasSettled) {
   NextHolder next(encodeLeaseRow({"node-b", 1, 5, 7, true, "10.1.2.3:9", true}));
   BOOST_REQUIRE(next.waitForAcquisition(1));
--- a/tests/coordination/order_execution_test.cc
+++ b/tests/coordination/order_execution_test.cc
@@ -1,4 +1,4 @@
-// Orders through lease holders, with the emulator's engines and weight store.
+// Execution of orders by lease holders, with the emulator's engines and weight store.
 #include <boost/test/unit_test.hpp>
 
 #include "coordination/order_request.h"
@@ -137,7 +137,7 @@
 
 BOOST_AUTO_TEST_CASE(FailingSwapUnloadsTheNewVersion) {
   Fleet fleet(3);
-  // No memory for another set of weights.
+  // This engine has no memory left for another version of weights.
   fleet.engines.add("rules-x", "zone-1", {{"other", 1, {}}, {"rules", 1, {}}});
   const std::string id = fleet.createOrder(fleet.nonHolder(), swapRequest(2));
   BOOST_TEST(fleet.runUntilFinished(id));
@@ -195,7 +195,7 @@
   Fleet fleet(6);
   fleet.engines.weightStore.setSpeed(0.05);
   TestNode& former = fleet.holderNode();
-  // The engine order of the former holder is on its way while its lease runs out.
+  // The engine order of the former holder is in transit while its lease expires.
   former.engines.delayNextOrderBy = seconds(30);
   const std::string id = fleet.createOrder(fleet.nonHolder(), loadRequest(6, 2));
   BOOST_TEST(fleet.runUntil(seconds(5),
@@ -239,13 +239,13 @@
   first.operationId = "first";
   const std::string firstId = fleet.createOrder(fleet.nonHolder(), first);
   fleet.run(seconds(3));
-  // The write that takes a slot for the first order is under way while its writer crashes.
+  // The write that takes a slot for the first order is in transit when its writer crashes.
   fleet.holderNode().table.delayNextOrderWriteBy = seconds(20);
   engine.resume();
   fleet.run(seconds(2));
   engine.pause();
   fleet.crash(fleet.holder());
-  // The next holder cannot start the first order, and gives both slots to the second.
+  // The next holder cannot start the first order and gives both slots to the second.
   OrderRequest second = loadRequest(1, 2);
   second.count.reset();
   second.engines = {"rules-1", "rules-2"};
@@ -262,7 +262,8 @@
   const std::string former = fleet.holder();
   const std::string id = fleet.createOrder(fleet.nonHolder(), loadRequest(4, 2));
   fleet.run(seconds(2));
-  // A candidate's clock leaps: it takes over while the holder still believes in its lease.
+  // The clocks of the candidates jump ahead: one of them takes over while the holder still
+  // considers its lease valid.
   for (auto& [name, node] : fleet.nodes) {
     if (name != former) node->time.jump(std::chrono::hours(1));
   }
@@ -314,7 +315,7 @@
   const std::string id = fleet.createOrder(fleet.nonHolder(), loadRequest(8, 2));
   BOOST_TEST(fleet.runUntil(seconds(30), [&] { return fleet.engines.enginesWith(2) >= 2; }));
   fleet.holderNode().coordinator.drain([] {});
-  // Well within the time that a lapse would take.
+  // Well below the time that the expiry of the lease would take.
   BOOST_TEST(fleet.runUntil(seconds(6), [&] { return fleet.engines.enginesWith(2) == 8; }));
 }
 
--- a/tests/coordination/replica_survey_test.cc
+++ b/tests/coordination/replica_survey_test.cc
@@ -1,4 +1,4 @@
-// What replicas say of themselves before they are changed.
+// Polling of replicas before they are changed.
 #include "coordination/replica_survey.h"
 
 #include <algorithm>
--- a/tests/coordination/rollout_plan_test.cc
+++ b/tests/coordination/rollout_plan_test.cc
@@ -1,4 +1,5 @@
-// The pace of a rollout over whole days, without replicas: how many are away, and how many count.
+// The rate of whole rollouts with simulated replicas: how many are unavailable, and on how many
+// requests may start.
 #include "coordination/rollout_plan.h"
 
 #include <algorithm>
@@ -18,7 +19,7 @@
 
 namespace {
 
-/// Replicas that change as long as they are told to.
+/// Simulated replicas whose changes take a given time.
 struct SimulatedRollout {
   explicit SimulatedRollout(std::size_t replicas) {
     for (std::size_t number = 0; number < replicas; ++number) {
@@ -30,7 +31,7 @@
     }
   }
 
-  /// Replicas that requests may begin on.
+  /// Number of replicas on which requests may start.
   std::size_t usableReplicas() const {
     const auto oldest = targets.oldestAllowed("m", now);
     std::size_t count = 0;
@@ -47,7 +48,7 @@
     }));
   }
 
-  /// Counts from the first step on.
+  /// Records the minimum and maximum figures from the first step on.
   void run(base::Duration duration) {
     for (const auto end = now + duration; now < end; now += milliseconds(50)) {
       std::erase_if(changing, [&](const auto& change) {
@@ -88,7 +89,7 @@
   std::function<bool(const std::string&)> unreachable = [](const std::string& /*name*/) {
     return false;
   };
-  /// Replicas that the work under way fills.
+  /// Number of replicas that the current load fills.
   double needed = 0;
   std::function<std::optional<std::uint32_t>(const std::string&)> requestCountOf;
   std::map<std::string, std::pair<base::WeightsVersion, base::TimePoint>> changing;
@@ -106,7 +107,7 @@
   rollout.targets.onNamed("m", 2, rollout.now);
   rollout.run(seconds(12));
   BOOST_TEST(rollout.atVersionOrNewer(2) == 90U);
-  // A change is 2 s of 8.5 s.
+  // A change takes 2 s of the 8.5 s until the deadline.
   BOOST_TEST(rollout.minimumUsable >= 64U);
   BOOST_TEST(rollout.maximumUnavailable <= 26U);
   BOOST_TEST(rollout.loads == 90U);
@@ -186,7 +187,7 @@
   BOOST_TEST(rollout.changing.size() == 36U);
   rollout.needed = 80;
   rollout.run(milliseconds(2500));
-  // What the date asks for is left.
+  // Only the changes that the deadline requires are in progress.
   BOOST_TEST(rollout.changing.size() <= 24U);
   BOOST_TEST(rollout.changing.size() >= 10U);
   rollout.run(seconds(7));
--- a/tests/coordination/version_watch_test.cc
+++ b/tests/coordination/version_watch_test.cc
@@ -1,4 +1,4 @@
-// When a version of weights may be loaded by more replicas, and when it is stopped.
+// When more replicas may load a version of weights, and when the version is stopped.
 #include "coordination/version_watch.h"
 
 #include <boost/test/unit_test.hpp>
@@ -42,7 +42,7 @@
   watch.onOrdered("m", 2, now);
   BOOST_TEST(!watch.mayOrder("m", 2, now + milliseconds(500)));
   BOOST_TEST(watch.onTerminated("m", 2, now));
-  // The pause doubles.
+  // The back-off doubles.
   BOOST_TEST(watch.stopped("m", 2, now + seconds(7)));
   BOOST_TEST(!watch.stopped("m", 2, now + seconds(9)));
 }
--- a/tests/coordination/weights_rollout_test.cc
+++ b/tests/coordination/weights_rollout_test.cc
@@ -1,4 +1,5 @@
-// The rollout of weights: pace, order of replicas, lost answers, fencing, and the bound.
+// The rollout of weights: its rate, the order of replicas, lost responses, fencing, and the
+// deadline.
 #include "coordination/weights_rollout.h"
 
 #include <boost/test/unit_test.hpp>
@@ -19,10 +20,10 @@
 namespace {
 
 constexpr base::Duration kLoadTime = milliseconds(630);
-/// A call that gets no answer ends after this.
+/// A call without a response ends after this time.
 constexpr base::Duration kCallTimeout = milliseconds(800);
 
-/// Replicas that take orders as the published interface says.
+/// Replicas that handle orders as the published interface specifies.
 class FakeReplicas final : public clients::WeightsClient {
  public:
   struct Replica {
@@ -33,13 +34,13 @@
     std::uint32_t running = 0;
     std::uint32_t waiting = 0;
     base::FencingToken token = 0;
-    /// Its address answers for another run.
+    /// The address now belongs to another instance.
     bool replaced = false;
-    /// The next order is carried out so much later, and not answered.
+    /// The next order is carried out this much later, without a response.
     base::Duration delayNext{};
-    /// Gives no answer.
+    /// The replica does not respond.
     bool unresponsive = false;
-    /// The runs end then; a load begins when they have.
+    /// Time at which the running requests end; a load starts after that.
     std::optional<base::TimePoint> requestsEndAt;
   };
 
@@ -94,7 +95,7 @@
   std::map<std::string, Replica> replicas;
   std::vector<std::pair<std::string, clients::WeightsOrder>> receivedOrders;
   std::map<std::string, std::size_t> reports;
-  /// What orders came to that were carried out late.
+  /// Results of orders that were carried out late.
   std::vector<WeightsOrderStatus> lateResults;
   int responsesToLose = 0;
 
@@ -174,9 +175,10 @@
   routing::WeightsTargets targets{{seconds(8), seconds(1)}};
   std::set<std::string> changing;
   std::optional<LeaseGrant> grant = LeaseGrant{5, 1};
-  /// How many replicas long runs fill; 0: long runs are not kept together.
+  /// Number of replicas that long-running requests fill; 0: these requests are not concentrated on
+  /// some replicas.
   std::size_t longRunReplicas = 0;
-  /// The configuration has the replicas' service.
+  /// Whether the configuration contains the replicas' service.
   bool configured = true;
   WeightsRollout rollout{{},
                          {time,
@@ -248,7 +250,8 @@
   BOOST_TEST(replicas.receivedOrders.size() == 1U);
 }
 
-// A replica that takes one request a second got ten reports a second while it was changed.
+// Guards against polling a replica ten times a second while it is changed, although it accepts only
+// one request a second.
 BOOST_AUTO_TEST_CASE(ReplicaWithARateLimitGetsFewCallsWhileItIsChanged) {
   const auto now = time.now();
   for (int number = 1; number < 12; ++number) listReplica("r" + std::to_string(number), 2);
@@ -291,9 +294,10 @@
   BOOST_TEST(loadTime->value == "0");
 }
 
-// A node that had no answer to an order for version 2 ordered version 3 after the replica had
-// restarted. The first order was carried out then, since the count of orders begins anew with a
-// run, and nobody noticed that the replica was back at version 2.
+// Guards against a replica that stays at an older version unnoticed. A node that received no
+// response to an order for version 2 ordered version 3 after the replica had restarted; the first
+// order was carried out only then, because the count of accepted orders starts again with each
+// instance.
 BOOST_AUTO_TEST_CASE(ReplicaRevertedByALateOrderIsChangedAgain) {
   for (int number = 0; number < 12; ++number) listReplica("r" + std::to_string(number), 3);
   targets.onNamed("m", 3, time.now());
@@ -307,8 +311,8 @@
   BOOST_TEST(atVersionOrNewer(3) == 12U);
 }
 
-// A run of a replica begins with no orders taken. What was known of the run before it, under way or
-// taken, is not expected of it.
+// An instance starts with no accepted orders: orders that the previous instance had accepted or in
+// progress are not expected of it.
 BOOST_AUTO_TEST_CASE(InstanceAfterARestartIsOrderedByItsOwnCount) {
   for (int number = 1; number < 12; ++number) listReplica("r" + std::to_string(number), 2);
   targets.onNamed("m", 2, time.now());
@@ -397,7 +401,7 @@
     time.advance(milliseconds(50));
     maximumLoading = std::max(maximumLoading, replicas.loading());
   }
-  // Two may load; one more when the runs of two that were ordered end together.
+  // Two replicas may load; one more if the running requests of two that were ordered end together.
   BOOST_TEST(maximumLoading <= 3U);
   BOOST_TEST(atVersionOrNewer(2) == 12U);
 }
@@ -409,7 +413,8 @@
   }
   targets.onNamed("m", 2, time.now() - seconds(7));
   rollout.start();
-  // Runs that end together must not make many more load at once than are ordered.
+  // If running requests end together, the number of replicas that load must not be much larger than
+  // the number of load slots.
   time.advance(milliseconds(3900));
   BOOST_TEST(replicas.receivedOrders.size() == 4U);
   time.advance(seconds(8));
@@ -424,11 +429,11 @@
   targets.onNamed("m", 2, time.now());
   rollout.start();
   time.advance(seconds(3));
-  // Others come first, although there is room for these.
+  // Other replicas are changed first, although there is capacity for these.
   BOOST_TEST(atVersionOrNewer(2) >= 3U);
   for (std::size_t index = 0; index < longRunReplicas; ++index)
     BOOST_TEST(!changing.contains(byRank[index]));
-  // The bound is 8 s.
+  // The deadline is 8 s after the version was published.
   time.advance(seconds(5));
   BOOST_TEST(atVersionOrNewer(2) == 12U);
 }
@@ -497,7 +502,7 @@
   while (replicas.receivedOrders.size() < 2) time.advance(milliseconds(10));
   for (std::size_t index = 0; index < 2; ++index)
     replicas.replicas[replicas.receivedOrders[index].first].unresponsive = true;
-  // Two load at once.
+  // Two replicas load at once.
   time.advance(milliseconds(2500));
   BOOST_TEST(replicas.receivedOrders.size() >= 4U);
   BOOST_TEST(atVersionOrNewer(2) >= 2U);
@@ -511,7 +516,7 @@
   }
   targets.onNamed("m", 2, time.now());
   rollout.start();
-  // Each is waited for 1.5 s and then ordered.
+  // Each of these two replicas is sent its order after a wait of 1.5 s.
   time.advance(milliseconds(4500));
   BOOST_TEST(atVersionOrNewer(2) >= 5U);
   time.advance(milliseconds(5000));
@@ -577,9 +582,9 @@
     });
   });
   BOOST_TEST(logged == 1);
-  // The others serve what they have.
+  // The other replicas serve their present version.
   for (const auto& [name, record] : directory.all()) BOOST_TEST(!changing.contains(name));
-  // The next version is loaded by all.
+  // All remaining replicas load the next version.
   targets.onNamed("m", 3, time.now());
   time.advance(seconds(8));
   BOOST_TEST(atVersionOrNewer(3) == 10U);
@@ -594,7 +599,8 @@
   rollout.start();
   time.advance(milliseconds(500));
   BOOST_TEST(replicas.receivedOrders.size() == 1U);
-  // The others load when their runs have ended, and the first has served the version.
+  // The others load once their running requests have ended and the first replica has served the
+  // version.
   time.advance(milliseconds(1500));
   BOOST_TEST(replicas.receivedOrders.size() >= 3U);
 }
@@ -665,7 +671,8 @@
 
 BOOST_AUTO_TEST_CASE(LeavingReplicaIsSentNoOrders) {
   directory.find("r0")->notices().recordLeaving();
-  // The others are drained before their orders: one of them begins to leave meanwhile.
+  // The other replicas are drained before their orders; one of them starts to leave in the
+  // meantime.
   for (auto& [name, replica] : replicas.replicas) replica.running = 1;
   targets.onNamed("m", 2, time.now());
   rollout.start();
