--- a/src/coordination/order_executor.cc
+++ b/src/coordination/order_executor.cc
@@ -247,7 +247,7 @@
   if (sameProgress(open.order, next)) return sendOrders(open, catalogue);
   if (commitsLeft_ == 0) return;
   --commitsLeft_;
-  stampSteps(open, next);
+  recordStepChanges(open, next);
   open.pending = std::move(next);
   commit(open.order.id);
 }
@@ -292,16 +292,16 @@
   StepEvidence evidence;
   evidence.listed = findEngine(catalogue, name) != nullptr;
   evidence.refusal = clock.refusal;
-  evidence.inState = now - clock.enteredAt;
+  evidence.timeInState = now - clock.enteredAt;
   const auto record = engines_.find(name);
   if (record == engines_.end() || !record->second.observation) return evidence;
   const base::Duration age = now - record->second.observedAt;
   if (age <= options_.reportValidity) evidence.observation = record->second.observation;
-  if (!isActive(clock.state)) evidence.inState = std::min(evidence.inState, age);
+  if (!isActive(clock.state)) evidence.timeInState = std::min(evidence.timeInState, age);
   return evidence;
 }
 
-void OrderExecutor::stampSteps(const OpenOrder& open, Order& next) const {
+void OrderExecutor::recordStepChanges(const OpenOrder& open, Order& next) const {
   const base::TimePoint now = environment_.clock.now();
   for (std::size_t index = 0; index < next.steps.size(); ++index) {
     OrderStep& step = next.steps[index];
--- a/src/coordination/order_executor.h
+++ b/src/coordination/order_executor.h
@@ -135,7 +135,7 @@
                              const std::vector<CatalogueEngine>& catalogue) const;
   StepEvidence evidenceFor(const OpenOrder& open, std::size_t step,
                            const std::vector<CatalogueEngine>& catalogue) const;
-  void stampSteps(const OpenOrder& open, Order& next) const;
+  void recordStepChanges(const OpenOrder& open, Order& next) const;
   /// Writes the pending state of the order.
   void commit(const std::string& id);
   void onCommit(const std::string& id, const clients::TableReply& reply);
--- a/src/coordination/order_progress.cc
+++ b/src/coordination/order_progress.cc
@@ -60,10 +60,10 @@
     if (!evidence.refusal.empty()) return enter(step, StepState::kFailed, evidence.refusal);
     if (evidence.observation) observe(step, *evidence.observation);
     if (!isActive(step.state)) return;
-    if (!evidence.listed && evidence.inState >= context_.limits.absenceTimeout) {
+    if (!evidence.listed && evidence.timeInState >= context_.limits.absenceTimeout) {
       return enter(step, StepState::kSkipped, "the engine is gone");
     }
-    if (evidence.inState >= context_.limits.stepTimeout) {
+    if (evidence.timeInState >= context_.limits.stepTimeout) {
       enter(step, StepState::kFailed, "the engine did not finish in time");
     }
   }
@@ -113,7 +113,7 @@
     if (step.state != StepState::kLoaded) return;
     const StepEvidence& evidence = evidenceOf(step);
     if (!evidence.observation) {
-      if (evidence.inState >= context_.limits.absenceTimeout) {
+      if (evidence.timeInState >= context_.limits.absenceTimeout) {
         enter(step, StepState::kSkipped, "the engine does not answer");
       }
       return;
@@ -144,7 +144,7 @@
   }
 
   void waitForReport(OrderStep& step, const StepEvidence& evidence) {
-    if (evidence.inState >= context_.limits.absenceTimeout) {
+    if (evidence.timeInState >= context_.limits.absenceTimeout) {
       return enter(step, StepState::kSkipped, "the engine does not answer");
     }
     // The engine of a step that is not among the next ones is not polled, so that there is no
--- a/src/coordination/order_progress.h
+++ b/src/coordination/order_progress.h
@@ -34,7 +34,7 @@
   bool listed = true;
   /// For a step that waits or has loaded: time since it entered its state or since its engine last
   /// reported, whichever is later. Otherwise the time in the state. As observed by this executor.
-  base::Duration inState{};
+  base::Duration timeInState{};
   /// Reason with which the engine permanently refused the order; empty if it did not.
   std::string refusal;
 };
--- a/src/coordination/rollout_plan.cc
+++ b/src/coordination/rollout_plan.cc
@@ -12,14 +12,14 @@
 namespace covewing::coordination {
 
 std::size_t RolloutPlan::maximumUnavailableOf(const RolloutView& view) const {
-  const double maximum = static_cast<double>(view.served.size()) * options_.maximumUnavailable;
+  const double maximum = static_cast<double>(view.replicas.size()) * options_.maximumUnavailable;
   return std::max<std::size_t>(1, static_cast<std::size_t>(maximum));
 }
 
 std::size_t RolloutPlan::unavailableNeeded(const RolloutView& view) const {
   double perSecond = 0;
   for (const auto& target : view.targets) {
-    const auto left = std::ranges::count_if(view.served, [&](const auto& record) {
+    const auto left = std::ranges::count_if(view.replicas, [&](const auto& record) {
       return record->versionOf(view.model) < target.version &&
              !view.started.contains(record->facts().instance);
     });
@@ -35,7 +35,7 @@
   FleetCapacity capacity;
   capacity.changing = view.unavailable;
   capacity.serving =
-      view.served.size() - std::min(view.served.size(), view.unavailable + view.backingOff);
+      view.replicas.size() - std::min(view.replicas.size(), view.unavailable + view.backingOff);
   capacity.needed = view.needed;
   return std::min(capacity.spareReplicas(options_.headroom), maximumUnavailableOf(view));
 }
@@ -63,17 +63,18 @@
 
 std::set<std::string> RolloutPlan::waitingForLongRuns(const RolloutView& view) {
   std::set<std::string> waiting;
-  if (view.longRunReplicas == 0 || view.served.size() < options_.minimumForLongRuns) return waiting;
+  if (view.longRunReplicas == 0 || view.replicas.size() < options_.minimumForLongRuns)
+    return waiting;
   // The newest version first; within one version, the replicas that take long-running requests come
   // first.
-  auto served = view.served;
-  std::ranges::sort(served, [&view](const auto& left, const auto& right) {
+  auto ranked = view.replicas;
+  std::ranges::sort(ranked, [&view](const auto& left, const auto& right) {
     return routing::takesLongRunsBefore(view.model, *left, *right);
   });
   std::size_t newer = 0;
-  for (auto first = served.begin(); first != served.end();) {
+  for (auto first = ranked.begin(); first != ranked.end();) {
     const auto version = (*first)->versionOf(view.model);
-    const auto end = std::find_if(first, served.end(), [&](const auto& record) {
+    const auto end = std::find_if(first, ranked.end(), [&](const auto& record) {
       return record->versionOf(view.model) != version;
     });
     const auto count = static_cast<std::size_t>(end - first);
@@ -91,7 +92,7 @@
 
 std::vector<routing::ReplicaRecordPtr> RolloutPlan::startOrder(const RolloutView& view) const {
   std::vector<routing::ReplicaRecordPtr> outdated;
-  std::ranges::copy_if(view.served, std::back_inserter(outdated), [&](const auto& record) {
+  std::ranges::copy_if(view.replicas, std::back_inserter(outdated), [&](const auto& record) {
     return record->versionOf(view.model) < view.targets.back().version &&
            !view.started.contains(record->facts().instance);
   });
@@ -116,7 +117,7 @@
   RolloutStep step;
   step.maximumUnavailable = std::max(unavailableNeeded(view), spareReplicas(view));
   const double loading =
-      std::ceil(static_cast<double>(view.served.size()) * options_.maximumLoading);
+      std::ceil(static_cast<double>(view.replicas.size()) * options_.maximumLoading);
   step.maximumLoading = std::max<std::size_t>(1, static_cast<std::size_t>(loading));
 
   const auto waiting = waitingForLongRuns(view);
--- a/src/coordination/rollout_plan.h
+++ b/src/coordination/rollout_plan.h
@@ -58,7 +58,7 @@
   std::string model;
   const routing::WeightsTargetList& targets;
   /// Reachable replicas of the model.
-  std::vector<routing::ReplicaRecordPtr> served{};
+  std::vector<routing::ReplicaRecordPtr> replicas{};
   /// Instances whose change has started.
   std::set<std::string> started{};
   /// Number of responsive replicas that are unavailable to callers because of a change.
--- a/src/coordination/version_watch.h
+++ b/src/coordination/version_watch.h
@@ -1,9 +1,9 @@
 /// \file
 /// Decides whether more replicas may load a version of weights.
 ///
-/// Prevents a version whose load terminates the replica from being ordered to all replicas. A new
-/// version is loaded by one replica first, as a canary, and by more once that one serves it or has
-/// been loading for longer than a load takes. If two replicas have terminated while they loaded a
+/// Prevents all replicas from being ordered to load a version that terminates them. A new version
+/// is loaded by one replica first, as a canary, and by more once that one serves it or has been
+/// loading for longer than a load takes. If two replicas have terminated while they loaded a
 /// version that none serves, the version is stopped. Replicas also terminate for other reasons, so
 /// a stopped version is tried again on one replica, after a back-off that doubles each time, until
 /// a replica serves it.
--- a/src/coordination/weights_rollout.h
+++ b/src/coordination/weights_rollout.h
@@ -5,8 +5,8 @@
 /// around it -> request reports of the number of its requests and of the orders that it has
 /// accepted, until it is idle or the drain timeout is over -> send the fenced order once a load
 /// slot is free -> request reports until the version is served -> notify the other nodes. If a
-/// newer version is published meanwhile, it replaces the older one for all replicas that have not
-/// been ordered yet.
+/// newer version is published meanwhile, it replaces the older one for all replicas that were not
+/// sent an order yet.
 ///
 /// The plan decides which replicas change, and how many at once (coordination/rollout_plan.h). An
 /// unresponsive replica counts neither as unavailable nor as loading, so that others can proceed;
@@ -66,8 +66,8 @@
   /// Maximum time to wait for a replica whose reports show the order in progress; it completes its
   /// running requests first.
   base::Duration busyTimeout = std::chrono::seconds(10);
-  /// Share of a load slot that is taken by an ordered replica whose running requests have not
-  /// ended.
+  /// Share of a load slot that a replica takes after it was sent the order, while its running
+  /// requests have not ended.
   double slotShareWhileRunning = 0.5;
   /// This long after requests may no longer start on an older version, every replica that still has
   /// both the version and waiting requests is sent the order: it then refuses these requests as not
--- a/src/coordination/weights_rollout_schedule.cc
+++ b/src/coordination/weights_rollout_schedule.cc
@@ -75,7 +75,7 @@
   for (const auto& [instance, record] : environment_.directory.all()) {
     const bool reachable = !record->health().ejected(now) && !survey_.unresponsive(instance);
     if (record->versionOf(model) == 0 || !reachable || !usable(*record)) continue;
-    view.served.push_back(record);
+    view.replicas.push_back(record);
     if (record->notices().backingOff(now) && !changes_.contains(instance)) ++view.backingOff;
     if (record->versionOf(model) == targets.back().version)
       versionWatch_.onServed(model, targets.back().version);
@@ -85,10 +85,10 @@
     view.unavailable += change.model == model && !unresponsive(change) ? 1 : 0;
   }
   view.oldestAllowed = environment_.targets.oldestAllowed(model, now);
-  if (environment_.longRunReplicas && !view.served.empty())
-    view.longRunReplicas = environment_.longRunReplicas(view.served.front()->facts().service);
-  if (environment_.replicasInUse && !view.served.empty()) {
-    const auto& service = view.served.front()->facts().service;
+  if (environment_.longRunReplicas && !view.replicas.empty())
+    view.longRunReplicas = environment_.longRunReplicas(view.replicas.front()->facts().service);
+  if (environment_.replicasInUse && !view.replicas.empty()) {
+    const auto& service = view.replicas.front()->facts().service;
     capacity_.onDemand(model, environment_.replicasInUse(service), now);
     view.needed = capacity_.needed(model);
   }
--- a/tests/coordination/rollout_plan_test.cc
+++ b/tests/coordination/rollout_plan_test.cc
@@ -69,7 +69,7 @@
                      .oldestAllowed = targets.oldestAllowed("m", now),
                      .now = now};
     for (const auto& [name, record] : directory.all()) {
-      if (!unreachable(name)) view.served.push_back(record);
+      if (!unreachable(name)) view.replicas.push_back(record);
     }
     for (const auto& [name, change] : changing) view.started.insert(name);
     view.unavailable = changing.size();
@@ -225,7 +225,7 @@
   SimulatedRollout rollout{6};
   rollout.targets.onNamed("m", 2, rollout.now);
   RolloutView view{.model = "m", .targets = rollout.targets.all().at("m"), .now = rollout.now};
-  for (const auto& [name, record] : rollout.directory.all()) view.served.push_back(record);
+  for (const auto& [name, record] : rollout.directory.all()) view.replicas.push_back(record);
   BOOST_TEST(rollout.plan.next(view).maximumLoading == 1U);
   rollout.run(seconds(11));
   BOOST_TEST(rollout.atVersionOrNewer(2) == 6U);
