--- a/src/coordination/lease_manager.cc
+++ b/src/coordination/lease_manager.cc
@@ -13,8 +13,8 @@
 /// Number of this node's latest writes that are kept in order to recognise them in a row read
 /// later; older ones have long taken effect or never will.
 constexpr std::size_t kRememberedAttempts = 8;
-/// Bits of a fencing token below the store era in which it was issued: a million tokens in each
-/// era.
+/// Low bits of a fencing token, which count within a store era: a million tokens in each era. The
+/// bits above contain the era.
 constexpr unsigned kTokenBitsPerEra = 20;
 
 const clients::TableRow* findRow(const std::vector<clients::TableRow>& rows, std::string_view key) {
@@ -273,8 +273,7 @@
   if (holderIsUncertain()) return false;
   Attempt recognised = *attempt;
   recognised.tenureRevision = observed_->tenureRevision;
-  // The row that replaces the lost reply may have been read too late for the lease to be still
-  // valid.
+  // When the write is recognised in the row after a lost reply, its lease may already have expired.
   const base::TimePoint validUntil = recognised.sentAt + options_.duration - options_.margin;
   if (environment_.clock.now() >= validUntil) return false;
   becomeHolder(recognised, observed_->revision);
