--- a/src/admission/admission_queue.cc
+++ b/src/admission/admission_queue.cc
@@ -5,7 +5,7 @@
 #include <numeric>
 #include <utility>
 
-#include "admission/room_figures.h"
+#include "admission/capacity_snapshot.h"
 
 namespace covewing::admission {
 
--- a/src/admission/admission_queue.h
+++ b/src/admission/admission_queue.h
@@ -32,7 +32,7 @@
 
 #include "admission/queue_entry.h"
 #include "admission/replica_load.h"
-#include "admission/return_times.h"
+#include "admission/retry_schedule.h"
 #include "admission/tenant_shares.h"
 #include "base/time.h"
 
--- a/src/admission/room_figures.cc
+++ b/src/admission/capacity_snapshot.cc
@@ -1,4 +1,4 @@
-#include "admission/room_figures.h"
+#include "admission/capacity_snapshot.h"
 
 #include <algorithm>
 #include <limits>
--- a/src/admission/least_share.cc
+++ b/src/admission/minimum_share.cc
@@ -1,4 +1,4 @@
-#include "admission/least_share.h"
+#include "admission/minimum_share.h"
 
 #include <algorithm>
 
--- a/src/admission/replica_load.h
+++ b/src/admission/replica_load.h
@@ -9,10 +9,10 @@
 #include <cstdint>
 
 #include "admission/arrival_rates.h"
+#include "admission/capacity_snapshot.h"
 #include "admission/granted_runs.h"
-#include "admission/least_share.h"
+#include "admission/minimum_share.h"
 #include "admission/queue_entry.h"
-#include "admission/room_figures.h"
 #include "base/time.h"
 
 namespace covewing::admission {
--- a/src/admission/return_times.cc
+++ b/src/admission/retry_schedule.cc
@@ -1,4 +1,4 @@
-#include "admission/return_times.h"
+#include "admission/retry_schedule.h"
 
 #include <algorithm>
 
--- a/tests/admission/admission_load_test.cc
+++ b/tests/admission/admission_load_test.cc
@@ -7,7 +7,7 @@
 #include <sstream>
 #include <string>
 
-#include "admission/load_play.h"
+#include "admission/load_simulation.h"
 
 namespace covewing::admission {
 
