--- a/src/admission/admission_options.h
+++ b/src/admission/admission_options.h
@@ -35,9 +35,9 @@
   /// Tokens are leased for this much of a node's own recent demand.
   base::Duration tokenBatch = std::chrono::milliseconds(250);
   /// Longest time that a refusal by the home is remembered and given without asking.
-  base::Duration refusalMemory = std::chrono::milliseconds(500);
+  base::Duration refusalCacheTime = std::chrono::milliseconds(500);
   /// Refused requests are told to come back one behind the other, at most this far ahead.
-  base::Duration longestPromise = std::chrono::seconds(5);
+  base::Duration maximumRetryDelay = std::chrono::seconds(5);
   /// Part of a full bucket that a tenant's new home starts with: the former home may have granted
   /// the whole just before.
   double initialBucketShare = 1.0;
@@ -49,11 +49,11 @@
   std::size_t assumedNodesWhileJoining = 1;
   /// Part of the limits that a node grants when it is asked in place of a silent home, which other
   /// nodes may still reach.
-  double actingShare = 0.2;
+  double actingHomeShare = 0.2;
   /// A tenant with less than this part of its bucket left is close to its limit.
   double nearLimitShare = 0.25;
   /// Part of its local share that a node grants while it sees other nodes but no home answers.
-  double missedHomeShare = 0.25;
+  double localShareFactor = 0.25;
   /// Part by which a home that does not see all nodes grants more than belongs to those it sees. A
   /// few machines that are replaced cost tenants little then.
   double partialViewTolerance = 0.0;
@@ -86,9 +86,9 @@
   base::Duration probeInterval = std::chrono::milliseconds(250);
   /// A class is not refused for lack of capacity until no less urgent one has run on this node for
   /// this long: such requests may still run through other nodes.
-  base::Duration lowerClassMemory = std::chrono::seconds(10);
+  base::Duration lowerClassIdleTime = std::chrono::seconds(10);
   /// Requests that may run ahead of their routing estimate while their class is being held.
-  std::uint32_t maximumUnsampled = 4;
+  std::uint32_t maximumAwaitingEstimate = 4;
   /// Requests held on this node over all classes.
   std::uint32_t maximumHeld = 1000;
   /// Requests admitted and not over on this node.
@@ -96,8 +96,8 @@
   /// How often held requests are looked at when nothing else happens.
   base::Duration reviewPeriod = std::chrono::milliseconds(50);
   /// Shortest and longest advice to callers that were refused for lack of capacity.
-  base::Duration shortestRetryAfter = std::chrono::seconds(1);
-  base::Duration longestRetryAfter = std::chrono::seconds(30);
+  base::Duration minimumRetryAfter = std::chrono::seconds(1);
+  base::Duration maximumRetryAfter = std::chrono::seconds(30);
 };
 
 struct AdmissionOptions {
--- a/src/admission/admission_queue.cc
+++ b/src/admission/admission_queue.cc
@@ -15,264 +15,282 @@
 using base::TimePoint;
 
 /// Least part of the replica that is believed to be left over; below that late work has no hope.
-constexpr double kLeastLeft = 0.02;
+constexpr double kMinimumRemainingShare = 0.02;
 /// A request in the queue is given up before its time when its start is expected this many times
 /// its time left from now: expectations vary.
-constexpr double kClearlyLate = 1.5;
+constexpr double kAbandonFactor = 1.5;
 /// A request that reads at most this part of what another has to read hardly delays it.
-constexpr std::uint32_t kLittleRead = 8;
+constexpr std::uint32_t kSmallPrefillDivisor = 8;
 /// Times further away count as this far away.
-constexpr Duration kFurthest = std::chrono::hours(1);
+constexpr Duration kMaximumTimeDistance = std::chrono::hours(1);
 
-QueueEntry mended(QueueEntry entry, TimePoint now) {
-  entry.arrivedAt = std::clamp(entry.arrivedAt, now - kFurthest, now);
-  entry.softStartDeadline = std::clamp(entry.softStartDeadline, now - kFurthest, now + kFurthest);
-  entry.hardStartDeadline = std::clamp(entry.hardStartDeadline, entry.softStartDeadline,
-                                       std::max(entry.softStartDeadline, now + kFurthest));
+QueueEntry sanitized(QueueEntry entry, TimePoint now) {
+  entry.arrivedAt = std::clamp(entry.arrivedAt, now - kMaximumTimeDistance, now);
+  entry.softStartDeadline =
+      std::clamp(entry.softStartDeadline, now - kMaximumTimeDistance, now + kMaximumTimeDistance);
+  entry.hardStartDeadline =
+      std::clamp(entry.hardStartDeadline, entry.softStartDeadline,
+                 std::max(entry.softStartDeadline, now + kMaximumTimeDistance));
   return entry;
 }
 
 }  // namespace
 
 AdmissionQueue::AdmissionQueue(AdmissionQueueOptions options)
-    : options_(options), load_(options.rateMemory) {}
+    : options_(options), load_(options.rateTimeConstant) {}
 
-bool AdmissionQueue::useless(const QueueEntry& entry, const LoadNow& load) {
-  return load.now > entry.hardStartDeadline || load.room.neverFits(entry.cost);
+bool AdmissionQueue::ineligible(const QueueEntry& entry, const LoadSnapshot& load) {
+  return load.now > entry.hardStartDeadline || load.capacity.exceedsMemory(entry.cost);
 }
 
-AdmissionQueue::Rank AdmissionQueue::rankOf(const Waiting& waiting, const LoadNow& load) const {
+AdmissionQueue::Rank AdmissionQueue::rankOf(const QueuedRequest& waiting,
+                                            const LoadSnapshot& load) const {
   const QueueEntry& entry = waiting.entry;
-  Rank rank{useless(entry, load),
+  Rank rank{ineligible(entry, load),
             load.now > entry.softStartDeadline,
             true,
             entry.urgency,
-            shares_.used(entry.urgency, entry.tenant, load.now),
+            shares_.usageSteps(entry.urgency, entry.tenant, load.now),
             waiting.due,
             entry.id};
-  rank.served = rank.late || !load_.withinLeastShare(entry, load);
+  rank.beyondMinimumShare = rank.late || !load_.withinMinimumShare(entry, load);
   return rank;
 }
 
-std::vector<AdmissionQueue::Rank> AdmissionQueue::ranks(const LoadNow& load) const {
+std::vector<AdmissionQueue::Rank> AdmissionQueue::ranks(const LoadSnapshot& load) const {
   std::vector<Rank> ranks;
   ranks.reserve(waiting_.size());
-  for (const Waiting& each : waiting_) ranks.push_back(rankOf(each, load));
+  for (const QueuedRequest& each : waiting_) ranks.push_back(rankOf(each, load));
   return ranks;
 }
 
-FreeRoom AdmissionQueue::needOf(const Waiting& waiting, const Rank& rank, const LoadNow& load) {
+FreeCapacity AdmissionQueue::requiredCapacity(const QueuedRequest& waiting, const Rank& rank,
+                                              const LoadSnapshot& load) {
   const auto tokens = static_cast<std::int64_t>(waiting.entry.cost.tokens);
-  if (!rank.served) return {1, tokens};
-  const FreeRoom reserve = load.reserve.at(LoadNow::placeOf(rank.urgency, rank.late));
+  if (!rank.beyondMinimumShare) return {1, tokens};
+  const FreeCapacity reserve = load.reserve.at(LoadSnapshot::indexOf(rank.urgency, rank.late));
   // Never more than the replica has: an empty one takes also what exceeds the part not kept.
-  const FreeRoom whole = load.room.whole();
-  return {std::min(1 + reserve.slots, whole.slots),
-          std::min(tokens + reserve.tokens, whole.tokens)};
+  const FreeCapacity total = load.capacity.total();
+  return {std::min(1 + reserve.slots, total.slots),
+          std::min(tokens + reserve.tokens, total.tokens)};
 }
 
-bool AdmissionQueue::mayBegin(const Waiting& waiting, const Rank& rank, const ReplicaCapacity& room,
-                              const LoadNow& load) const {
-  const FreeRoom free = load.room.free();
-  const FreeRoom need = needOf(waiting, rank, load);
+bool AdmissionQueue::canStart(const QueuedRequest& waiting, const Rank& rank,
+                              const ReplicaCapacity& capacity, const LoadSnapshot& load) const {
+  const FreeCapacity free = load.capacity.free();
+  const FreeCapacity need = requiredCapacity(waiting, rank, load);
   if (free.slots < need.slots || free.tokens < need.tokens) return false;
-  return room.fits(waiting.entry, !rank.late);
+  return capacity.fits(waiting.entry, !rank.late);
 }
 
-AdmissionQueue::Passing AdmissionQueue::passingOf(const Waiting& head, const Rank& rank,
-                                                  const LoadNow& load) const {
-  const FreeRoom free = load.room.free();
-  const FreeRoom need = needOf(head, rank, load);
-  Passing passing;
+AdmissionQueue::OvertakingRule AdmissionQueue::overtakingRule(const QueuedRequest& head,
+                                                              const Rank& rank,
+                                                              const LoadSnapshot& load) const {
+  const FreeCapacity free = load.capacity.free();
+  const FreeCapacity need = requiredCapacity(head, rank, load);
+  OvertakingRule rule;
   if (free.slots < need.slots || free.tokens < need.tokens) {
-    passing.limited = true;
-    passing.headBegins = load_.whenFree(need, load);
-    return passing;
+    rule.mustNotDelayHead = true;
+    rule.headStart = load_.whenFree(need, load);
+    return rule;
   }
   // The replica has room, and yet cannot begin it in time, by what it has to read: others may pass
   // for half of the time left, and then only those that read little. Without shortage nothing is
   // held back: what has to wait then is larger than the replica can read in time.
-  const Duration allowance = head.entry.softStartDeadline - head.since;
-  if (!rank.late && !load.room.halfFree() && load.now - head.since > allowance / 2) {
-    passing.mostUnread = head.entry.cost.prefillTokens / kLittleRead;
+  const Duration allowance = head.entry.softStartDeadline - head.queuedAt;
+  if (!rank.late && !load.capacity.halfFree() && load.now - head.queuedAt > allowance / 2) {
+    rule.maximumPrefillTokens = head.entry.cost.prefillTokens / kSmallPrefillDivisor;
   }
-  return passing;
+  return rule;
 }
 
-bool AdmissionQueue::passes(const Waiting& waiting, const Passing& passing, const LoadNow& load) {
+bool AdmissionQueue::mayOvertake(const QueuedRequest& waiting, const OvertakingRule& rule,
+                                 const LoadSnapshot& load) {
   const QueueCost& cost = waiting.entry.cost;
-  if (passing.mostUnread && cost.prefillTokens > *passing.mostUnread) return false;
-  if (!passing.limited) return true;
-  if (load.now + load.room.runOf(cost) <= passing.headBegins.at) return true;
-  return passing.headBegins.spare.slots >= 1 &&
-         passing.headBegins.spare.tokens >= static_cast<std::int64_t>(cost.tokens);
+  if (rule.maximumPrefillTokens && cost.prefillTokens > *rule.maximumPrefillTokens) return false;
+  if (!rule.mustNotDelayHead) return true;
+  if (load.now + load.capacity.runTimeOf(cost) <= rule.headStart.at) return true;
+  return rule.headStart.spare.slots >= 1 &&
+         rule.headStart.spare.tokens >= static_cast<std::int64_t>(cost.tokens);
 }
 
-std::size_t AdmissionQueue::choose(const std::vector<Rank>& ranks, const ReplicaCapacity& room,
-                                   const LoadNow& load) const {
+std::size_t AdmissionQueue::selectNext(const std::vector<Rank>& ranks,
+                                       const ReplicaCapacity& capacity,
+                                       const LoadSnapshot& load) const {
   const std::size_t none = waiting_.size();
-  if (waiting_.empty() || load.room.full()) return none;
+  if (waiting_.empty() || load.capacity.atCapacity()) return none;
   const auto head =
       static_cast<std::size_t>(std::min_element(ranks.begin(), ranks.end()) - ranks.begin());
-  if (ranks[head].useless) return none;
-  if (mayBegin(waiting_[head], ranks[head], room, load)) return head;
-  const Passing passing = passingOf(waiting_[head], ranks[head], load);
+  if (ranks[head].ineligible) return none;
+  if (canStart(waiting_[head], ranks[head], capacity, load)) return head;
+  const OvertakingRule rule = overtakingRule(waiting_[head], ranks[head], load);
   std::size_t best = none;
-  for (std::size_t place = 0; place < waiting_.size(); ++place) {
-    if (place == head || ranks[place].useless || (best != none && ranks[best] < ranks[place]))
+  for (std::size_t position = 0; position < waiting_.size(); ++position) {
+    if (position == head || ranks[position].ineligible ||
+        (best != none && ranks[best] < ranks[position]))
       continue;
-    if (!passes(waiting_[place], passing, load)) continue;
-    if (mayBegin(waiting_[place], ranks[place], room, load)) best = place;
+    if (!mayOvertake(waiting_[position], rule, load)) continue;
+    if (canStart(waiting_[position], ranks[position], capacity, load)) best = position;
   }
   return best;
 }
 
-AdmissionQueue::Forecast AdmissionQueue::forecast(const Waiting& waiting, const Rank& rank,
-                                                  double workAhead, const LoadNow& load) {
+AdmissionQueue::Forecast AdmissionQueue::forecast(const QueuedRequest& waiting, const Rank& rank,
+                                                  double workAhead, const LoadSnapshot& load) {
   const QueueEntry& entry = waiting.entry;
-  const double own = load.room.shareOf(entry.cost) * base::toSeconds(load.room.runTime);
+  const double ownWork =
+      load.capacity.shareOf(entry.cost) * base::toSeconds(load.capacity.meanRunTime);
   // One within the least share of its kind goes before the more urgent: they leave it all.
-  const double left =
-      rank.served ? 1.0 - load.askedBefore.at(LoadNow::placeOf(rank.urgency, rank.late)) : 1.0;
-  const Duration wait = fromSeconds((workAhead + own) / std::max(left, LoadNow::kLeastReckoned));
+  const double availableShare =
+      rank.beyondMinimumShare
+          ? 1.0 - load.demandAbove.at(LoadSnapshot::indexOf(rank.urgency, rank.late))
+          : 1.0;
+  const Duration wait = fromSeconds((workAhead + ownWork) /
+                                    std::max(availableShare, LoadSnapshot::kMinimumAssumedShare));
   if (!rank.late && load.now + wait <= entry.softStartDeadline) return {wait, true};
   // Late service takes what all requests in time leave.
-  const double leftByAll = 1.0 - load.askedLong;
-  if (leftByAll < kLeastLeft) return {wait, false};
-  const Duration lateWait = fromSeconds((workAhead + own) / leftByAll);
+  const double lateShare = 1.0 - load.longTermDemand;
+  if (lateShare < kMinimumRemainingShare) return {wait, false};
+  const Duration lateWait = fromSeconds((workAhead + ownWork) / lateShare);
   return {std::max(wait, lateWait), load.now + lateWait <= entry.hardStartDeadline};
 }
 
-QueueOffer AdmissionQueue::offer(const QueueEntry& entry, const ReplicaCapacity& room,
-                                 bool mayQueue, TimePoint now) {
-  const LoadNow load = load_.look(room, now);
-  const auto known = std::find_if(waiting_.begin(), waiting_.end(),
-                                  [&](const Waiting& each) { return each.entry.id == entry.id; });
+OfferResult AdmissionQueue::offer(const QueueEntry& entry, const ReplicaCapacity& capacity,
+                                  bool mayQueue, TimePoint now) {
+  const LoadSnapshot load = load_.snapshot(capacity, now);
+  const auto known = std::find_if(waiting_.begin(), waiting_.end(), [&](const QueuedRequest& each) {
+    return each.entry.id == entry.id;
+  });
   if (known != waiting_.end()) {
-    return settle(static_cast<std::size_t>(known - waiting_.begin()), true, ranks(load), load);
+    return queueOrRefuse(static_cast<std::size_t>(known - waiting_.begin()), true, ranks(load),
+                         load);
   }
   // One that gave way and asks again before it was told is a new request.
   withdraw(entry.id);
-  Waiting waiting{mended(entry, now), now, {}};
+  QueuedRequest waiting{sanitized(entry, now), now, {}};
   waiting.due = waiting.entry.softStartDeadline - (now - waiting.entry.arrivedAt);
-  if (now <= waiting.entry.softStartDeadline && !useless(waiting.entry, load)) {
-    load_.onArrival(entry, askedBefore(waiting.entry, now), load);
+  if (now <= waiting.entry.softStartDeadline && !ineligible(waiting.entry, load)) {
+    load_.onArrival(entry, isRetry(waiting.entry, now), load);
   }
   waiting_.push_back(waiting);
   const std::vector<Rank> order = ranks(load);
-  const std::size_t place = waiting_.size() - 1;
-  if (choose(order, room, load) == place) {
-    grant(place, load);
+  const std::size_t position = waiting_.size() - 1;
+  if (selectNext(order, capacity, load) == position) {
+    grant(position, load);
     return {QueueVerdict::kGranted, Duration::zero(), 0};
   }
-  return settle(place, mayQueue, order, load);
+  return queueOrRefuse(position, mayQueue, order, load);
 }
 
 /// Whether the entry, which gets no room now, waits or is refused.
-QueueOffer AdmissionQueue::settle(std::size_t place, bool mayQueue, const std::vector<Rank>& ranks,
-                                  const LoadNow& load) {
-  const Waiting& waiting = waiting_[place];
-  QueueOffer offer{QueueVerdict::kQueued, Duration::zero(), 0};
+OfferResult AdmissionQueue::queueOrRefuse(std::size_t position, bool mayQueue,
+                                          const std::vector<Rank>& ranks,
+                                          const LoadSnapshot& load) {
+  const QueuedRequest& waiting = waiting_[position];
+  OfferResult offer{QueueVerdict::kQueued, Duration::zero(), 0};
   double workAhead = 0.0;
   for (std::size_t each = 0; each < ranks.size(); ++each) {
-    if (!(ranks[each] < ranks[place])) continue;
+    if (!(ranks[each] < ranks[position])) continue;
     ++offer.ahead;
-    workAhead += load.room.workOf(waiting_[each].entry.cost).replicaSeconds;
+    workAhead += load.capacity.workOf(waiting_[each].entry.cost).replicaSeconds;
   }
-  const Forecast expected = forecast(waiting, ranks[place], workAhead, load);
+  const Forecast expected = forecast(waiting, ranks[position], workAhead, load);
   offer.wait = expected.wait;
-  const bool over = ranks[place].useless;
-  const bool lastOfFull = waiting_.size() > options_.mostEntries &&
-                          (offer.ahead + 1 == waiting_.size() ||
-                           displaced_.size() >= std::max<std::size_t>(options_.mostEntries, 1));
-  if (mayQueue && !over && !lastOfFull && (expected.servable || load.room.halfFree())) {
-    if (waiting_.size() > options_.mostEntries) makeRoom(ranks);
+  const bool excluded = ranks[position].ineligible;
+  const bool lastInFullQueue =
+      waiting_.size() > options_.maximumEntries &&
+      (offer.ahead + 1 == waiting_.size() ||
+       displaced_.size() >= std::max<std::size_t>(options_.maximumEntries, 1));
+  if (mayQueue && !excluded && !lastInFullQueue &&
+      (expected.servable || load.capacity.halfFree())) {
+    if (waiting_.size() > options_.maximumEntries) displaceLast(ranks);
     return offer;
   }
   offer.verdict = QueueVerdict::kRefused;
-  if (mayQueue || over) offer.wait = returns_.after(waiting.entry, waiting.since, workAhead, load);
-  remove(place);
+  if (mayQueue || excluded)
+    offer.wait = retrySchedule_.retryAfter(waiting.entry, waiting.queuedAt, workAhead, load);
+  remove(position);
   return offer;
 }
 
-void AdmissionQueue::makeRoom(std::vector<Rank> ranks) {
+void AdmissionQueue::displaceLast(std::vector<Rank> ranks) {
   const auto last = std::max_element(ranks.begin(), ranks.end());
   displaced_.push_back(remove(static_cast<std::size_t>(last - ranks.begin())));
 }
 
-void AdmissionQueue::grant(std::size_t place, const LoadNow& load) {
-  const QueueEntry entry = remove(place).entry;
+void AdmissionQueue::grant(std::size_t position, const LoadSnapshot& load) {
+  const QueueEntry entry = remove(position).entry;
   load_.onGrant(entry, load);
   shares_.onGrant(entry.urgency, entry.tenant, entry.weight,
-                  load.room.workOf(entry.cost).replicaSeconds, load.now);
+                  load.capacity.workOf(entry.cost).replicaSeconds, load.now);
 }
 
-AdmissionQueue::Waiting AdmissionQueue::remove(std::size_t place) {
-  std::swap(waiting_[place], waiting_.back());
-  Waiting removed = waiting_.back();
+AdmissionQueue::QueuedRequest AdmissionQueue::remove(std::size_t position) {
+  std::swap(waiting_[position], waiting_.back());
+  QueuedRequest removed = waiting_.back();
   waiting_.pop_back();
   return removed;
 }
 
-std::optional<QueueEntry> AdmissionQueue::next(const ReplicaCapacity& room, TimePoint now) {
+std::optional<QueueEntry> AdmissionQueue::next(const ReplicaCapacity& capacity, TimePoint now) {
   if (waiting_.empty()) return std::nullopt;
-  const LoadNow load = load_.look(room, now);
-  const std::size_t place = choose(ranks(load), room, load);
-  if (place == waiting_.size()) return std::nullopt;
-  const QueueEntry entry = waiting_[place].entry;
-  grant(place, load);
+  const LoadSnapshot load = load_.snapshot(capacity, now);
+  const std::size_t position = selectNext(ranks(load), capacity, load);
+  if (position == waiting_.size()) return std::nullopt;
+  const QueueEntry entry = waiting_[position].entry;
+  grant(position, load);
   return entry;
 }
 
-std::vector<QueueRefusal> AdmissionQueue::removeExpired(const ReplicaCapacity& room,
+std::vector<QueueRefusal> AdmissionQueue::removeExpired(const ReplicaCapacity& capacity,
                                                         TimePoint now) {
   std::vector<QueueRefusal> refusals;
   if (waiting_.empty() && displaced_.empty()) return refusals;
-  const LoadNow load = load_.look(room, now);
+  const LoadSnapshot load = load_.snapshot(capacity, now);
   const std::vector<Rank> order = ranks(load);
-  std::vector<std::size_t> places(waiting_.size());
-  std::iota(places.begin(), places.end(), 0U);
-  std::sort(places.begin(), places.end(),
+  std::vector<std::size_t> positions(waiting_.size());
+  std::iota(positions.begin(), positions.end(), 0U);
+  std::sort(positions.begin(), positions.end(),
             [&](std::size_t a, std::size_t b) { return order[a] < order[b]; });
-  std::vector<std::uint64_t> gone;
+  std::vector<std::uint64_t> expiredIds;
   double workAhead = 0.0;
   std::size_t ahead = 0;
-  const auto refuse = [&](const Waiting& waiting) {
+  const auto refuse = [&](const QueuedRequest& waiting) {
     refusals.push_back({waiting.entry.id,
-                        returns_.after(waiting.entry, waiting.since, workAhead, load),
-                        std::max(Duration::zero(), now - waiting.since), ahead});
+                        retrySchedule_.retryAfter(waiting.entry, waiting.queuedAt, workAhead, load),
+                        std::max(Duration::zero(), now - waiting.queuedAt), ahead});
   };
-  for (const std::size_t place : places) {
-    const Waiting& waiting = waiting_[place];
-    if (hopeless(waiting, order[place], workAhead, load)) {
+  for (const std::size_t position : positions) {
+    const QueuedRequest& waiting = waiting_[position];
+    if (unservable(waiting, order[position], workAhead, load)) {
       refuse(waiting);
-      gone.push_back(waiting.entry.id);
+      expiredIds.push_back(waiting.entry.id);
       continue;
     }
     ++ahead;
-    workAhead += load.room.workOf(waiting.entry.cost).replicaSeconds;
+    workAhead += load.capacity.workOf(waiting.entry.cost).replicaSeconds;
   }
-  for (const Waiting& each : displaced_) refuse(each);
+  for (const QueuedRequest& each : displaced_) refuse(each);
   displaced_.clear();
-  for (const std::uint64_t id : gone) withdraw(id);
+  for (const std::uint64_t id : expiredIds) withdraw(id);
   return refusals;
 }
 
-bool AdmissionQueue::hopeless(const Waiting& waiting, const Rank& rank, double workAhead,
-                              const LoadNow& load) {
+bool AdmissionQueue::unservable(const QueuedRequest& waiting, const Rank& rank, double workAhead,
+                                const LoadSnapshot& load) {
   const QueueEntry& entry = waiting.entry;
-  if (rank.useless) return true;
-  if (load.room.halfFree()) return false;
+  if (rank.ineligible) return true;
+  if (load.capacity.halfFree()) return false;
   const Forecast expected = forecast(waiting, rank, workAhead, load);
   if (expected.servable) return false;
-  const Duration left = entry.softStartDeadline - load.now;
-  return rank.late || base::toSeconds(expected.wait) > kClearlyLate * base::toSeconds(left);
+  const Duration timeLeft = entry.softStartDeadline - load.now;
+  return rank.late || base::toSeconds(expected.wait) > kAbandonFactor * base::toSeconds(timeLeft);
 }
 
 bool AdmissionQueue::withdraw(std::uint64_t id) {
-  for (std::vector<Waiting>* each : {&waiting_, &displaced_}) {
+  for (std::vector<QueuedRequest>* each : {&waiting_, &displaced_}) {
     const auto found = std::find_if(each->begin(), each->end(),
-                                    [&](const Waiting& one) { return one.entry.id == id; });
+                                    [&](const QueuedRequest& one) { return one.entry.id == id; });
     if (found == each->end()) continue;
     each->erase(found);
     return true;
@@ -282,12 +300,12 @@
 
 std::vector<QueueEntry> AdmissionQueue::clear() {
   waiting_.insert(waiting_.end(), displaced_.begin(), displaced_.end());
-  std::sort(waiting_.begin(), waiting_.end(), [](const Waiting& a, const Waiting& b) {
+  std::sort(waiting_.begin(), waiting_.end(), [](const QueuedRequest& a, const QueuedRequest& b) {
     if (a.entry.urgency != b.entry.urgency) return a.entry.urgency < b.entry.urgency;
     return a.due < b.due;
   });
   std::vector<QueueEntry> entries;
-  for (const Waiting& each : waiting_) entries.push_back(each.entry);
+  for (const QueuedRequest& each : waiting_) entries.push_back(each.entry);
   waiting_.clear();
   displaced_.clear();
   load_.clearRuns();
--- a/src/admission/admission_queue.h
+++ b/src/admission/admission_queue.h
@@ -47,7 +47,7 @@
   kRefused,
 };
 
-struct QueueOffer {
+struct OfferResult {
   QueueVerdict verdict = QueueVerdict::kRefused;
   /// Expected time until the request begins; for a refusal, until a request of this urgency and
   /// size would begin in time, spread so that those refused do not come back together. Where the
@@ -69,10 +69,10 @@
 struct AdmissionQueueOptions {
   /// Most entries; a request beyond takes the place of the last one in order or is refused.
   /// A replica serves some 30 to 100 requests a second, callers wait a few seconds.
-  std::size_t mostEntries = 256;
+  std::size_t maximumEntries = 256;
   /// Time constant of the observed rates of arrivals and grants by urgency: bursts rise within
   /// about a second.
-  base::Duration rateMemory = std::chrono::milliseconds(1000);
+  base::Duration rateTimeConstant = std::chrono::milliseconds(1000);
 };
 
 class AdmissionQueue {
@@ -81,13 +81,13 @@
 
   /// A request asks for room. With `mayQueue` false it is granted or refused at once, and a refusal
   /// says what the wait would be; either way it counts as an arrival of its urgency.
-  QueueOffer offer(const QueueEntry& entry, const ReplicaCapacity& room, bool mayQueue,
-                   base::TimePoint now);
+  OfferResult offer(const QueueEntry& entry, const ReplicaCapacity& capacity, bool mayQueue,
+                    base::TimePoint now);
   /// Something ended at the replica, or time passed: the request that gets room now, removed from
   /// the queue. Call again, with `room` counting it, until empty.
-  std::optional<QueueEntry> next(const ReplicaCapacity& room, base::TimePoint now);
+  std::optional<QueueEntry> next(const ReplicaCapacity& capacity, base::TimePoint now);
   /// The requests that can no longer be served by what is ahead of them, removed from the queue.
-  std::vector<QueueRefusal> removeExpired(const ReplicaCapacity& room, base::TimePoint now);
+  std::vector<QueueRefusal> removeExpired(const ReplicaCapacity& capacity, base::TimePoint now);
   /// The request no longer waits; false when it is not queued.
   bool withdraw(std::uint64_t id);
   /// Takes all entries out, in order: the replica ended, leaves or changes its weights.
@@ -96,9 +96,9 @@
   std::size_t size() const;
 
  private:
-  struct Waiting {
+  struct QueuedRequest {
     QueueEntry entry;
-    base::TimePoint since{};
+    base::TimePoint queuedAt{};
     /// Latest start in time, earlier by the request's age when it asked: one that came back goes
     /// before a fresh one.
     base::TimePoint due{};
@@ -107,18 +107,18 @@
   struct Rank {
     /// Past its use, or larger than the replica's memory is now: gets no room and holds back
     /// nobody.
-    bool useless = false;
+    bool ineligible = false;
     bool late = false;
     /// False for a request within the least share of its kind.
-    bool served = false;
+    bool beyondMinimumShare = false;
     std::uint32_t urgency = 0;
-    std::int64_t tenantUse = 0;
+    std::int64_t tenantUsage = 0;
     base::TimePoint due{};
     std::uint64_t id = 0;
     bool operator<(const Rank& other) const {
-      return std::tie(useless, late, served, urgency, tenantUse, due, id) <
-             std::tie(other.useless, other.late, other.served, other.urgency, other.tenantUse,
-                      other.due, other.id);
+      return std::tie(ineligible, late, beyondMinimumShare, urgency, tenantUsage, due, id) <
+             std::tie(other.ineligible, other.late, other.beyondMinimumShare, other.urgency,
+                      other.tenantUsage, other.due, other.id);
     }
   };
   /// Expected start of one request.
@@ -127,46 +127,49 @@
     bool servable = false;
   };
   /// What may pass the head of the queue while that lacks room.
-  struct Passing {
+  struct OvertakingRule {
     /// Where given, only what has to read at most this many tokens passes.
-    std::optional<std::uint32_t> mostUnread;
+    std::optional<std::uint32_t> maximumPrefillTokens;
     /// Only what does not delay the head passes.
-    bool limited = false;
-    FutureRoom headBegins;
+    bool mustNotDelayHead = false;
+    FutureCapacity headStart;
   };
 
-  Rank rankOf(const Waiting& waiting, const LoadNow& load) const;
-  std::vector<Rank> ranks(const LoadNow& load) const;
+  Rank rankOf(const QueuedRequest& waiting, const LoadSnapshot& load) const;
+  std::vector<Rank> ranks(const LoadSnapshot& load) const;
   /// The one that gets room now; the queue's size where there is none.
-  std::size_t choose(const std::vector<Rank>& ranks, const ReplicaCapacity& room,
-                     const LoadNow& load) const;
-  bool mayBegin(const Waiting& waiting, const Rank& rank, const ReplicaCapacity& room,
-                const LoadNow& load) const;
+  std::size_t selectNext(const std::vector<Rank>& ranks, const ReplicaCapacity& capacity,
+                         const LoadSnapshot& load) const;
+  bool canStart(const QueuedRequest& waiting, const Rank& rank, const ReplicaCapacity& capacity,
+                const LoadSnapshot& load) const;
   /// What must be free for it to begin: its own and what is kept for more urgent ones.
-  static FreeRoom needOf(const Waiting& waiting, const Rank& rank, const LoadNow& load);
-  static bool useless(const QueueEntry& entry, const LoadNow& load);
-  Passing passingOf(const Waiting& head, const Rank& rank, const LoadNow& load) const;
-  static bool passes(const Waiting& waiting, const Passing& passing, const LoadNow& load);
+  static FreeCapacity requiredCapacity(const QueuedRequest& waiting, const Rank& rank,
+                                       const LoadSnapshot& load);
+  static bool ineligible(const QueueEntry& entry, const LoadSnapshot& load);
+  OvertakingRule overtakingRule(const QueuedRequest& head, const Rank& rank,
+                                const LoadSnapshot& load) const;
+  static bool mayOvertake(const QueuedRequest& waiting, const OvertakingRule& rule,
+                          const LoadSnapshot& load);
   /// The work ahead is in seconds of the whole replica.
-  static Forecast forecast(const Waiting& waiting, const Rank& rank, double workAhead,
-                           const LoadNow& load);
+  static Forecast forecast(const QueuedRequest& waiting, const Rank& rank, double workAhead,
+                           const LoadSnapshot& load);
   /// Whether what is ahead of it shows that it cannot be served.
-  static bool hopeless(const Waiting& waiting, const Rank& rank, double workAhead,
-                       const LoadNow& load);
-  QueueOffer settle(std::size_t place, bool mayQueue, const std::vector<Rank>& ranks,
-                    const LoadNow& load);
-  void makeRoom(std::vector<Rank> ranks);
-  void grant(std::size_t place, const LoadNow& load);
-  Waiting remove(std::size_t place);
+  static bool unservable(const QueuedRequest& waiting, const Rank& rank, double workAhead,
+                         const LoadSnapshot& load);
+  OfferResult queueOrRefuse(std::size_t position, bool mayQueue, const std::vector<Rank>& ranks,
+                            const LoadSnapshot& load);
+  void displaceLast(std::vector<Rank> ranks);
+  void grant(std::size_t position, const LoadSnapshot& load);
+  QueuedRequest remove(std::size_t position);
 
   AdmissionQueueOptions options_;
   /// In no order.
-  std::vector<Waiting> waiting_;
+  std::vector<QueuedRequest> waiting_;
   /// Gave way when the queue was full; told by `removeExpired`.
-  std::vector<Waiting> displaced_;
+  std::vector<QueuedRequest> displaced_;
   ReplicaLoad load_;
   TenantShares shares_;
-  ReturnTimes returns_;
+  RetrySchedule retrySchedule_;
 };
 
 }  // namespace covewing::admission
--- a/src/admission/admission_service.cc
+++ b/src/admission/admission_service.cc
@@ -51,9 +51,9 @@
   AdmissionCallback callback;
   AdmissionState state = AdmissionState::kQuota;
   /// The tenant's limits count it.
-  bool quotaTaken = false;
+  bool holdsQuota = false;
   /// It runs on an engine and its first token has not come.
-  bool waitsForToken = false;
+  bool awaitsFirstToken = false;
   TimePoint arrivedAt;
   TimePoint heldUntil;
   base::TimerId verdictTimer = 0;
@@ -109,14 +109,14 @@
 
   void onFirstToken(AdmissionId id) {
     const auto found = admissions_.find(id);
-    if (found == admissions_.end() || !found->second.waitsForToken) return;
-    found->second.waitsForToken = false;
+    if (found == admissions_.end() || !found->second.awaitsFirstToken) return;
+    found->second.awaitsFirstToken = false;
     gate_.onFirstToken(found->second.request.priority, id, clock_.now());
     releaseHeld();
   }
 
   /// The ticket was destroyed.
-  void giveBack(AdmissionId id) {
+  void onTicketDestroyed(AdmissionId id) {
     const auto found = admissions_.find(id);
     if (found == admissions_.end()) return;
     const Admission admission = std::move(found->second);
@@ -128,7 +128,7 @@
       holdQueue_.remove(admission.request.priority, id);
     }
     if (admission.state == AdmissionState::kRunning) endRunning(id, admission);
-    if (admission.quotaTaken) {
+    if (admission.holdsQuota) {
       quotas_.release(tenant, admission.state != AdmissionState::kRunning ? 1 : 0);
     }
     releaseHeld();
@@ -148,8 +148,8 @@
     Admission& admission = admissions_.at(id);
     switch (verdict.outcome) {
       case QuotaOutcome::kGranted:
-        admission.quotaTaken = true;
-        seekCapacity(id, admission);
+        admission.holdsQuota = true;
+        requestCapacity(id, admission);
         return;
       case QuotaOutcome::kRateLimited:
         refuse(id, admission, {ResultCode::kRateLimited, "the tenant's rate limit is used up"},
@@ -166,15 +166,15 @@
   /// Calls to applications carry no prompt: they need no engine and are never held.
   static bool needsEngine(const Admission& admission) { return admission.request.promptTokens > 0; }
 
-  void seekCapacity(AdmissionId id, Admission& admission) {
+  void requestCapacity(AdmissionId id, Admission& admission) {
     if (running_ >= options_.maximumRunning) {
       refuse(id, admission, {ResultCode::kNodeOverloaded, "too many open requests on this node"},
-             options_.shortestRetryAfter);
+             options_.minimumRetryAfter);
       return;
     }
     const PriorityClass priority = admission.request.priority;
-    const bool nobodyAhead = holdQueue_.aheadOf(priority) == 0;
-    if (!needsEngine(admission) || (nobodyAhead && mayRun(admission))) {
+    const bool noneAhead = holdQueue_.aheadOf(priority) == 0;
+    if (!needsEngine(admission) || (noneAhead && mayRun(admission))) {
       run(id, admission);
       return;
     }
@@ -182,7 +182,8 @@
   }
 
   bool mayRun(const Admission& admission) const {
-    return gate_.open(admission.request.priority, admission.request.tenant->deadline, clock_.now());
+    return gate_.isOpen(admission.request.priority, admission.request.tenant->deadline,
+                        clock_.now());
   }
 
   /// Where a refusal would come in the end it comes now.
@@ -197,7 +198,7 @@
         return;
       }
     } else if (wait > tenant.holdTime) {
-      refuse(id, admission, noCapacity(priority, tenant.deadline, now), wait);
+      refuse(id, admission, noCapacityReason(priority, tenant.deadline, now), wait);
       return;
     }
     if (holdQueue_.size() >= options_.maximumHeld && !shedFor(priority)) {
@@ -210,7 +211,7 @@
     scheduleReview();
   }
 
-  base::Reason noCapacity(PriorityClass priority, Duration deadline, TimePoint now) const {
+  base::Reason noCapacityReason(PriorityClass priority, Duration deadline, TimePoint now) const {
     const Duration expected = gate_.expected(priority, now);
     if (deadline > Duration::zero() && expected > deadline) {
       return {ResultCode::kDeadlineUnreachable,
@@ -228,7 +229,7 @@
       if (runningByClass_.at(lower) > 0) return true;
       const TimePoint lastRan = lastRan_.at(lower);
       const bool ever = lastRan != TimePoint{};
-      if (ever && clock_.now() - lastRan < options_.lowerClassMemory) return true;
+      if (ever && clock_.now() - lastRan < options_.lowerClassIdleTime) return true;
     }
     return false;
   }
@@ -256,7 +257,7 @@
     ++running_;
     ++runningByClass_.at(static_cast<std::size_t>(admission.request.priority));
     if (needsEngine(admission)) {
-      admission.waitsForToken = true;
+      admission.awaitsFirstToken = true;
       gate_.onAdmitted(admission.request.priority, id, clock_.now());
     }
     retryBudget_.onRequest(clock_.now());
@@ -272,7 +273,7 @@
     if (needsEngine(admission)) {
       lastRan_.at(static_cast<std::size_t>(admission.request.priority)) = clock_.now();
     }
-    if (admission.waitsForToken) gate_.onAbandoned(admission.request.priority, id, clock_.now());
+    if (admission.awaitsFirstToken) gate_.onAbandoned(admission.request.priority, id, clock_.now());
   }
 
   void refuse(AdmissionId id, Admission& admission, base::Reason reason, Duration retryAfter) {
@@ -280,15 +281,15 @@
       holdQueue_.remove(admission.request.priority, id);
     }
     admission.state = AdmissionState::kRefused;
-    if (admission.quotaTaken) {
-      admission.quotaTaken = false;
+    if (admission.holdsQuota) {
+      admission.holdsQuota = false;
       quotas_.release(admission.request.tenant->id, 1);
     }
     AdmissionVerdict verdict;
     verdict.reason = std::move(reason);
     // Spread, so that callers who were refused together do not come back together.
     verdict.retryAfter = random_.jittered(
-        std::clamp(retryAfter, options_.shortestRetryAfter, options_.longestRetryAfter),
+        std::clamp(retryAfter, options_.minimumRetryAfter, options_.maximumRetryAfter),
         kRetryAfterSpread);
     verdict.held = clock_.now() - admission.arrivedAt;
     deliver(id, admission, std::move(verdict));
@@ -311,15 +312,15 @@
       Admission& admission = admissions_.at(*first);
       if (running_ >= options_.maximumRunning || !mayRun(admission)) return;
       holdQueue_.remove(admission.request.priority, *first);
-      noteRelease();
+      recordRelease();
       run(*first, admission);
     }
   }
 
-  void noteRelease() {
+  void recordRelease() {
     const TimePoint now = clock_.now();
     constexpr Duration::rep kWeight = 8;
-    const Duration interval = std::min<Duration>(now - releasedAt_, kLongestReleaseInterval);
+    const Duration interval = std::min<Duration>(now - releasedAt_, kMaximumReleaseInterval);
     releaseInterval_ += (interval - releaseInterval_) / kWeight;
     releasedAt_ = now;
   }
@@ -360,7 +361,7 @@
   }
 
   static constexpr double kRetryAfterSpread = 0.2;
-  static constexpr Duration kLongestReleaseInterval = std::chrono::milliseconds(250);
+  static constexpr Duration kMaximumReleaseInterval = std::chrono::milliseconds(250);
 
   CapacityOptions options_;
   base::Clock& clock_;
@@ -384,7 +385,7 @@
 };
 
 TicketImpl::~TicketImpl() {
-  if (const auto service = service_.lock()) (*service)->giveBack(id_);
+  if (const auto service = service_.lock()) (*service)->onTicketDestroyed(id_);
 }
 
 void TicketImpl::onFirstToken() {
--- a/src/admission/arrival_rates.h
+++ b/src/admission/arrival_rates.h
@@ -33,30 +33,30 @@
 class ArrivalRates {
  public:
   /// Urgencies beyond the last one kept count as the last one.
-  static constexpr std::size_t kUrgencies = 16;
+  static constexpr std::size_t kUrgencyLevels = 16;
 
-  explicit ArrivalRates(base::Duration memory);
+  explicit ArrivalRates(base::Duration timeConstant);
 
   /// A request that can be in time asked for room.
   void onArrival(std::uint32_t urgency, const Work& work, base::TimePoint now);
 
   /// What requests of this urgency ask for.
-  Demand asked(std::uint32_t urgency, base::TimePoint now) const;
+  Demand demand(std::uint32_t urgency, base::TimePoint now) const;
   /// The share of the replica that requests more urgent than this one ask for.
-  double askedBefore(std::uint32_t urgency, base::TimePoint now) const;
+  double demandAbove(std::uint32_t urgency, base::TimePoint now) const;
 
  private:
-  struct Kind {
+  struct Level {
     base::TimePoint at{};
-    Work asked;
+    Work work;
   };
 
   static std::size_t index(std::uint32_t urgency);
-  double kept(const Kind& kind, base::TimePoint now) const;
-  void forget(Kind& kind, base::TimePoint now);
+  double remaining(const Level& level, base::TimePoint now) const;
+  void decay(Level& level, base::TimePoint now);
 
-  double memorySeconds_;
-  std::array<Kind, kUrgencies> kinds_;
+  double timeConstantSeconds_;
+  std::array<Level, kUrgencyLevels> levels_;
 };
 
 }  // namespace covewing::admission
--- a/src/admission/capacity_gate.cc
+++ b/src/admission/capacity_gate.cc
@@ -17,26 +17,26 @@
 }  // namespace
 
 void CapacityGate::onAdmitted(PriorityClass priority, RequestNumber request, TimePoint now) {
-  auto& admitted = unsampled_.at(static_cast<std::size_t>(priority));
+  auto& admitted = awaitingEstimate_.at(static_cast<std::size_t>(priority));
   const bool probe = expected(priority, now) > target(priority, Duration::zero());
-  if (probe) informedAt_ = now;
+  if (probe) lastObservedAt_ = now;
   wait_.onAdmitted(priority, request, now);
   admitted.push_back(now);
   while (now - admitted.front() > kEstimateTimeout) admitted.pop_front();
 }
 
 void CapacityGate::onEstimate(PriorityClass priority, Duration expected, TimePoint now) {
-  auto& admitted = unsampled_.at(static_cast<std::size_t>(priority));
+  auto& admitted = awaitingEstimate_.at(static_cast<std::size_t>(priority));
   if (!admitted.empty()) admitted.pop_front();
   estimate_.add(priority, expected, now);
-  informedAt_ = now;
+  lastObservedAt_ = now;
 }
 
 void CapacityGate::onFirstToken(PriorityClass priority, RequestNumber request, TimePoint now) {
   const std::uint32_t waiting = wait_.waiting();
   const Duration waited = wait_.onFirstToken(priority, request, now);
   window_.onWaited(waited, target(priority, Duration::zero()), waiting, now);
-  informedAt_ = now;
+  lastObservedAt_ = now;
 }
 
 void CapacityGate::onAbandoned(PriorityClass priority, RequestNumber request, TimePoint now) {
@@ -47,8 +47,8 @@
   if (waited > limit) window_.onWaited(waited, limit, waiting, now);
 }
 
-std::size_t CapacityGate::unsampled(PriorityClass priority, TimePoint now) const {
-  const auto& admitted = unsampled_.at(static_cast<std::size_t>(priority));
+std::size_t CapacityGate::awaitingEstimate(PriorityClass priority, TimePoint now) const {
+  const auto& admitted = awaitingEstimate_.at(static_cast<std::size_t>(priority));
   const auto current = std::find_if(admitted.begin(), admitted.end(), [now](TimePoint time) {
     return now - time <= kEstimateTimeout;
   });
@@ -63,13 +63,13 @@
   return std::min(target, Duration{share});
 }
 
-bool CapacityGate::open(PriorityClass priority, Duration deadline, TimePoint now) const {
+bool CapacityGate::isOpen(PriorityClass priority, Duration deadline, TimePoint now) const {
   const double estimate = base::toSeconds(expected(priority, now));
   const double limit = base::toSeconds(target(priority, deadline));
-  if (estimate > limit) return now - informedAt_ >= options_.probeInterval;
+  if (estimate > limit) return now - lastObservedAt_ >= options_.probeInterval;
   if (!window_.admits(priority, wait_.waiting())) return false;
   if (estimate <= limit * kPacingShare) return true;
-  return unsampled(priority, now) < options_.maximumUnsampled;
+  return awaitingEstimate(priority, now) < options_.maximumAwaitingEstimate;
 }
 
 Duration CapacityGate::timeToOpen(PriorityClass priority, Duration deadline, TimePoint now) const {
--- a/src/admission/capacity_gate.h
+++ b/src/admission/capacity_gate.h
@@ -38,9 +38,9 @@
 
   /// Whether one more request of the class may run now, be it as a probe. `deadline` is its time to
   /// the first token; zero means none.
-  bool open(base::PriorityClass priority, base::Duration deadline, base::TimePoint now) const;
+  bool isOpen(base::PriorityClass priority, base::Duration deadline, base::TimePoint now) const;
   base::Duration expected(base::PriorityClass priority, base::TimePoint now) const {
-    return std::max(estimate_.of(priority, now), wait_.of(priority, now));
+    return std::max(estimate_.current(priority, now), wait_.current(priority, now));
   }
   /// Time until the estimate will have faded to the target, without further samples.
   base::Duration timeToOpen(base::PriorityClass priority, base::Duration deadline,
@@ -49,16 +49,16 @@
 
  private:
   /// Admitted requests whose estimate may still come.
-  std::size_t unsampled(base::PriorityClass priority, base::TimePoint now) const;
+  std::size_t awaitingEstimate(base::PriorityClass priority, base::TimePoint now) const;
 
   CapacityOptions options_;
   FirstTokenEstimate estimate_;
   FirstTokenWait wait_;
   AdmissionWindow window_;
   /// When something was last learned of the engines, or a probe sent to learn it.
-  base::TimePoint informedAt_;
+  base::TimePoint lastObservedAt_;
   /// When the requests were admitted whose estimates have not come, oldest first.
-  std::array<std::deque<base::TimePoint>, base::kPriorityClassCount> unsampled_;
+  std::array<std::deque<base::TimePoint>, base::kPriorityClassCount> awaitingEstimate_;
 };
 
 }  // namespace covewing::admission
--- a/src/admission/capacity_snapshot.cc
+++ b/src/admission/capacity_snapshot.cc
@@ -8,52 +8,56 @@
 namespace {
 
 /// Taken where neither the request nor the replica knows; runs last 0.2 to 2.5 s.
-constexpr base::Duration kAssumedRun = std::chrono::milliseconds(500);
+constexpr base::Duration kAssumedRunTime = std::chrono::milliseconds(500);
 /// Longer runs count as this long, so that one wrong figure does not stop the queue.
-constexpr base::Duration kLongestRun = std::chrono::seconds(60);
+constexpr base::Duration kMaximumRunTime = std::chrono::seconds(60);
 constexpr std::int64_t kNoLimit = std::numeric_limits<std::int64_t>::max() / 4;
 
-std::int64_t left(std::uint64_t all, std::uint64_t taken) {
+std::int64_t remaining(std::uint64_t all, std::uint64_t inUse) {
   if (all == 0) return kNoLimit;
-  return taken >= all ? 0 : static_cast<std::int64_t>(all - taken);
+  return inUse >= all ? 0 : static_cast<std::int64_t>(all - inUse);
 }
 
 }  // namespace
 
 base::Duration fromSeconds(double seconds) {
-  constexpr double kMostSeconds = 3600.0;
+  constexpr double kMaximumSeconds = 3600.0;
   return base::Duration(
-      static_cast<base::Duration::rep>(std::clamp(seconds, 0.0, kMostSeconds) * 1e6));
+      static_cast<base::Duration::rep>(std::clamp(seconds, 0.0, kMaximumSeconds) * 1e6));
 }
 
-RoomFigures::RoomFigures(const ReplicaCapacity& room)
-    : slots(room.slots()),
-      taken(room.slotsInUse()),
-      memory(std::min<std::uint64_t>(room.memory(), kNoLimit)),
-      memoryTaken(room.memoryInUse()),
-      runTime(room.meanRunTime()) {
-  runTime = runTime <= base::Duration::zero() ? kAssumedRun : std::min(runTime, kLongestRun);
+CapacitySnapshot::CapacitySnapshot(const ReplicaCapacity& capacity)
+    : slots(capacity.slots()),
+      slotsInUse(capacity.slotsInUse()),
+      memory(std::min<std::uint64_t>(capacity.memory(), kNoLimit)),
+      memoryInUse(capacity.memoryInUse()),
+      meanRunTime(capacity.meanRunTime()) {
+  meanRunTime = meanRunTime <= base::Duration::zero() ? kAssumedRunTime
+                                                      : std::min(meanRunTime, kMaximumRunTime);
 }
 
-base::Duration RoomFigures::runOf(const QueueCost& cost) const {
-  return cost.run <= base::Duration::zero() ? runTime : std::min(cost.run, kLongestRun);
+base::Duration CapacitySnapshot::runTimeOf(const QueueCost& cost) const {
+  return cost.runTime <= base::Duration::zero() ? meanRunTime
+                                                : std::min(cost.runTime, kMaximumRunTime);
 }
 
-double RoomFigures::shareOf(const QueueCost& cost) const {
-  const std::uint32_t places = slots != 0 ? slots : std::max<std::uint32_t>(taken, 1);
-  const double bySlot = 1.0 / places;
-  const double byMemory =
+double CapacitySnapshot::shareOf(const QueueCost& cost) const {
+  const std::uint32_t slotCount = slots != 0 ? slots : std::max<std::uint32_t>(slotsInUse, 1);
+  const double slotShare = 1.0 / slotCount;
+  const double memoryShare =
       memory != 0 ? static_cast<double>(cost.tokens) / static_cast<double>(memory) : 0.0;
-  return std::min(1.0, std::max(bySlot, byMemory));
+  return std::min(1.0, std::max(slotShare, memoryShare));
 }
 
-Work RoomFigures::workOf(const QueueCost& cost) const {
-  const double seconds = base::toSeconds(runOf(cost));
+Work CapacitySnapshot::workOf(const QueueCost& cost) const {
+  const double seconds = base::toSeconds(runTimeOf(cost));
   return {seconds, seconds * cost.tokens, seconds * shareOf(cost)};
 }
 
-FreeRoom RoomFigures::whole() const { return {left(slots, 0), left(memory, 0)}; }
+FreeCapacity CapacitySnapshot::total() const { return {remaining(slots, 0), remaining(memory, 0)}; }
 
-FreeRoom RoomFigures::free() const { return {left(slots, taken), left(memory, memoryTaken)}; }
+FreeCapacity CapacitySnapshot::free() const {
+  return {remaining(slots, slotsInUse), remaining(memory, memoryInUse)};
+}
 
 }  // namespace covewing::admission
--- a/src/admission/capacity_snapshot.h
+++ b/src/admission/capacity_snapshot.h
@@ -14,31 +14,31 @@
 /// At least zero and at most an hour.
 base::Duration fromSeconds(double seconds);
 
-struct RoomFigures {
-  explicit RoomFigures(const ReplicaCapacity& room);
+struct CapacitySnapshot {
+  explicit CapacitySnapshot(const ReplicaCapacity& capacity);
 
   /// How long the request is expected to run.
-  base::Duration runOf(const QueueCost& cost) const;
+  base::Duration runTimeOf(const QueueCost& cost) const;
   Work workOf(const QueueCost& cost) const;
   /// The larger of the request's shares of slots and memory.
   double shareOf(const QueueCost& cost) const;
   /// All slots and memory; what is not known counts as without limit.
-  FreeRoom whole() const;
+  FreeCapacity total() const;
   /// What is free; what is not known counts as without limit.
-  FreeRoom free() const;
-  bool full() const { return slots != 0 && taken >= slots; }
+  FreeCapacity free() const;
+  bool atCapacity() const { return slots != 0 && slotsInUse >= slots; }
   /// Half of the places are free; requests are then not refused for want of room. A replica that
   /// runs nothing is free also where its slots are not known.
-  bool halfFree() const { return 2 * static_cast<std::uint64_t>(taken) <= slots; }
+  bool halfFree() const { return 2 * static_cast<std::uint64_t>(slotsInUse) <= slots; }
   /// The request is larger than the replica's memory.
-  bool neverFits(const QueueCost& cost) const { return memory != 0 && cost.tokens > memory; }
+  bool exceedsMemory(const QueueCost& cost) const { return memory != 0 && cost.tokens > memory; }
 
   std::uint32_t slots = 0;
-  std::uint32_t taken = 0;
+  std::uint32_t slotsInUse = 0;
   std::uint64_t memory = 0;
-  std::uint64_t memoryTaken = 0;
+  std::uint64_t memoryInUse = 0;
   /// Positive, also where the caller knows none.
-  base::Duration runTime{};
+  base::Duration meanRunTime{};
 };
 
 }  // namespace covewing::admission
--- a/src/admission/first_token_estimate.cc
+++ b/src/admission/first_token_estimate.cc
@@ -24,15 +24,15 @@
   samples.next = (samples.next + 1) % kSamples;
 }
 
-Duration FirstTokenEstimate::of(base::PriorityClass priority, TimePoint now) const {
+Duration FirstTokenEstimate::current(base::PriorityClass priority, TimePoint now) const {
   Duration estimate{};
   for (std::size_t index = 0; index <= static_cast<std::size_t>(priority); ++index) {
-    estimate = std::max(estimate, ofClass(classes_.at(index), now));
+    estimate = std::max(estimate, currentOfClass(classes_.at(index), now));
   }
   return estimate;
 }
 
-Duration FirstTokenEstimate::ofClass(const ClassSamples& samples, TimePoint now) const {
+Duration FirstTokenEstimate::currentOfClass(const ClassSamples& samples, TimePoint now) const {
   if (samples.ring.empty()) return Duration::zero();
   std::vector<Duration> sorted = samples.ring;
   const auto middle = sorted.begin() + static_cast<std::ptrdiff_t>(sorted.size() / 2);
--- a/src/admission/first_token_estimate.h
+++ b/src/admission/first_token_estimate.h
@@ -22,7 +22,7 @@
 
   void add(base::PriorityClass priority, base::Duration expected, base::TimePoint now);
   /// Zero where nothing is known.
-  base::Duration of(base::PriorityClass priority, base::TimePoint now) const;
+  base::Duration current(base::PriorityClass priority, base::TimePoint now) const;
 
  private:
   static constexpr std::size_t kSamples = 15;
@@ -33,7 +33,7 @@
     base::TimePoint newest;
   };
 
-  base::Duration ofClass(const ClassSamples& samples, base::TimePoint now) const;
+  base::Duration currentOfClass(const ClassSamples& samples, base::TimePoint now) const;
 
   base::Duration halfLife_;
   std::array<ClassSamples, base::kPriorityClassCount> classes_;
--- a/src/admission/first_token_wait.cc
+++ b/src/admission/first_token_wait.cc
@@ -10,9 +10,9 @@
 
 namespace {
 /// First tokens older than this say nothing of the load now.
-constexpr Duration kMemory = std::chrono::seconds(1);
+constexpr Duration kRetention = std::chrono::seconds(1);
 /// Fewer requests say nothing of the load.
-constexpr std::size_t kFewest = 4;
+constexpr std::size_t kMinimumSamples = 4;
 }  // namespace
 
 void FirstTokenWait::onAdmitted(PriorityClass priority, RequestNumber request, TimePoint now) {
@@ -27,7 +27,7 @@
   const Duration waited = now - found->second;
   waits.finished.push_back({now, waited});
   waits.waiting.erase(found);
-  while (now - waits.finished.front().at > kMemory) waits.finished.pop_front();
+  while (now - waits.finished.front().at > kRetention) waits.finished.pop_front();
   return waited;
 }
 
@@ -46,25 +46,25 @@
   return static_cast<std::uint32_t>(count);
 }
 
-Duration FirstTokenWait::of(PriorityClass priority, TimePoint now) const {
+Duration FirstTokenWait::current(PriorityClass priority, TimePoint now) const {
   Duration longest{};
   for (std::size_t index = 0; index <= static_cast<std::size_t>(priority); ++index) {
-    longest = std::max(longest, ofClass(classes_.at(index), now));
+    longest = std::max(longest, currentOfClass(classes_.at(index), now));
   }
   return longest;
 }
 
-Duration FirstTokenWait::ofClass(const ClassWaits& waits, TimePoint now) {
+Duration FirstTokenWait::currentOfClass(const ClassWaits& waits, TimePoint now) {
   std::vector<Duration> sample;
   for (const Finished& finished : waits.finished) {
-    if (now - finished.at <= kMemory) sample.push_back(finished.wait);
+    if (now - finished.at <= kRetention) sample.push_back(finished.wait);
   }
   const Duration finishedMedian = median(sample);
   for (const auto& [request, admittedAt] : waits.waiting) {
     const Duration waited = now - admittedAt;
     if (waited > finishedMedian) sample.push_back(waited);
   }
-  return sample.size() < kFewest ? Duration::zero() : median(sample);
+  return sample.size() < kMinimumSamples ? Duration::zero() : median(sample);
 }
 
 Duration FirstTokenWait::median(std::vector<Duration>& sample) {
--- a/src/admission/first_token_wait.h
+++ b/src/admission/first_token_wait.h
@@ -35,7 +35,7 @@
   std::uint32_t waiting() const;
 
   /// The longest wait over the class and the more urgent ones; zero where too little is known.
-  base::Duration of(base::PriorityClass priority, base::TimePoint now) const;
+  base::Duration current(base::PriorityClass priority, base::TimePoint now) const;
 
  private:
   struct Finished {
@@ -48,7 +48,7 @@
     std::deque<Finished> finished;
   };
 
-  static base::Duration ofClass(const ClassWaits& waits, base::TimePoint now);
+  static base::Duration currentOfClass(const ClassWaits& waits, base::TimePoint now);
   static base::Duration median(std::vector<base::Duration>& sample);
 
   ClassWaits& waitsOf(base::PriorityClass priority) {
--- a/src/admission/granted_runs.cc
+++ b/src/admission/granted_runs.cc
@@ -7,25 +7,25 @@
 namespace {
 
 /// Most runs kept where the caller tells no true number of them.
-constexpr std::size_t kMostRuns = 1024;
+constexpr std::size_t kMaximumRuns = 1024;
 
 }  // namespace
 
 void GrantedRuns::onGrant(const GrantedRun& run) {
-  trim(kMostRuns - 1);
-  const auto place = std::upper_bound(
+  trim(kMaximumRuns - 1);
+  const auto position = std::upper_bound(
       runs_.begin(), runs_.end(), run,
       [](const GrantedRun& a, const GrantedRun& b) { return a.expectedEnd < b.expectedEnd; });
-  runs_.insert(place, run);
+  runs_.insert(position, run);
 }
 
-void GrantedRuns::trim(std::size_t taken) {
-  if (runs_.size() <= taken) return;
-  runs_.erase(runs_.begin(), runs_.end() - static_cast<std::ptrdiff_t>(taken));
+void GrantedRuns::trim(std::size_t slotsInUse) {
+  if (runs_.size() <= slotsInUse) return;
+  runs_.erase(runs_.begin(), runs_.end() - static_cast<std::ptrdiff_t>(slotsInUse));
 }
 
-FreeRoom GrantedRuns::heldBy(std::uint32_t urgency) const {
-  FreeRoom held;
+FreeCapacity GrantedRuns::heldBy(std::uint32_t urgency) const {
+  FreeCapacity held;
   for (const GrantedRun& run : runs_) {
     if (run.urgency != urgency) continue;
     ++held.slots;
@@ -34,7 +34,8 @@
   return held;
 }
 
-FutureRoom GrantedRuns::whenFree(const FreeRoom& need, FreeRoom free, base::TimePoint now) const {
+FutureCapacity GrantedRuns::whenFree(const FreeCapacity& need, FreeCapacity free,
+                                     base::TimePoint now) const {
   base::TimePoint at = now;
   for (const GrantedRun& run : runs_) {
     if (free.slots >= need.slots && free.tokens >= need.tokens) break;
--- a/src/admission/granted_runs.h
+++ b/src/admission/granted_runs.h
@@ -18,15 +18,15 @@
 };
 
 /// Room in slots and tokens of memory.
-struct FreeRoom {
+struct FreeCapacity {
   std::int64_t slots = 0;
   std::int64_t tokens = 0;
 };
 
 /// When a request finds room, and what is free beside it then.
-struct FutureRoom {
+struct FutureCapacity {
   base::TimePoint at{};
-  FreeRoom spare;
+  FreeCapacity spare;
 };
 
 class GrantedRuns {
@@ -34,12 +34,12 @@
   void onGrant(const GrantedRun& run);
   /// As many runs as the replica has taken stay, those that end last: a run that takes longer than
   /// expected stays counted, one that ended early goes.
-  void trim(std::size_t taken);
+  void trim(std::size_t slotsInUse);
   void clear() { runs_.clear(); }
   /// Slots and tokens that runs of this urgency hold.
-  FreeRoom heldBy(std::uint32_t urgency) const;
+  FreeCapacity heldBy(std::uint32_t urgency) const;
   /// When `need` is free if nothing more is granted; `free` is free now.
-  FutureRoom whenFree(const FreeRoom& need, FreeRoom free, base::TimePoint now) const;
+  FutureCapacity whenFree(const FreeCapacity& need, FreeCapacity free, base::TimePoint now) const;
 
  private:
   /// By expected end.
--- a/src/admission/minimum_share.h
+++ b/src/admission/minimum_share.h
@@ -11,7 +11,7 @@
 
 namespace covewing::admission {
 
-class LeastShare {
+class MinimumShare {
  public:
   /// A request that can be in time asked for room.
   void onArrival(double work, base::TimePoint now);
@@ -24,9 +24,9 @@
 
   base::TimePoint at_{};
   /// A tenth of what was asked, less what was granted.
-  double asked_ = 0.0;
+  double demandCredit_ = 0.0;
   /// A tenth of the time that passed, less what was granted: bounds the part of the replica.
-  double time_ = 0.0;
+  double timeCredit_ = 0.0;
 };
 
 }  // namespace covewing::admission
--- a/src/admission/queue_entry.h
+++ b/src/admission/queue_entry.h
@@ -16,7 +16,7 @@
   /// Tokens of the prompt to be read.
   std::uint32_t prefillTokens = 0;
   /// Expected time from its start to its end; zero: not known.
-  base::Duration run{};
+  base::Duration runTime{};
 };
 
 /// A request that asks for room. Times are on the home's clock.
@@ -40,11 +40,11 @@
 };
 
 /// A request that asks this long after it reached the system does not ask for the first time.
-constexpr base::Duration kFirstAsked = std::chrono::milliseconds(250);
+constexpr base::Duration kFirstAttemptWithin = std::chrono::milliseconds(250);
 
 /// Whether the request that asks at this time came back after a refusal, or asked elsewhere before.
-inline bool askedBefore(const QueueEntry& entry, base::TimePoint at) {
-  return at - entry.arrivedAt >= kFirstAsked;
+inline bool isRetry(const QueueEntry& entry, base::TimePoint at) {
+  return at - entry.arrivedAt >= kFirstAttemptWithin;
 }
 
 /// What the home knows of the replica's room now.
@@ -52,7 +52,7 @@
  public:
   virtual ~ReplicaCapacity() = default;
   /// Whether the replica can begin this request now, in time where `inTime` is asked for.
-  virtual bool fits(const QueueEntry& entry, bool inTime) const = 0;
+  virtual bool fits(const QueueEntry& entry, bool onTime) const = 0;
   /// Requests that the replica runs at once; 0: not known.
   virtual std::uint32_t slots() const = 0;
   /// Requests that run or have been granted.
--- a/src/admission/quota_ledger.cc
+++ b/src/admission/quota_ledger.cc
@@ -13,114 +13,116 @@
 
 /// Rounding slack of the bucket, in tokens.
 constexpr double kTokenSlack = 1e-6;
-Duration timeFor(double tokens, double rate) {
+Duration timeToEarn(double tokens, double rate) {
   constexpr double kMicrosecondsPerSecond = 1e6;
   return Duration{static_cast<Duration::rep>(tokens / rate * kMicrosecondsPerSecond) + 1};
 }
 
 /// Promises that are kept at most; those beyond are told the same time.
-constexpr std::size_t kMostPromises = 256;
+constexpr std::size_t kMaximumScheduledRetries = 256;
 
 }  // namespace
 
-QuotaLeaseReply QuotaLedger::handle(const Borrower& borrower, const QuotaLeaseRequest& ask,
-                                    const HomeStanding& standing, TimePoint now) {
-  QuotaLeaseReply grant;
-  grant.tenant = ask.tenant;
-  grant.sequence = ask.sequence;
-  Account& tenant = account(ask, standing, now);
-  SlotLease& lease = tenant.leases[borrower.node];
-  const bool olderRun = borrower.incarnation < lease.incarnation;
-  const bool olderAsk = borrower.incarnation == lease.incarnation && ask.sequence <= lease.sequence;
-  if (olderRun || olderAsk) return grant;
-  lease.incarnation = borrower.incarnation;
-  lease.sequence = ask.sequence;
-  grantTokens(tenant, ask, now, grant);
-  grantSlots(tenant, borrower, ask, now, grant);
-  grant.balance = std::llround(tenant.tokens);
-  grant.nearLimit = tenant.tokens < options_.nearLimitShare * tenant.size();
-  return grant;
+QuotaLeaseReply QuotaLedger::handle(const LeaseHolder& holder, const QuotaLeaseRequest& request,
+                                    const HomeAuthority& authority, TimePoint now) {
+  QuotaLeaseReply reply;
+  reply.tenant = request.tenant;
+  reply.sequence = request.sequence;
+  Account& tenant = account(request, authority, now);
+  SlotLease& lease = tenant.leases[holder.node];
+  const bool olderIncarnation = holder.incarnation < lease.incarnation;
+  const bool olderRequest =
+      holder.incarnation == lease.incarnation && request.sequence <= lease.sequence;
+  if (olderIncarnation || olderRequest) return reply;
+  lease.incarnation = holder.incarnation;
+  lease.sequence = request.sequence;
+  grantTokens(tenant, request, now, reply);
+  grantSlots(tenant, holder, request, now, reply);
+  reply.balance = std::llround(tenant.tokens);
+  reply.nearLimit = tenant.tokens < options_.nearLimitShare * tenant.bucketSize();
+  return reply;
 }
 
-void QuotaLedger::correct(const QuotaCorrection& correction) {
+void QuotaLedger::applyCorrection(const QuotaCorrection& correction) {
   const auto found = accounts_.find(correction.tenant);
   if (found == accounts_.end()) return;
   Account& tenant = found->second;
-  tenant.tokens = std::min(tenant.size(), tenant.tokens + correction.returned);
+  tenant.tokens = std::min(tenant.bucketSize(), tenant.tokens + correction.returned);
   tenant.tokens -= correction.charged;
 }
 
 void QuotaLedger::refill(Account& account, TimePoint now) {
   const double earned = base::toSeconds(now - account.refilledAt) * account.rate();
-  account.tokens = std::min(account.size(), account.tokens + earned);
+  account.tokens = std::min(account.bucketSize(), account.tokens + earned);
   account.refilledAt = now;
 }
 
-QuotaLedger::Account& QuotaLedger::account(const QuotaLeaseRequest& ask,
-                                           const HomeStanding& standing, TimePoint now) {
-  const auto [found, created] = accounts_.try_emplace(ask.tenant);
+QuotaLedger::Account& QuotaLedger::account(const QuotaLeaseRequest& request,
+                                           const HomeAuthority& authority, TimePoint now) {
+  const auto [found, created] = accounts_.try_emplace(request.tenant);
   Account& tenant = found->second;
   if (created) {
-    tenant.revision = ask.revision;
-    tenant.limits = ask.limits;
-    tenant.share = standing.share;
-    tenant.tokens = tenant.size() * standing.initialBucketShare;
-    tenant.refilledAt = std::min(standing.since, now);
+    tenant.revision = request.revision;
+    tenant.limits = request.limits;
+    tenant.share = authority.share;
+    tenant.tokens = tenant.bucketSize() * authority.initialBucketShare;
+    tenant.refilledAt = std::min(authority.since, now);
   }
   refill(tenant, now);
-  if (ask.revision > tenant.revision) {
-    tenant.revision = ask.revision;
-    tenant.limits = ask.limits;
+  if (request.revision > tenant.revision) {
+    tenant.revision = request.revision;
+    tenant.limits = request.limits;
   }
-  tenant.share = standing.share;
-  tenant.tokens = std::min(tenant.tokens, tenant.size());
+  tenant.share = authority.share;
+  tenant.tokens = std::min(tenant.tokens, tenant.bucketSize());
   return tenant;
 }
 
-void QuotaLedger::grantTokens(Account& account, const QuotaLeaseRequest& ask, TimePoint now,
-                              QuotaLeaseReply& grant) const {
+void QuotaLedger::grantTokens(Account& account, const QuotaLeaseRequest& request, TimePoint now,
+                              QuotaLeaseReply& reply) const {
   if (account.limits.ratePerSecond <= 0) {
-    grant.tokens = ask.tokensWanted;
+    reply.tokens = request.tokensWanted;
     return;
   }
-  if (ask.tokensWanted == 0) return;
+  if (request.tokensWanted == 0) return;
   // What is larger than the bucket passes a full one, and those behind it wait for longer.
-  const double needed = std::max(1.0, static_cast<double>(ask.tokensNeeded));
-  const double enough = std::min(needed, account.size());
+  const double needed = std::max(1.0, static_cast<double>(request.tokensNeeded));
+  const double enough = std::min(needed, account.bucketSize());
   if (account.tokens + kTokenSlack < enough) {
-    promise(account, enough, now, grant);
+    scheduleRetry(account, enough, now, reply);
     return;
   }
   // A batch leaves half of the bucket to the other nodes.
   const double most = std::max(needed, std::floor(account.tokens / 2 + kTokenSlack));
-  const double granted = std::min(static_cast<double>(ask.tokensWanted), most);
-  grant.tokens = static_cast<std::uint32_t>(granted);
+  const double granted = std::min(static_cast<double>(request.tokensWanted), most);
+  reply.tokens = static_cast<std::uint32_t>(granted);
   account.tokens -= granted;
 }
 
-void QuotaLedger::promise(Account& account, double needed, TimePoint now,
-                          QuotaLeaseReply& grant) const {
-  while (!account.promises.empty() && account.promises.front().at <= now)
-    account.promises.pop_front();
+void QuotaLedger::scheduleRetry(Account& account, double needed, TimePoint now,
+                                QuotaLeaseReply& reply) const {
+  while (!account.scheduledRetries.empty() && account.scheduledRetries.front().at <= now)
+    account.scheduledRetries.pop_front();
   double ahead = needed;
-  for (const Promise& promise : account.promises) ahead += promise.tokens;
-  grant.tokensAfter = timeFor(needed - account.tokens, account.rate());
-  const Duration behind = timeFor(ahead - account.tokens, account.rate());
-  grant.comeBackAfter = std::max(grant.tokensAfter, std::min(behind, options_.longestPromise));
-  if (account.promises.size() < kMostPromises)
-    account.promises.push_back({now + grant.comeBackAfter, needed});
+  for (const ScheduledRetry& retry : account.scheduledRetries) ahead += retry.tokens;
+  reply.tokensAvailableAfter = timeToEarn(needed - account.tokens, account.rate());
+  const Duration behind = timeToEarn(ahead - account.tokens, account.rate());
+  reply.retryAfter =
+      std::max(reply.tokensAvailableAfter, std::min(behind, options_.maximumRetryDelay));
+  if (account.scheduledRetries.size() < kMaximumScheduledRetries)
+    account.scheduledRetries.push_back({now + reply.retryAfter, needed});
 }
 
-void QuotaLedger::grantSlots(Account& account, const Borrower& borrower,
-                             const QuotaLeaseRequest& ask, TimePoint now,
-                             QuotaLeaseReply& grant) const {
-  SlotLease& own = account.leases[borrower.node];
-  own.slots = ask.slotsHeld;
+void QuotaLedger::grantSlots(Account& account, const LeaseHolder& holder,
+                             const QuotaLeaseRequest& request, TimePoint now,
+                             QuotaLeaseReply& reply) const {
+  SlotLease& own = account.leases[holder.node];
+  own.slots = request.slotsHeld;
   // The holder counts from before it sent its ask, so it stops using the lease earlier.
   own.expiresAt = now + options_.slotLease;
   const std::uint32_t limit = account.limits.concurrency;
   if (limit == 0) {
-    grant.slots = ask.slotsWanted;
+    reply.slots = request.slotsWanted;
     return;
   }
   std::uint64_t leased = 0;
@@ -128,9 +130,9 @@
     if (lease.expiresAt >= now) leased += lease.slots;
   }
   const std::uint64_t free = leased >= limit ? 0 : limit - leased;
-  grant.slots = static_cast<std::uint32_t>(std::min<std::uint64_t>(ask.slotsWanted, free));
-  own.slots += grant.slots;
-  grant.contended = 2 * (leased + grant.slots) > limit;
+  reply.slots = static_cast<std::uint32_t>(std::min<std::uint64_t>(request.slotsWanted, free));
+  own.slots += reply.slots;
+  reply.contended = 2 * (leased + reply.slots) > limit;
 }
 
 void QuotaLedger::dropIdle(TimePoint now) {
@@ -141,7 +143,7 @@
       return lease.second.expiresAt + options_.slotLease < now;
     });
     const bool full =
-        tenant.limits.ratePerSecond <= 0 || tenant.tokens + kTokenSlack >= tenant.size();
+        tenant.limits.ratePerSecond <= 0 || tenant.tokens + kTokenSlack >= tenant.bucketSize();
     entry = full && tenant.leases.empty() ? accounts_.erase(entry) : std::next(entry);
   }
 }
--- a/src/admission/quota_ledger.h
+++ b/src/admission/quota_ledger.h
@@ -23,13 +23,13 @@
 namespace covewing::admission {
 
 /// One run of a node that leases.
-struct Borrower {
+struct LeaseHolder {
   base::NodeId node;
   base::Incarnation incarnation = 0;
 };
 
 /// What a home may answer for.
-struct HomeStanding {
+struct HomeAuthority {
   /// Part of the limits that it grants, 0 to 1.
   double share = 1.0;
   /// Part of a full bucket that an account which is new here starts with, at `since`.
@@ -42,10 +42,10 @@
  public:
   explicit QuotaLedger(const QuotaOptions& options) : options_(options) {}
 
-  QuotaLeaseReply handle(const Borrower& borrower, const QuotaLeaseRequest& ask,
-                         const HomeStanding& standing, base::TimePoint now);
+  QuotaLeaseReply handle(const LeaseHolder& holder, const QuotaLeaseRequest& request,
+                         const HomeAuthority& authority, base::TimePoint now);
   /// Does nothing for a tenant without an account.
-  void correct(const QuotaCorrection& correction);
+  void applyCorrection(const QuotaCorrection& correction);
   /// Forgets accounts that are as good as new.
   void dropIdle(base::TimePoint now);
   /// Forgets the accounts of tenants that have another home now: what they were granted there is
@@ -64,7 +64,7 @@
     base::TimePoint expiresAt;
   };
   /// A refused request was told to come back then.
-  struct Promise {
+  struct ScheduledRetry {
     base::TimePoint at;
     double tokens = 0;
   };
@@ -76,21 +76,23 @@
     /// Negative after work that was not asked for.
     double tokens = 0;
     base::TimePoint refilledAt;
-    std::deque<Promise> promises;
+    std::deque<ScheduledRetry> scheduledRetries;
     std::map<base::NodeId, SlotLease> leases;
 
     double rate() const { return limits.ratePerSecond * share; }
-    double size() const { return limits.bucketSize() * share; }
+    double bucketSize() const { return limits.bucketSize() * share; }
   };
 
   static void refill(Account& account, base::TimePoint now);
-  Account& account(const QuotaLeaseRequest& ask, const HomeStanding& standing, base::TimePoint now);
-  void grantTokens(Account& account, const QuotaLeaseRequest& ask, base::TimePoint now,
-                   QuotaLeaseReply& grant) const;
+  Account& account(const QuotaLeaseRequest& request, const HomeAuthority& authority,
+                   base::TimePoint now);
+  void grantTokens(Account& account, const QuotaLeaseRequest& request, base::TimePoint now,
+                   QuotaLeaseReply& reply) const;
   /// Says when the tokens are there.
-  void promise(Account& account, double needed, base::TimePoint now, QuotaLeaseReply& grant) const;
-  void grantSlots(Account& account, const Borrower& borrower, const QuotaLeaseRequest& ask,
-                  base::TimePoint now, QuotaLeaseReply& grant) const;
+  void scheduleRetry(Account& account, double needed, base::TimePoint now,
+                     QuotaLeaseReply& reply) const;
+  void grantSlots(Account& account, const LeaseHolder& holder, const QuotaLeaseRequest& request,
+                  base::TimePoint now, QuotaLeaseReply& reply) const;
 
   QuotaOptions options_;
   std::map<base::TenantId, Account> accounts_;
--- a/src/admission/quota_messages.cc
+++ b/src/admission/quota_messages.cc
@@ -10,24 +10,24 @@
 
 namespace {
 
-constexpr std::uint64_t kAskType = 1;
-constexpr std::uint64_t kGrantType = 2;
+constexpr std::uint64_t kRequestType = 1;
+constexpr std::uint64_t kReplyType = 2;
 constexpr std::uint64_t kCorrectionType = 3;
-constexpr std::uint32_t kAskFields = 12;
-constexpr std::uint32_t kGrantFields = 10;
+constexpr std::uint32_t kRequestFields = 12;
+constexpr std::uint32_t kReplyFields = 10;
 constexpr std::uint32_t kCorrectionFields = 4;
 /// Rates and bursts travel in thousandths of a token.
 constexpr double kScale = 1000.0;
 /// Highest rate or burst that a message carries, in tokens.
-constexpr double kHighest = 1e12;
-constexpr base::Duration kLongestWait = std::chrono::hours(1);
+constexpr double kMaximumTokens = 1e12;
+constexpr base::Duration kMaximumWait = std::chrono::hours(1);
 
 std::uint64_t scaled(double tokens) {
-  return static_cast<std::uint64_t>(std::llround(std::clamp(tokens, 0.0, kHighest) * kScale));
+  return static_cast<std::uint64_t>(std::llround(std::clamp(tokens, 0.0, kMaximumTokens) * kScale));
 }
 
 double readScaled(base::Reader& reader) {
-  return std::min(static_cast<double>(reader.unsignedInteger()) / kScale, kHighest);
+  return std::min(static_cast<double>(reader.unsignedInteger()) / kScale, kMaximumTokens);
 }
 
 std::uint64_t milliseconds(base::Duration duration) {
@@ -41,39 +41,39 @@
 }
 
 base::Duration readWait(base::Reader& reader) {
-  return std::min(kLongestWait, base::Duration{std::chrono::milliseconds{readCount(reader)}});
+  return std::min(kMaximumWait, base::Duration{std::chrono::milliseconds{readCount(reader)}});
 }
 
-std::optional<QuotaMessage> readAsk(base::Reader& reader) {
-  QuotaLeaseRequest ask;
-  ask.tenant.value = reader.unsignedInteger();
-  ask.revision = reader.unsignedInteger();
-  ask.limits.ratePerSecond = readScaled(reader);
-  ask.limits.burst = readScaled(reader);
-  ask.limits.concurrency = readCount(reader);
-  ask.sequence = reader.unsignedInteger();
-  ask.tokensNeeded = readCount(reader);
-  ask.tokensWanted = readCount(reader);
-  ask.slotsHeld = readCount(reader);
-  ask.slotsWanted = readCount(reader);
-  ask.answerWanted = reader.boolean();
+std::optional<QuotaMessage> readRequest(base::Reader& reader) {
+  QuotaLeaseRequest request;
+  request.tenant.value = reader.unsignedInteger();
+  request.revision = reader.unsignedInteger();
+  request.limits.ratePerSecond = readScaled(reader);
+  request.limits.burst = readScaled(reader);
+  request.limits.concurrency = readCount(reader);
+  request.sequence = reader.unsignedInteger();
+  request.tokensNeeded = readCount(reader);
+  request.tokensWanted = readCount(reader);
+  request.slotsHeld = readCount(reader);
+  request.slotsWanted = readCount(reader);
+  request.replyWanted = reader.boolean();
   if (!reader.ok()) return std::nullopt;
-  return ask;
+  return request;
 }
 
-std::optional<QuotaMessage> readGrant(base::Reader& reader) {
-  QuotaLeaseReply grant;
-  grant.tenant.value = reader.unsignedInteger();
-  grant.sequence = reader.unsignedInteger();
-  grant.tokens = readCount(reader);
-  grant.slots = readCount(reader);
-  grant.tokensAfter = readWait(reader);
-  grant.comeBackAfter = readWait(reader);
-  grant.balance = reader.signedInteger();
-  grant.contended = reader.boolean();
-  grant.nearLimit = reader.boolean();
+std::optional<QuotaMessage> readReply(base::Reader& reader) {
+  QuotaLeaseReply reply;
+  reply.tenant.value = reader.unsignedInteger();
+  reply.sequence = reader.unsignedInteger();
+  reply.tokens = readCount(reader);
+  reply.slots = readCount(reader);
+  reply.tokensAvailableAfter = readWait(reader);
+  reply.retryAfter = readWait(reader);
+  reply.balance = reader.signedInteger();
+  reply.contended = reader.boolean();
+  reply.nearLimit = reader.boolean();
   if (!reader.ok()) return std::nullopt;
-  return grant;
+  return reply;
 }
 
 std::optional<QuotaMessage> readCorrection(base::Reader& reader) {
@@ -87,37 +87,37 @@
 
 }  // namespace
 
-std::string encode(const QuotaLeaseRequest& ask) {
+std::string encode(const QuotaLeaseRequest& request) {
   base::Writer writer;
-  writer.array(kAskFields)
-      .unsignedInteger(kAskType)
-      .unsignedInteger(ask.tenant.value)
-      .unsignedInteger(ask.revision)
-      .unsignedInteger(scaled(ask.limits.ratePerSecond))
-      .unsignedInteger(scaled(ask.limits.burst))
-      .unsignedInteger(ask.limits.concurrency)
-      .unsignedInteger(ask.sequence)
-      .unsignedInteger(ask.tokensNeeded)
-      .unsignedInteger(ask.tokensWanted)
-      .unsignedInteger(ask.slotsHeld)
-      .unsignedInteger(ask.slotsWanted)
-      .boolean(ask.answerWanted);
+  writer.array(kRequestFields)
+      .unsignedInteger(kRequestType)
+      .unsignedInteger(request.tenant.value)
+      .unsignedInteger(request.revision)
+      .unsignedInteger(scaled(request.limits.ratePerSecond))
+      .unsignedInteger(scaled(request.limits.burst))
+      .unsignedInteger(request.limits.concurrency)
+      .unsignedInteger(request.sequence)
+      .unsignedInteger(request.tokensNeeded)
+      .unsignedInteger(request.tokensWanted)
+      .unsignedInteger(request.slotsHeld)
+      .unsignedInteger(request.slotsWanted)
+      .boolean(request.replyWanted);
   return writer.take();
 }
 
-std::string encode(const QuotaLeaseReply& grant) {
+std::string encode(const QuotaLeaseReply& reply) {
   base::Writer writer;
-  writer.array(kGrantFields)
-      .unsignedInteger(kGrantType)
-      .unsignedInteger(grant.tenant.value)
-      .unsignedInteger(grant.sequence)
-      .unsignedInteger(grant.tokens)
-      .unsignedInteger(grant.slots)
-      .unsignedInteger(milliseconds(grant.tokensAfter))
-      .unsignedInteger(milliseconds(grant.comeBackAfter))
-      .signedInteger(grant.balance)
-      .boolean(grant.contended)
-      .boolean(grant.nearLimit);
+  writer.array(kReplyFields)
+      .unsignedInteger(kReplyType)
+      .unsignedInteger(reply.tenant.value)
+      .unsignedInteger(reply.sequence)
+      .unsignedInteger(reply.tokens)
+      .unsignedInteger(reply.slots)
+      .unsignedInteger(milliseconds(reply.tokensAvailableAfter))
+      .unsignedInteger(milliseconds(reply.retryAfter))
+      .signedInteger(reply.balance)
+      .boolean(reply.contended)
+      .boolean(reply.nearLimit);
   return writer.take();
 }
 
@@ -136,8 +136,8 @@
   const std::uint32_t fields = reader.beginArray();
   const std::uint64_t type = reader.unsignedInteger();
   if (!reader.ok()) return std::nullopt;
-  if (type == kAskType && fields >= kAskFields) return readAsk(reader);
-  if (type == kGrantType && fields >= kGrantFields) return readGrant(reader);
+  if (type == kRequestType && fields >= kRequestFields) return readRequest(reader);
+  if (type == kReplyType && fields >= kReplyFields) return readReply(reader);
   if (type == kCorrectionType && fields >= kCorrectionFields) return readCorrection(reader);
   return std::nullopt;
 }
--- a/src/admission/quota_messages.h
+++ b/src/admission/quota_messages.h
@@ -30,7 +30,7 @@
   std::uint32_t slotsHeld = 0;
   std::uint32_t slotsWanted = 0;
   /// False where the sender only returns slots.
-  bool answerWanted = true;
+  bool replyWanted = true;
 };
 
 /// The home's answer.
@@ -41,9 +41,9 @@
   /// Slots granted in addition to those held.
   std::uint32_t slots = 0;
   /// The tokens needed are not there before this, where none was granted.
-  base::Duration tokensAfter{};
+  base::Duration tokensAvailableAfter{};
   /// When the tokens needed are there behind what was refused before.
-  base::Duration comeBackAfter{};
+  base::Duration retryAfter{};
   /// Tokens left in the tenant's bucket; negative after work that had to be repeated.
   std::int64_t balance = 0;
   /// Slots are scarce: return idle ones at once.
@@ -62,8 +62,8 @@
 
 using QuotaMessage = std::variant<QuotaLeaseRequest, QuotaLeaseReply, QuotaCorrection>;
 
-std::string encode(const QuotaLeaseRequest& ask);
-std::string encode(const QuotaLeaseReply& grant);
+std::string encode(const QuotaLeaseRequest& request);
+std::string encode(const QuotaLeaseReply& reply);
 std::string encode(const QuotaCorrection& correction);
 /// Empty when the payload is malformed.
 std::optional<QuotaMessage> decodeQuotaMessage(std::string_view payload);
--- a/src/admission/quota_window.h
+++ b/src/admission/quota_window.h
@@ -23,13 +23,13 @@
   double slack = 0;
   /// Part of the tolerance that is granted. The rest covers nodes that do not see each other, and
   /// requests that are held between their grant and their dispatch.
-  double grantedTolerance = 0.3;
+  double grantedToleranceShare = 0.3;
   /// Part of the tolerance, or of the burst if that is more, that may be saved up.
-  double savedTolerance = 0.2;
-  double savedBurst = 0.25;
+  double bucketToleranceShare = 0.2;
+  double bucketBurstShare = 0.25;
   /// Of a burst of a second's worth or more, so much of a second's worth may be saved up: where the
   /// tolerance is small, a tenant's single prompts would be larger than its bucket otherwise.
-  double savedSeconds = 0.8;
+  double bucketSeconds = 0.8;
 
   /// The bucket for a tenant's limit: in no window more passes than is allowed.
   QuotaLimits limitsFor(const config::TenantRate& rate) const {
@@ -37,9 +37,9 @@
     const double stated = rate.perSecond * seconds + rate.burst;
     const double tolerance = overshoot * stated + slack;
     QuotaLimits limits;
-    limits.burst = std::max({savedTolerance * tolerance, savedBurst * rate.burst,
-                             savedSeconds * std::min(rate.burst, rate.perSecond)});
-    limits.ratePerSecond = (stated + grantedTolerance * tolerance - limits.burst) / seconds;
+    limits.burst = std::max({bucketToleranceShare * tolerance, bucketBurstShare * rate.burst,
+                             bucketSeconds * std::min(rate.burst, rate.perSecond)});
+    limits.ratePerSecond = (stated + grantedToleranceShare * tolerance - limits.burst) / seconds;
     return limits;
   }
 };
--- a/src/admission/replica_load.cc
+++ b/src/admission/replica_load.cc
@@ -8,76 +8,80 @@
 namespace {
 
 /// Time over which what is left for late service is measured: callers wait about as long.
-constexpr base::Duration kLongMemory = std::chrono::seconds(5);
+constexpr base::Duration kLongTimeConstant = std::chrono::seconds(5);
 /// Most of the replica kept free for more urgent requests that are expected; half, as no request is
 /// refused while half of the places are free. Bursts with 100 ms to begin in: 0.906 of the urgent
 /// began in time when they first asked, 0.862 without.
-constexpr double kMostReserved = 0.5;
+constexpr double kMaximumReservedShare = 0.5;
 
-std::int64_t bounded(double expected, double all) {
-  return std::llround(std::min(std::round(expected), std::floor(kMostReserved * all)));
+std::int64_t boundedReserve(double expected, double all) {
+  return std::llround(std::min(std::round(expected), std::floor(kMaximumReservedShare * all)));
 }
 
 }  // namespace
 
-std::size_t LoadNow::placeOf(std::uint32_t urgency, bool late) {
-  return late ? ArrivalRates::kUrgencies
-              : std::min<std::size_t>(urgency, ArrivalRates::kUrgencies - 1);
+std::size_t LoadSnapshot::indexOf(std::uint32_t urgency, bool late) {
+  return late ? ArrivalRates::kUrgencyLevels
+              : std::min<std::size_t>(urgency, ArrivalRates::kUrgencyLevels - 1);
 }
 
-ReplicaLoad::ReplicaLoad(base::Duration rateMemory)
-    : rates_(rateMemory), freshRates_(rateMemory), longRates_(kLongMemory) {}
+ReplicaLoad::ReplicaLoad(base::Duration rateTimeConstant)
+    : rates_(rateTimeConstant),
+      firstAttemptRates_(rateTimeConstant),
+      longTermRates_(kLongTimeConstant) {}
 
-void ReplicaLoad::onArrival(const QueueEntry& entry, bool returned, const LoadNow& load) {
-  const Work work = load.room.workOf(entry.cost);
+void ReplicaLoad::onArrival(const QueueEntry& entry, bool retried, const LoadSnapshot& load) {
+  const Work work = load.capacity.workOf(entry.cost);
   rates_.onArrival(entry.urgency, work, load.now);
-  longRates_.onArrival(entry.urgency, work, load.now);
-  leastShares_.at(LoadNow::placeOf(entry.urgency, false)).onArrival(work.replicaSeconds, load.now);
-  if (!returned) freshRates_.onArrival(entry.urgency, work, load.now);
+  longTermRates_.onArrival(entry.urgency, work, load.now);
+  minimumShares_.at(LoadSnapshot::indexOf(entry.urgency, false))
+      .onArrival(work.replicaSeconds, load.now);
+  if (!retried) firstAttemptRates_.onArrival(entry.urgency, work, load.now);
 }
 
-void ReplicaLoad::onGrant(const QueueEntry& entry, const LoadNow& load) {
-  const std::size_t place = LoadNow::placeOf(entry.urgency, false);
-  leastShares_.at(place).onGrant(load.room.workOf(entry.cost).replicaSeconds, load.now);
-  runs_.onGrant({static_cast<std::uint32_t>(place), entry.cost.tokens,
-                 load.now + load.room.runOf(entry.cost)});
+void ReplicaLoad::onGrant(const QueueEntry& entry, const LoadSnapshot& load) {
+  const std::size_t index = LoadSnapshot::indexOf(entry.urgency, false);
+  minimumShares_.at(index).onGrant(load.capacity.workOf(entry.cost).replicaSeconds, load.now);
+  runs_.onGrant({static_cast<std::uint32_t>(index), entry.cost.tokens,
+                 load.now + load.capacity.runTimeOf(entry.cost)});
 }
 
-LoadNow ReplicaLoad::look(const ReplicaCapacity& room, base::TimePoint now) {
-  LoadNow load(room, now);
-  runs_.trim(load.room.taken);
-  load.askedLong = longRates_.askedBefore(ArrivalRates::kUrgencies, now);
+LoadSnapshot ReplicaLoad::snapshot(const ReplicaCapacity& capacity, base::TimePoint now) {
+  LoadSnapshot load(capacity, now);
+  runs_.trim(load.capacity.slotsInUse);
+  load.longTermDemand = longTermRates_.demandAbove(ArrivalRates::kUrgencyLevels, now);
   double slots = 0.0;
   double tokens = 0.0;
-  for (std::uint32_t urgency = 0; urgency < ArrivalRates::kUrgencies; ++urgency) {
-    load.reserve.at(urgency) = {bounded(slots, load.room.slots),
-                                bounded(tokens, static_cast<double>(load.room.memory))};
-    load.askedFresh.at(urgency) = freshRates_.asked(urgency, now).share;
-    const Demand asked = rates_.asked(urgency, now);
-    load.askedBefore.at(urgency + 1) = load.askedBefore.at(urgency) + asked.share;
-    if (asked.share <= 0.0) continue;
-    const FreeRoom held = runs_.heldBy(urgency);
-    slots += std::max(0.0, asked.slots - static_cast<double>(held.slots));
-    tokens += std::max(0.0, asked.tokens - static_cast<double>(held.tokens));
+  for (std::uint32_t urgency = 0; urgency < ArrivalRates::kUrgencyLevels; ++urgency) {
+    load.reserve.at(urgency) = {boundedReserve(slots, load.capacity.slots),
+                                boundedReserve(tokens, static_cast<double>(load.capacity.memory))};
+    load.firstAttemptDemand.at(urgency) = firstAttemptRates_.demand(urgency, now).share;
+    const Demand demand = rates_.demand(urgency, now);
+    load.demandAbove.at(urgency + 1) = load.demandAbove.at(urgency) + demand.share;
+    if (demand.share <= 0.0) continue;
+    const FreeCapacity held = runs_.heldBy(urgency);
+    slots += std::max(0.0, demand.slots - static_cast<double>(held.slots));
+    tokens += std::max(0.0, demand.tokens - static_cast<double>(held.tokens));
   }
-  load.reserve.back() = {bounded(slots, load.room.slots),
-                         bounded(tokens, static_cast<double>(load.room.memory))};
+  load.reserve.back() = {boundedReserve(slots, load.capacity.slots),
+                         boundedReserve(tokens, static_cast<double>(load.capacity.memory))};
   return load;
 }
 
-FutureRoom ReplicaLoad::whenFree(const FreeRoom& need, const LoadNow& load) const {
-  FutureRoom future = runs_.whenFree(need, load.room.free(), load.now);
+FutureCapacity ReplicaLoad::whenFree(const FreeCapacity& need, const LoadSnapshot& load) const {
+  FutureCapacity future = runs_.whenFree(need, load.capacity.free(), load.now);
   // The rest is held by runs that were not granted here (a home that started again knows none):
   // taken to end after the usual time.
   if (future.spare.slots < 0 || future.spare.tokens < 0) {
-    future.at = std::max(future.at, load.now + load.room.runTime);
+    future.at = std::max(future.at, load.now + load.capacity.meanRunTime);
   }
   return future;
 }
 
-bool ReplicaLoad::withinLeastShare(const QueueEntry& entry, const LoadNow& load) const {
-  return entry.urgency != 0 && leastShares_.at(LoadNow::placeOf(entry.urgency, false))
-                                   .covers(load.room.workOf(entry.cost).replicaSeconds, load.now);
+bool ReplicaLoad::withinMinimumShare(const QueueEntry& entry, const LoadSnapshot& load) const {
+  return entry.urgency != 0 &&
+         minimumShares_.at(LoadSnapshot::indexOf(entry.urgency, false))
+             .covers(load.capacity.workOf(entry.cost).replicaSeconds, load.now);
 }
 
 }  // namespace covewing::admission
--- a/src/admission/replica_load.h
+++ b/src/admission/replica_load.h
@@ -18,50 +18,50 @@
 namespace covewing::admission {
 
 /// The load at one moment; the same for all entries of a queue at one decision.
-struct LoadNow {
-  LoadNow(const ReplicaCapacity& figures, base::TimePoint at) : room(figures), now(at) {}
+struct LoadSnapshot {
+  LoadSnapshot(const ReplicaCapacity& source, base::TimePoint at) : capacity(source), now(at) {}
 
   /// Least part of the replica that is reckoned with for an urgency: more urgent requests ask for
   /// all of it only for moments.
-  static constexpr double kLeastReckoned = 0.1;
+  static constexpr double kMinimumAssumedShare = 0.1;
 
   /// Where the figures of an urgency stand; those of late requests stand last.
-  static std::size_t placeOf(std::uint32_t urgency, bool late);
+  static std::size_t indexOf(std::uint32_t urgency, bool late);
 
-  RoomFigures room;
+  CapacitySnapshot capacity;
   base::TimePoint now;
   /// Kept free for more urgent requests that are expected.
-  std::array<FreeRoom, ArrivalRates::kUrgencies + 1> reserve{};
+  std::array<FreeCapacity, ArrivalRates::kUrgencyLevels + 1> reserve{};
   /// Share of the replica that more urgent requests ask for, and that fresh ones of the urgency do.
-  std::array<double, ArrivalRates::kUrgencies + 1> askedBefore{};
-  std::array<double, ArrivalRates::kUrgencies + 1> askedFresh{};
+  std::array<double, ArrivalRates::kUrgencyLevels + 1> demandAbove{};
+  std::array<double, ArrivalRates::kUrgencyLevels + 1> firstAttemptDemand{};
   /// Share of the replica that requests in time have asked for over some seconds.
-  double askedLong = 0.0;
+  double longTermDemand = 0.0;
 };
 
 class ReplicaLoad {
  public:
-  explicit ReplicaLoad(base::Duration rateMemory);
+  explicit ReplicaLoad(base::Duration rateTimeConstant);
 
   /// A request that can be in time asked for room; `returned`: not for the first time.
-  void onArrival(const QueueEntry& entry, bool returned, const LoadNow& load);
-  void onGrant(const QueueEntry& entry, const LoadNow& load);
+  void onArrival(const QueueEntry& entry, bool retried, const LoadSnapshot& load);
+  void onGrant(const QueueEntry& entry, const LoadSnapshot& load);
   /// The replica ended or was emptied: nothing runs.
   void clearRuns() { runs_.clear(); }
   /// Also forgets the runs that ended, by the number that the room tells.
-  LoadNow look(const ReplicaCapacity& room, base::TimePoint now);
+  LoadSnapshot snapshot(const ReplicaCapacity& capacity, base::TimePoint now);
   /// When `need` is free if nothing more is granted.
-  FutureRoom whenFree(const FreeRoom& need, const LoadNow& load) const;
+  FutureCapacity whenFree(const FreeCapacity& need, const LoadSnapshot& load) const;
   /// Whether the request goes before more urgent ones by the least share of its kind.
-  bool withinLeastShare(const QueueEntry& entry, const LoadNow& load) const;
+  bool withinMinimumShare(const QueueEntry& entry, const LoadSnapshot& load) const;
 
  private:
   ArrivalRates rates_;
   /// Of requests that ask for the first time.
-  ArrivalRates freshRates_;
+  ArrivalRates firstAttemptRates_;
   /// Over some seconds.
-  ArrivalRates longRates_;
-  std::array<LeastShare, ArrivalRates::kUrgencies> leastShares_;
+  ArrivalRates longTermRates_;
+  std::array<MinimumShare, ArrivalRates::kUrgencyLevels> minimumShares_;
   GrantedRuns runs_;
 };
 
--- a/src/admission/retry_schedule.cc
+++ b/src/admission/retry_schedule.cc
@@ -22,36 +22,44 @@
 
 }  // namespace
 
-base::Duration ReturnTimes::after(const QueueEntry& entry, base::TimePoint since, double workAhead,
-                                  const LoadNow& load) {
-  if (load.room.neverFits(entry.cost)) return kLongest;
-  const std::size_t place = LoadNow::placeOf(entry.urgency, false);
-  const double work = load.room.workOf(entry.cost).replicaSeconds;
-  const double leftByUrgent = std::max(1.0 - load.askedBefore.at(place), LoadNow::kLeastReckoned);
+base::Duration RetrySchedule::retryAfter(const QueueEntry& entry, base::TimePoint queuedAt,
+                                         double workAhead, const LoadSnapshot& load) {
+  if (load.capacity.exceedsMemory(entry.cost)) return kMaximumDelay;
+  const std::size_t index = LoadSnapshot::indexOf(entry.urgency, false);
+  const double work = load.capacity.workOf(entry.cost).replicaSeconds;
+  const double shareLeftByUrgent =
+      std::max(1.0 - load.demandAbove.at(index), LoadSnapshot::kMinimumAssumedShare);
   // Those who come back get what fresh ones leave: otherwise they only push these out, and 0.85 of
   // the urgent began in time when they first asked, in place of 0.98 (bursts).
-  const double left = std::max(leftByUrgent - load.askedFresh.at(place), LoadNow::kLeastReckoned);
-  const base::Duration allowance = std::max(base::Duration(0), entry.softStartDeadline - since);
-  const Window window{fromSeconds(workAhead / left) - allowance, kLongest,
-                      fromSeconds(work / left)};
-  const base::Duration after =
-      next(returns_, entry, window, load.now)
-          .value_or(kLongest / 2 + part(kLongest / 2, fractionOf(entry.id)));
-  const base::Duration useful = entry.hardStartDeadline - load.now;
-  if (after <= useful || askedBefore(entry, since)) return after;
+  const double availableShare = std::max(shareLeftByUrgent - load.firstAttemptDemand.at(index),
+                                         LoadSnapshot::kMinimumAssumedShare);
+  const base::Duration allowance = std::max(base::Duration(0), entry.softStartDeadline - queuedAt);
+  const Window window{fromSeconds(workAhead / availableShare) - allowance, kMaximumDelay,
+                      fromSeconds(work / availableShare)};
+  const base::Duration delay =
+      reserveTime(nextRetries_, entry, window, load.now)
+          .value_or(kMaximumDelay / 2 + part(kMaximumDelay / 2, fractionOf(entry.id)));
+  const base::Duration timeToHardDeadline = entry.hardStartDeadline - load.now;
+  if (delay <= timeToHardDeadline || isRetry(entry, queuedAt)) return delay;
   // One that asked for the first time may try once more before its answer is of no use, at the rate
   // at which room falls free: what is expected may change, and the caller loses nothing. Of the
   // less urgent 0.95 were served in an overload of 1.3 times, 0.84 without.
-  return next(lastTries_, entry, {useful / 2, useful, fromSeconds(work / leftByUrgent)}, load.now)
-      .value_or(after);
+  return reserveTime(
+             finalRetries_, entry,
+             {timeToHardDeadline / 2, timeToHardDeadline, fromSeconds(work / shareLeftByUrgent)},
+             load.now)
+      .value_or(delay);
 }
 
-std::optional<base::Duration> ReturnTimes::next(Schedule& schedule, const QueueEntry& entry,
-                                                const Window& window, base::TimePoint now) {
-  base::TimePoint& next = schedule.at(LoadNow::placeOf(entry.urgency, false));
-  const base::TimePoint from = std::max(next, now + std::max(window.earliest, base::Duration(0)));
+std::optional<base::Duration> RetrySchedule::reserveTime(NextTimes& nextTimes,
+                                                         const QueueEntry& entry,
+                                                         const Window& window,
+                                                         base::TimePoint now) {
+  base::TimePoint& nextTime = nextTimes.at(LoadSnapshot::indexOf(entry.urgency, false));
+  const base::TimePoint from =
+      std::max(nextTime, now + std::max(window.earliest, base::Duration(0)));
   if (from >= now + window.latest) return std::nullopt;
-  next = from + window.interval;
+  nextTime = from + window.interval;
   return std::min(window.latest, from - now + part(window.interval, fractionOf(entry.id)));
 }
 
--- a/src/admission/retry_schedule.h
+++ b/src/admission/retry_schedule.h
@@ -14,19 +14,19 @@
 
 namespace covewing::admission {
 
-class ReturnTimes {
+class RetrySchedule {
  public:
   /// The longest time named: callers wait some seconds, and a shortage is looked at anew by then.
-  static constexpr base::Duration kLongest = std::chrono::seconds(10);
+  static constexpr base::Duration kMaximumDelay = std::chrono::seconds(10);
 
   /// The time after which this request, refused now, may come back. It asked at `since`, with the
   /// work ahead of it in seconds of the whole replica.
-  base::Duration after(const QueueEntry& entry, base::TimePoint since, double workAhead,
-                       const LoadNow& load);
+  base::Duration retryAfter(const QueueEntry& entry, base::TimePoint queuedAt, double workAhead,
+                            const LoadSnapshot& load);
 
  private:
   /// The next free time to come back, by urgency.
-  using Schedule = std::array<base::TimePoint, ArrivalRates::kUrgencies>;
+  using NextTimes = std::array<base::TimePoint, ArrivalRates::kUrgencyLevels>;
   struct Window {
     base::Duration earliest{};
     base::Duration latest{};
@@ -36,12 +36,12 @@
 
   /// `interval` after the one before it, moved within the interval by a hash of the id; nothing
   /// where that is past the latest.
-  static std::optional<base::Duration> next(Schedule& schedule, const QueueEntry& entry,
-                                            const Window& window, base::TimePoint now);
+  static std::optional<base::Duration> reserveTime(NextTimes& nextTimes, const QueueEntry& entry,
+                                                   const Window& window, base::TimePoint now);
 
-  Schedule returns_{};
+  NextTimes nextRetries_{};
   /// Of those whose time to come back would be past their use.
-  Schedule lastTries_{};
+  NextTimes finalRetries_{};
 };
 
 }  // namespace covewing::admission
--- a/src/admission/retry_window.cc
+++ b/src/admission/retry_window.cc
@@ -17,13 +17,13 @@
   const auto number = slotNumber(now);
   if (slots_.empty() || slots_.back().number != number) {
     // The requests of the window before count for one that begins now.
-    forgetBefore(number - 2 * slotsOfWindow());
+    dropBefore(number - 2 * slotsOfWindow());
     slots_.push_back({number, 0, 0});
   }
   return slots_.back();
 }
 
-void RetryWindow::forgetBefore(SlotNumber oldest) {
+void RetryWindow::dropBefore(SlotNumber oldest) {
   while (!slots_.empty() && slots_.front().number < oldest) slots_.pop_front();
 }
 
@@ -32,20 +32,20 @@
 }
 
 bool RetryWindow::reserve(base::TimePoint now) {
-  if (!fits(reserved_ + 1, now)) return false;
+  if (!withinBound(reserved_ + 1, now)) return false;
   ++reserved_;
   return true;
 }
 
 std::optional<RetryWindow::SlotNumber> RetryWindow::send(base::TimePoint now) {
-  if (!fits(1, now)) return std::nullopt;
+  if (!withinBound(1, now)) return std::nullopt;
   --reserved_;
   auto& slot = slotAt(now);
   ++slot.sent;
   return slot.number;
 }
 
-void RetryWindow::takeBack(SlotNumber slot) {
+void RetryWindow::undoSend(SlotNumber slot) {
   ++reserved_;
   const auto found = std::ranges::find(slots_, slot, &Slot::number);
   if (found != slots_.end()) --found->sent;
@@ -63,7 +63,7 @@
   return use;
 }
 
-bool RetryWindow::fits(std::uint32_t more, base::TimePoint now) const {
+bool RetryWindow::withinBound(std::uint32_t more, base::TimePoint now) const {
   const auto latest = use(now);
   if (latest.sent + more > latest.allowed) return false;
   // Each other window that holds this moment begins within the last one.
@@ -80,7 +80,7 @@
 
 double RetryWindow::allowance(double requests, base::TimePoint now) const {
   // The run before a restart may have used this node's part of the slack within the same window.
-  const double slack = now < slackFrom_ ? 0 : options_.slack;
+  const double slack = now < slackAvailableFrom_ ? 0 : options_.slack;
   const double share = slack / static_cast<double>(std::max<std::size_t>(nodes_(), 1));
   return options_.safety * (options_.ratio * requests + share);
 }
@@ -106,25 +106,25 @@
 }
 
 RetryReservation::~RetryReservation() {
-  if (window_ != nullptr && !sentIn_) window_->release();
+  if (window_ != nullptr && !sentSlot_) window_->release();
 }
 
 RetryReservation::RetryReservation(RetryReservation&& other) noexcept
-    : window_(std::exchange(other.window_, nullptr)), sentIn_(other.sentIn_) {}
+    : window_(std::exchange(other.window_, nullptr)), sentSlot_(other.sentSlot_) {}
 
 RetryReservation& RetryReservation::operator=(RetryReservation&& other) noexcept {
   std::swap(window_, other.window_);
-  std::swap(sentIn_, other.sentIn_);
+  std::swap(sentSlot_, other.sentSlot_);
   return *this;
 }
 
 bool RetryReservation::send(base::TimePoint now) {
-  if (!sentIn_) sentIn_ = window_->send(now);
-  return sentIn_.has_value();
+  if (!sentSlot_) sentSlot_ = window_->send(now);
+  return sentSlot_.has_value();
 }
 
 void RetryReservation::onNotDelivered() {
-  if (sentIn_) window_->takeBack(*std::exchange(sentIn_, std::nullopt));
+  if (sentSlot_) window_->undoSend(*std::exchange(sentSlot_, std::nullopt));
 }
 
 void RetryWindows::onRequest(const std::string& service, base::TimePoint now) {
--- a/src/admission/retry_window.h
+++ b/src/admission/retry_window.h
@@ -51,7 +51,9 @@
 
   RetryWindow(const RetryWindowOptions& options, base::TimePoint nodeStartedAt,
               RetryNodeCount nodes)
-      : options_(options), slackFrom_(nodeStartedAt + options.window), nodes_(std::move(nodes)) {}
+      : options_(options),
+        slackAvailableFrom_(nodeStartedAt + options.window),
+        nodes_(std::move(nodes)) {}
 
   void onRequest(base::TimePoint now) { ++slotAt(now).requests; }
   /// Sets one retry aside; false when the allowance is used up.
@@ -62,7 +64,7 @@
   /// allowed it have left the window meanwhile.
   std::optional<SlotNumber> send(base::TimePoint now);
   /// A retry that was counted in the slot never reached a replica: it is reserved again.
-  void takeBack(SlotNumber slot);
+  void undoSend(SlotNumber slot);
   RetryUse use(base::TimePoint now) const;
 
  private:
@@ -74,9 +76,9 @@
   };
 
   Slot& slotAt(base::TimePoint now);
-  void forgetBefore(SlotNumber oldest);
+  void dropBefore(SlotNumber oldest);
   /// Whether so many retries more keep to the bound in each window that ends now or later.
-  bool fits(std::uint32_t more, base::TimePoint now) const;
+  bool withinBound(std::uint32_t more, base::TimePoint now) const;
   double allowance(double requests, base::TimePoint now) const;
   /// Requests that count for the window that begins with the slot: the mean of its own, those of
   /// the window before, and those of the one half a window before.
@@ -86,7 +88,7 @@
   SlotNumber slotsOfWindow() const;
 
   RetryWindowOptions options_;
-  base::TimePoint slackFrom_;
+  base::TimePoint slackAvailableFrom_;
   RetryNodeCount nodes_;
   std::deque<Slot> slots_;
   std::uint32_t reserved_ = 0;
@@ -112,7 +114,7 @@
   /// Null after a move.
   RetryWindow* window_;
   /// Where the retry is counted; empty while it is reserved.
-  std::optional<RetryWindow::SlotNumber> sentIn_;
+  std::optional<RetryWindow::SlotNumber> sentSlot_;
 };
 
 /// The retry windows of all services.
--- a/src/admission/tenant_home.cc
+++ b/src/admission/tenant_home.cc
@@ -6,9 +6,9 @@
 
 const membership::Member& tenantHome(base::TenantId tenant,
                                      const membership::MemberDirectory& directory,
-                                     const PassedOver& passedOver) {
+                                     const ExcludeNode& excluded) {
   return membership::rendezvousHome(tenant.value, directory, [&](const membership::Member& member) {
-    return !passedOver || !passedOver(member.id);
+    return !excluded || !excluded(member.id);
   });
 }
 
--- a/src/admission/tenant_home.h
+++ b/src/admission/tenant_home.h
@@ -10,12 +10,12 @@
 namespace covewing::admission {
 
 /// Says that a node is not to be taken, as one that does not answer.
-using PassedOver = std::function<bool(base::NodeId)>;
+using ExcludeNode = std::function<bool(base::NodeId)>;
 
 /// The home of a tenant by rendezvous hashing over the live, not draining members; this node itself
 /// where it sees no other. Equal on all nodes with equal views that pass over none.
 const membership::Member& tenantHome(base::TenantId tenant,
                                      const membership::MemberDirectory& directory,
-                                     const PassedOver& passedOver = {});
+                                     const ExcludeNode& excluded = {});
 
 }  // namespace covewing::admission
--- a/src/admission/tenant_quotas.cc
+++ b/src/admission/tenant_quotas.cc
@@ -20,7 +20,7 @@
 /// Advice where a concurrency limit refuses: nobody knows when a request ends.
 constexpr Duration kSlotRetryAfter = std::chrono::seconds(1);
 /// Homes in line that are asked before a node grants its local share.
-constexpr std::uint32_t kHomesInLine = 2;
+constexpr std::uint32_t kMaximumHomesTried = 2;
 
 Duration seconds(double count) {
   return Duration{static_cast<Duration::rep>(count * kMicrosecondsPerSecond)};
@@ -44,7 +44,7 @@
   const auto [found, created] = shares_.try_emplace(demand.tenant);
   Share& share = found->second;
   // A node that has just started has saved up nothing: another run may have used its share.
-  if (created) share.bridgeRefilledAt = justStarted() ? environment_.clock.now() : startedAt_;
+  if (created) share.localRefilledAt = justStarted() ? environment_.clock.now() : startedAt_;
   if (demand.revision >= share.revision) {
     share.revision = demand.revision;
     share.limits = demand.limits;
@@ -52,30 +52,32 @@
   return share;
 }
 
-bool TenantQuotas::silent(base::NodeId node) const {
-  const auto known = silentUntil_.find(node);
-  return known != silentUntil_.end() && environment_.clock.now() < known->second;
+bool TenantQuotas::unresponsive(base::NodeId node) const {
+  const auto known = unresponsiveUntil_.find(node);
+  return known != unresponsiveUntil_.end() && environment_.clock.now() < known->second;
 }
 
 const membership::Member& TenantQuotas::homeOf(TenantId tenant, Share& share) {
   auto& directory = environment_.directory;
-  if (share.homeVersion == directory.version() && share.homeVersion != 0 && !silent(share.home)) {
+  if (share.homeVersion == directory.version() && share.homeVersion != 0 &&
+      !unresponsive(share.home)) {
     const membership::Member* known = directory.find(share.home);
     if (known != nullptr) return *known;
   }
-  const bool anySilent = !silentUntil_.empty();
+  const bool anyUnresponsive = !unresponsiveUntil_.empty();
   const membership::Member& home = tenantHome(
       tenant, directory,
-      anySilent ? PassedOver{[this](base::NodeId node) { return silent(node); }} : PassedOver{});
+      anyUnresponsive ? ExcludeNode{[this](base::NodeId node) { return unresponsive(node); }}
+                      : ExcludeNode{});
   // A new home may answer where the old one did not.
-  if (home.id != share.home && directory.version() != share.homeVersion) share.bridgedUntil = {};
+  if (home.id != share.home && directory.version() != share.homeVersion) share.localShareUntil = {};
   share.home = home.id;
   // What was chosen without the silent ones is chosen again once they may answer.
-  share.homeVersion = anySilent ? 0 : directory.version();
+  share.homeVersion = anyUnresponsive ? 0 : directory.version();
   return home;
 }
 
-void TenantQuotas::noteMembership() {
+void TenantQuotas::updateMembership() {
   auto& directory = environment_.directory;
   if (directory.version() == membershipVersion_) return;
   membershipVersion_ = directory.version();
@@ -84,56 +86,57 @@
   ledger_.dropMoved([&](TenantId tenant) { return tenantHome(tenant, directory).id != self; });
 }
 
-HomeStanding TenantQuotas::standingFor(TenantId tenant) const {
+HomeAuthority TenantQuotas::authorityFor(TenantId tenant) const {
   const auto& directory = environment_.directory;
   const auto now = environment_.clock.now();
   const auto live = static_cast<double>(std::max<std::size_t>(1, directory.liveMembers().size()));
-  const auto known = static_cast<double>(fleetSize());
-  HomeStanding standing;
-  standing.share = std::min(1.0, live / std::max(1.0, known) * (1 + options_.partialViewTolerance));
+  const auto known = static_cast<double>(assumedNodeCount());
+  HomeAuthority authority;
+  authority.share =
+      std::min(1.0, live / std::max(1.0, known) * (1 + options_.partialViewTolerance));
   // Another node is the home by this node's view: the asker could not reach it, others may.
   const bool acting = tenantHome(tenant, directory).id != directory.self().id;
-  if (acting) standing.share *= options_.actingShare;
-  standing.initialBucketShare = justStarted() ? 0.0 : options_.initialBucketShare;
-  standing.since = acting ? now : membershipChangedAt_;
-  return standing;
+  if (acting) authority.share *= options_.actingHomeShare;
+  authority.initialBucketShare = justStarted() ? 0.0 : options_.initialBucketShare;
+  authority.since = acting ? now : membershipChangedAt_;
+  return authority;
 }
 
 bool TenantQuotas::justStarted() const {
   return environment_.clock.now() - startedAt_ < options_.clusterFormationTime;
 }
 
-std::size_t TenantQuotas::fleetSize() const {
+std::size_t TenantQuotas::assumedNodeCount() const {
   const std::size_t seen = std::max<std::size_t>(1, environment_.directory.liveMembers().size());
   const bool joining = environment_.clock.now() - startedAt_ < options_.joinPeriod;
   const std::size_t assumed = joining ? options_.assumedNodesWhileJoining : 1;
   return std::max({seen, environment_.knownNodes(), assumed});
 }
 
-bool TenantQuotas::alone() const {
-  return environment_.directory.liveMembers().size() <= 1 && fleetSize() > 1;
+bool TenantQuotas::isolated() const {
+  return environment_.directory.liveMembers().size() <= 1 && assumedNodeCount() > 1;
 }
 
 bool TenantQuotas::mayDecide(TenantId tenant, const membership::Member& home) const {
   if (home.id != environment_.directory.self().id) return true;
-  return !alone() && tenantHome(tenant, environment_.directory).id == home.id;
+  return !isolated() && tenantHome(tenant, environment_.directory).id == home.id;
 }
 
-void TenantQuotas::expire(Share& share) const {
+void TenantQuotas::expireLeases(Share& share) const {
   const TimePoint now = environment_.clock.now();
   if (share.tokensExpireAt < now) share.tokens = 0;
   // Requests in flight keep their slots; only unused ones lapse.
   if (share.slotsExpireAt < now) share.slots = std::min(share.slots, share.inUse);
 }
 
-void TenantQuotas::noteDemand(Share& share, std::uint32_t tokens) const {
+void TenantQuotas::recordDemand(Share& share, std::uint32_t tokens) const {
   const TimePoint now = environment_.clock.now();
   const double passed = base::toSeconds(now - share.demandAt) / kDemandSeconds;
   share.demand = share.demand * std::exp2(-passed) + tokens * std::log(2.0) / kDemandSeconds;
   share.demandAt = now;
 }
 
-bool TenantQuotas::takeLocally(Share& share, std::uint32_t tokens) const {
+bool TenantQuotas::takeFromLease(Share& share, std::uint32_t tokens) const {
   const bool rateLimited = share.limits.ratePerSecond > 0;
   const bool slotLimited = share.limits.concurrency > 0;
   if (rateLimited && share.tokens < tokens) return false;
@@ -149,10 +152,10 @@
   return home == nullptr ? std::string{} : home->name;
 }
 
-QuotaVerdict TenantQuotas::knownRefusal(const Share& share) {
+QuotaVerdict TenantQuotas::cachedRefusal(const Share& share) {
   const Duration earliest = share.refusal.until - environment_.clock.now();
   // Spread up to what the home promised, so that those refused here do not come back together.
-  const double spread = base::toSeconds(share.refusal.comeBackAfter) * environment_.random.unit();
+  const double spread = base::toSeconds(share.refusal.retryAfter) * environment_.random.unit();
   return {QuotaOutcome::kRateLimited,   std::max(earliest, seconds(spread)),
           QuotaDecider::kCachedRefusal, true,
           share.refusal.balance,        homeName(share)};
@@ -163,27 +166,27 @@
     callback({});
     return;
   }
-  noteMembership();
+  updateMembership();
   Share& share = shareOf(demand);
   const membership::Member& home = homeOf(demand.tenant, share);
-  expire(share);
-  noteDemand(share, demand.tokens);
+  expireLeases(share);
+  recordDemand(share, demand.tokens);
   scheduleReview();
   const TimePoint now = environment_.clock.now();
-  if (share.waiters.empty() && takeLocally(share, demand.tokens)) {
+  if (share.waiters.empty() && takeFromLease(share, demand.tokens)) {
     callback({QuotaOutcome::kGranted, {}, QuotaDecider::kLease, share.nearLimit, 0, {}});
     return;
   }
   if (now < share.refusal.until && demand.tokens >= share.refusal.tokens) {
-    callback(knownRefusal(share));
+    callback(cachedRefusal(share));
     return;
   }
-  if (!mayDecide(demand.tenant, home) || now < share.bridgedUntil) {
-    callback(bridgeOne(share, demand.tokens));
+  if (!mayDecide(demand.tenant, home) || now < share.localShareUntil) {
+    callback(decideLocally(share, demand.tokens));
     return;
   }
   share.waiters.push_back({id, demand.tokens, std::move(callback)});
-  if (share.asked == 0) ask(demand.tenant, share, true);
+  if (share.pendingSequence == 0) requestLease(demand.tenant, share, true);
 }
 
 void TenantQuotas::cancel(WaitId id, TenantId tenant) {
@@ -199,44 +202,45 @@
   if (share.inUse == 0) return;
   --share.inUse;
   if (unused > 0 && share.limits.ratePerSecond > 0)
-    correct({tenant, unused, 0}, homeOf(tenant, share));
+    sendCorrection({tenant, unused, 0}, homeOf(tenant, share));
   const bool idleSlots = share.slots > share.inUse;
-  if (idleSlots && share.waiters.empty() && share.contended && share.asked == 0) {
+  if (idleSlots && share.waiters.empty() && share.contended && share.pendingSequence == 0) {
     share.slots = share.inUse;
-    ask(tenant, share, false);
+    requestLease(tenant, share, false);
   }
 }
 
 void TenantQuotas::charge(TenantId tenant, std::uint32_t tokens) {
   const auto found = shares_.find(tenant);
   if (found == shares_.end() || found->second.limits.ratePerSecond <= 0) return;
-  correct({tenant, 0, tokens}, homeOf(tenant, found->second));
+  sendCorrection({tenant, 0, tokens}, homeOf(tenant, found->second));
 }
 
-void TenantQuotas::correct(const QuotaCorrection& correction, const membership::Member& home) {
+void TenantQuotas::sendCorrection(const QuotaCorrection& correction,
+                                  const membership::Member& home) {
   if (home.id == environment_.directory.self().id) {
-    ledger_.correct(correction);
+    ledger_.applyCorrection(correction);
     return;
   }
   ++counts_.corrections;
   environment_.transport.send(home.endpoint, base::Channel::kAdmission, encode(correction));
 }
 
-void TenantQuotas::ask(TenantId tenant, Share& share, bool answerWanted) {
-  share.repeats = 0;
-  send(tenant, share, answerWanted);
+void TenantQuotas::requestLease(TenantId tenant, Share& share, bool replyWanted) {
+  share.retries = 0;
+  sendRequest(tenant, share, replyWanted);
 }
 
-void TenantQuotas::send(TenantId tenant, Share& share, bool answerWanted) {
+void TenantQuotas::sendRequest(TenantId tenant, Share& share, bool replyWanted) {
   const membership::Member& home = homeOf(tenant, share);
   QuotaLeaseRequest message;
   message.tenant = tenant;
   message.revision = share.revision;
   message.limits = share.limits;
   message.sequence = nextSequence_++;
-  message.answerWanted = answerWanted;
+  message.replyWanted = replyWanted;
   message.slotsHeld = share.slots;
-  if (answerWanted && !share.waiters.empty()) {
+  if (replyWanted && !share.waiters.empty()) {
     std::uint32_t waiting = 0;
     for (const Waiter& waiter : share.waiters) waiting += waiter.tokens;
     const std::uint32_t missing = waiting - std::min(waiting, share.tokens);
@@ -248,16 +252,16 @@
     const std::uint32_t idle = share.slots - std::min(share.slots, share.inUse);
     message.slotsWanted = requests > idle ? requests - idle : 0;
   }
-  share.askedAt = environment_.clock.now();
-  share.asked = answerWanted ? message.sequence : 0;
+  share.requestedAt = environment_.clock.now();
+  share.pendingSequence = replyWanted ? message.sequence : 0;
   const membership::Member& self = environment_.directory.self();
   if (home.id == self.id) {
-    const QuotaLeaseReply grant = ledger_.handle({self.id, self.incarnation}, message,
-                                                 standingFor(tenant), environment_.clock.now());
-    if (answerWanted) onGrant(grant);
+    const QuotaLeaseReply reply = ledger_.handle({self.id, self.incarnation}, message,
+                                                 authorityFor(tenant), environment_.clock.now());
+    if (replyWanted) onReply(reply);
     return;
   }
-  ++(answerWanted ? counts_.leaseRequests : counts_.corrections);
+  ++(replyWanted ? counts_.leaseRequests : counts_.corrections);
   environment_.transport.send(home.endpoint, base::Channel::kAdmission, encode(message));
 }
 
@@ -267,61 +271,62 @@
     ++counts_.malformed;
     return;
   }
-  noteMembership();
-  if (const auto* grant = std::get_if<QuotaLeaseReply>(&*message)) {
+  updateMembership();
+  if (const auto* reply = std::get_if<QuotaLeaseReply>(&*message)) {
     // A late answer, too, shows that the home is there.
-    silentUntil_.erase(sender.node);
-    onGrant(*grant);
+    unresponsiveUntil_.erase(sender.node);
+    onReply(*reply);
     return;
   }
   if (const auto* correction = std::get_if<QuotaCorrection>(&*message)) {
-    ledger_.correct(*correction);
+    ledger_.applyCorrection(*correction);
     return;
   }
   const auto& request = std::get<QuotaLeaseRequest>(*message);
   scheduleReview();
-  const QuotaLeaseReply grant =
-      ledger_.handle({sender.node, sender.incarnation}, request, standingFor(request.tenant),
+  const QuotaLeaseReply reply =
+      ledger_.handle({sender.node, sender.incarnation}, request, authorityFor(request.tenant),
                      environment_.clock.now());
-  if (!request.answerWanted) return;
+  if (!request.replyWanted) return;
   ++counts_.replies;
-  environment_.transport.send(sender.endpoint, base::Channel::kAdmission, encode(grant));
+  environment_.transport.send(sender.endpoint, base::Channel::kAdmission, encode(reply));
 }
 
-void TenantQuotas::onGrant(const QuotaLeaseReply& grant) {
-  const auto found = shares_.find(grant.tenant);
+void TenantQuotas::onReply(const QuotaLeaseReply& reply) {
+  const auto found = shares_.find(reply.tenant);
   // Late, repeated and foreign answers carry a sequence that nobody waits for.
-  if (found == shares_.end() || grant.sequence == 0 || found->second.asked != grant.sequence) {
+  if (found == shares_.end() || reply.sequence == 0 ||
+      found->second.pendingSequence != reply.sequence) {
     return;
   }
   Share& share = found->second;
-  share.asked = 0;
-  share.silentHomes = 0;
-  share.bridgedUntil = {};
-  share.contended = grant.contended;
-  share.nearLimit = grant.nearLimit;
-  share.tokens += grant.tokens;
-  if (grant.tokens > 0) share.tokensExpireAt = share.askedAt + options_.tokenLease;
-  share.slots += grant.slots;
-  share.slotsExpireAt = share.askedAt + options_.slotLease;
+  share.pendingSequence = 0;
+  share.unresponsiveHomes = 0;
+  share.localShareUntil = {};
+  share.contended = reply.contended;
+  share.nearLimit = reply.nearLimit;
+  share.tokens += reply.tokens;
+  if (reply.tokens > 0) share.tokensExpireAt = share.requestedAt + options_.tokenLease;
+  share.slots += reply.slots;
+  share.slotsExpireAt = share.requestedAt + options_.slotLease;
   const auto lease = std::min(options_.tokenLease, options_.slotLease);
-  const bool late = environment_.clock.now() > share.askedAt + lease;
-  expire(share);
-  serve(share);
+  const bool late = environment_.clock.now() > share.requestedAt + lease;
+  expireLeases(share);
+  serveWaiters(share);
   if (share.waiters.empty()) return;
   // Read after its lease, as after a sleep: the home may have lent as much to others meanwhile.
   if (late) {
-    ask(grant.tenant, share, true);
+    requestLease(reply.tenant, share, true);
     return;
   }
   const bool tokensMissing =
       share.limits.ratePerSecond > 0 && share.tokens < share.waiters.front().tokens;
-  if (tokensMissing && grant.tokens > 0) {
-    ask(grant.tenant, share, true);
+  if (tokensMissing && reply.tokens > 0) {
+    requestLease(reply.tenant, share, true);
     return;
   }
   if (tokensMissing) {
-    onRefusal(grant.tenant, share, grant);
+    onRefusalReply(reply.tenant, share, reply);
     return;
   }
   const std::deque<Waiter> refused = std::exchange(share.waiters, {});
@@ -331,11 +336,11 @@
   }
 }
 
-void TenantQuotas::onRefusal(TenantId tenant, Share& share, const QuotaLeaseReply& grant) {
+void TenantQuotas::onRefusalReply(TenantId tenant, Share& share, const QuotaLeaseReply& reply) {
   const TimePoint now = environment_.clock.now();
   const std::uint32_t refusedTokens = share.waiters.front().tokens;
-  share.refusal = {now + std::min(grant.tokensAfter, options_.refusalMemory), refusedTokens,
-                   grant.comeBackAfter, grant.balance};
+  share.refusal = {now + std::min(reply.tokensAvailableAfter, options_.refusalCacheTime),
+                   refusedTokens, reply.retryAfter, reply.balance};
   // Smaller requests behind it may still pass.
   std::deque<Waiter> refused;
   std::deque<Waiter> left;
@@ -344,50 +349,51 @@
   share.waiters = std::move(left);
   const std::string home = homeName(share);
   const bool waitersLeft = !share.waiters.empty();
-  if (waitersLeft) ask(tenant, share, true);
+  if (waitersLeft) requestLease(tenant, share, true);
   for (const Waiter& waiter : refused) {
-    waiter.callback({QuotaOutcome::kRateLimited, std::max(grant.tokensAfter, grant.comeBackAfter),
-                     QuotaDecider::kHome, true, grant.balance, home});
+    waiter.callback({QuotaOutcome::kRateLimited,
+                     std::max(reply.tokensAvailableAfter, reply.retryAfter), QuotaDecider::kHome,
+                     true, reply.balance, home});
   }
 }
 
-void TenantQuotas::serve(Share& share) {
-  while (!share.waiters.empty() && takeLocally(share, share.waiters.front().tokens)) {
+void TenantQuotas::serveWaiters(Share& share) {
+  while (!share.waiters.empty() && takeFromLease(share, share.waiters.front().tokens)) {
     const Waiter waiter = std::move(share.waiters.front());
     share.waiters.pop_front();
     waiter.callback({QuotaOutcome::kGranted, {}, QuotaDecider::kHome, share.nearLimit, 0, {}});
   }
 }
 
-bool TenantQuotas::takeBridged(Share& share, std::uint32_t tokens, TimePoint now) {
-  const auto nodes = static_cast<double>(fleetSize());
+bool TenantQuotas::takeFromLocalShare(Share& share, std::uint32_t tokens, TimePoint now) {
+  const auto nodes = static_cast<double>(assumedNodeCount());
   // While other nodes are seen, a home that this node misses may still grant the whole to them.
-  const double part = (alone() ? 1.0 : options_.missedHomeShare) / nodes;
+  const double part = (isolated() ? 1.0 : options_.localShareFactor) / nodes;
   const double rate = share.limits.ratePerSecond * part;
   const double size = share.limits.bucketSize() * part;
-  const double earned = base::toSeconds(now - share.bridgeRefilledAt) * rate;
-  share.bridgeTokens = std::min(size, share.bridgeTokens + earned);
-  share.bridgeRefilledAt = now;
-  const double saved = share.bridgeTokens;
+  const double earned = base::toSeconds(now - share.localRefilledAt) * rate;
+  share.localTokens = std::min(size, share.localTokens + earned);
+  share.localRefilledAt = now;
+  const double saved = share.localTokens;
   if (saved >= tokens) {
-    share.bridgeTokens -= tokens;
+    share.localTokens -= tokens;
     return true;
   }
   // What was saved is staked whole: on average no more is granted than the share.
-  share.bridgeTokens = 0;
+  share.localTokens = 0;
   return environment_.random.unit() * tokens < saved;
 }
 
-QuotaVerdict TenantQuotas::bridgeOne(Share& share, std::uint32_t tokens) {
+QuotaVerdict TenantQuotas::decideLocally(Share& share, std::uint32_t tokens) {
   const TimePoint now = environment_.clock.now();
-  const auto nodes = static_cast<double>(fleetSize());
+  const auto nodes = static_cast<double>(assumedNodeCount());
   const std::uint32_t slots = std::max<std::uint32_t>(
       1, static_cast<std::uint32_t>(static_cast<double>(share.limits.concurrency) / nodes));
   if (share.limits.concurrency > 0 && share.inUse >= std::max(slots, share.slots)) {
     return {
         QuotaOutcome::kConcurrencyLimited, kSlotRetryAfter, QuotaDecider::kLocalShare, true, 0, {}};
   }
-  if (share.limits.ratePerSecond > 0 && !takeBridged(share, tokens, now)) {
+  if (share.limits.ratePerSecond > 0 && !takeFromLocalShare(share, tokens, now)) {
     // Another node may see the home: the caller need not wait for this node's share.
     const double whole = tokens / share.limits.ratePerSecond;
     return {QuotaOutcome::kRateLimited,
@@ -402,22 +408,22 @@
   return {QuotaOutcome::kGranted, {}, QuotaDecider::kLocalShare, true, 0, {}};
 }
 
-void TenantQuotas::onSilentHome(TenantId tenant, Share& share) {
+void TenantQuotas::onUnresponsiveHome(TenantId tenant, Share& share) {
   ++counts_.unresponsiveHomes;
-  silentUntil_[share.home] = environment_.clock.now() + options_.unresponsiveHomeBackoff;
-  share.asked = 0;
-  if (++share.silentHomes < kHomesInLine && mayDecide(tenant, homeOf(tenant, share))) {
-    ask(tenant, share, true);
+  unresponsiveUntil_[share.home] = environment_.clock.now() + options_.unresponsiveHomeBackoff;
+  share.pendingSequence = 0;
+  if (++share.unresponsiveHomes < kMaximumHomesTried && mayDecide(tenant, homeOf(tenant, share))) {
+    requestLease(tenant, share, true);
     return;
   }
-  bridge(share);
+  decideWaitersLocally(share);
 }
 
-void TenantQuotas::bridge(Share& share) {
-  share.silentHomes = 0;
-  share.bridgedUntil = environment_.clock.now() + options_.unresponsiveHomeBackoff;
+void TenantQuotas::decideWaitersLocally(Share& share) {
+  share.unresponsiveHomes = 0;
+  share.localShareUntil = environment_.clock.now() + options_.unresponsiveHomeBackoff;
   const std::deque<Waiter> waiting = std::exchange(share.waiters, {});
-  for (const Waiter& waiter : waiting) waiter.callback(bridgeOne(share, waiter.tokens));
+  for (const Waiter& waiter : waiting) waiter.callback(decideLocally(share, waiter.tokens));
 }
 
 void TenantQuotas::scheduleReview() {
@@ -429,9 +435,9 @@
 }
 
 void TenantQuotas::review() {
-  noteMembership();
+  updateMembership();
   const TimePoint now = environment_.clock.now();
-  std::erase_if(silentUntil_, [now](const auto& entry) { return entry.second <= now; });
+  std::erase_if(unresponsiveUntil_, [now](const auto& entry) { return entry.second <= now; });
   for (auto entry = shares_.begin(); entry != shares_.end();) {
     const bool idle = reviewShare(entry->first, entry->second);
     entry = idle ? shares_.erase(entry) : std::next(entry);
@@ -442,19 +448,19 @@
 
 bool TenantQuotas::reviewShare(TenantId tenant, Share& share) {
   const TimePoint now = environment_.clock.now();
-  expire(share);
-  if (share.asked != 0 && now - share.askedAt >= options_.requestTimeout) {
-    if (share.repeats < options_.requestRetries) {
-      ++share.repeats;
-      send(tenant, share, true);
+  expireLeases(share);
+  if (share.pendingSequence != 0 && now - share.requestedAt >= options_.requestTimeout) {
+    if (share.retries < options_.requestRetries) {
+      ++share.retries;
+      sendRequest(tenant, share, true);
     } else {
-      onSilentHome(tenant, share);
+      onUnresponsiveHome(tenant, share);
     }
     return false;
   }
-  if (share.asked != 0 || now < share.bridgedUntil) return false;
+  if (share.pendingSequence != 0 || now < share.localShareUntil) return false;
   if (!share.waiters.empty()) {
-    ask(tenant, share, true);
+    requestLease(tenant, share, true);
     return false;
   }
   const base::NodeId knownHome = share.home;
@@ -462,7 +468,7 @@
   const bool renewalDue = now + options_.slotLease / 2 >= share.slotsExpireAt;
   if (share.limits.concurrency > 0 && share.inUse > 0 && (homeChanged || renewalDue)) {
     share.slots = share.inUse;
-    ask(tenant, share, true);
+    requestLease(tenant, share, true);
     return false;
   }
   return share.inUse == 0 && share.slots == 0 && share.tokens == 0 && now >= share.refusal.until &&
--- a/src/admission/tenant_quotas.h
+++ b/src/admission/tenant_quotas.h
@@ -108,10 +108,10 @@
     Callback callback;
   };
   /// A refusal by the home that holds for all requests as large, until then.
-  struct KnownRefusal {
+  struct CachedRefusal {
     base::TimePoint until;
     std::uint32_t tokens = 0;
-    base::Duration comeBackAfter{};
+    base::Duration retryAfter{};
     std::int64_t balance = 0;
   };
   /// What this node holds of one tenant's limits.
@@ -130,52 +130,52 @@
     base::TimePoint demandAt;
     std::deque<Waiter> waiters;
     /// Outstanding ask; 0 if none.
-    std::uint64_t asked = 0;
-    base::TimePoint askedAt;
-    std::uint32_t repeats = 0;
+    std::uint64_t pendingSequence = 0;
+    base::TimePoint requestedAt;
+    std::uint32_t retries = 0;
     /// Homes that were silent since the last answer.
-    std::uint32_t silentHomes = 0;
+    std::uint32_t unresponsiveHomes = 0;
     base::NodeId home;
     std::uint64_t homeVersion = 0;
-    KnownRefusal refusal;
+    CachedRefusal refusal;
     /// No home answers: the local share applies until then.
-    base::TimePoint bridgedUntil;
-    double bridgeTokens = 0;
-    base::TimePoint bridgeRefilledAt;
+    base::TimePoint localShareUntil;
+    double localTokens = 0;
+    base::TimePoint localRefilledAt;
   };
 
   Share& shareOf(const QuotaDemand& demand);
   const membership::Member& homeOf(base::TenantId tenant, Share& share);
-  bool silent(base::NodeId node) const;
+  bool unresponsive(base::NodeId node) const;
   /// Notices changes of the membership, which may have made this node a home or ended that.
-  void noteMembership();
-  HomeStanding standingFor(base::TenantId tenant) const;
+  void updateMembership();
+  HomeAuthority authorityFor(base::TenantId tenant) const;
   bool justStarted() const;
   /// The nodes that may hold a share of the limits.
-  std::size_t fleetSize() const;
+  std::size_t assumedNodeCount() const;
   /// No other node is seen, though there may be others.
-  bool alone() const;
+  bool isolated() const;
   /// Whether `home` may answer for the tenant's limits: any other node, and this one where it is
   /// not just the next in line of its own accord.
   bool mayDecide(base::TenantId tenant, const membership::Member& home) const;
-  void expire(Share& share) const;
-  void noteDemand(Share& share, std::uint32_t tokens) const;
-  bool takeLocally(Share& share, std::uint32_t tokens) const;
+  void expireLeases(Share& share) const;
+  void recordDemand(Share& share, std::uint32_t tokens) const;
+  bool takeFromLease(Share& share, std::uint32_t tokens) const;
   /// Answers waiters as far as the share goes.
-  void serve(Share& share);
-  void ask(base::TenantId tenant, Share& share, bool answerWanted);
-  void send(base::TenantId tenant, Share& share, bool answerWanted);
-  void correct(const QuotaCorrection& correction, const membership::Member& home);
-  void onGrant(const QuotaLeaseReply& grant);
-  void onRefusal(base::TenantId tenant, Share& share, const QuotaLeaseReply& grant);
-  QuotaVerdict knownRefusal(const Share& share);
+  void serveWaiters(Share& share);
+  void requestLease(base::TenantId tenant, Share& share, bool replyWanted);
+  void sendRequest(base::TenantId tenant, Share& share, bool replyWanted);
+  void sendCorrection(const QuotaCorrection& correction, const membership::Member& home);
+  void onReply(const QuotaLeaseReply& reply);
+  void onRefusalReply(base::TenantId tenant, Share& share, const QuotaLeaseReply& reply);
+  QuotaVerdict cachedRefusal(const Share& share);
   std::string homeName(const Share& share) const;
   /// The home did not answer: asks the next in line, or goes on alone.
-  void onSilentHome(base::TenantId tenant, Share& share);
+  void onUnresponsiveHome(base::TenantId tenant, Share& share);
   /// Decides by the local share while no home answers.
-  void bridge(Share& share);
-  QuotaVerdict bridgeOne(Share& share, std::uint32_t tokens);
-  bool takeBridged(Share& share, std::uint32_t tokens, base::TimePoint now);
+  void decideWaitersLocally(Share& share);
+  QuotaVerdict decideLocally(Share& share, std::uint32_t tokens);
+  bool takeFromLocalShare(Share& share, std::uint32_t tokens, base::TimePoint now);
   void scheduleReview();
   /// Repeats and gives up asks, renews and returns slots, forgets idle shares.
   void review();
@@ -186,7 +186,7 @@
   QuotaLedger ledger_;
   std::map<base::TenantId, Share> shares_;
   /// Homes that did not answer, and until when they are passed over.
-  std::map<base::NodeId, base::TimePoint> silentUntil_;
+  std::map<base::NodeId, base::TimePoint> unresponsiveUntil_;
   base::TimePoint startedAt_;
   std::uint64_t membershipVersion_ = 0;
   base::TimePoint membershipChangedAt_;
--- a/src/admission/tenant_shares.h
+++ b/src/admission/tenant_shares.h
@@ -21,9 +21,9 @@
   void onGrant(std::uint32_t urgency, std::uint64_t tenant, std::uint32_t weight,
                double replicaSeconds, base::TimePoint now);
   /// What the tenant had by its weight, in steps within which tenants count as equal.
-  std::int64_t used(std::uint32_t urgency, std::uint64_t tenant, base::TimePoint now) const;
+  std::int64_t usageSteps(std::uint32_t urgency, std::uint64_t tenant, base::TimePoint now) const;
   /// Tenants that are kept; bounded.
-  std::size_t size() const { return uses_.size(); }
+  std::size_t size() const { return usages_.size(); }
 
  private:
   struct Key {
@@ -33,16 +33,16 @@
       return std::tie(urgency, tenant) < std::tie(other.urgency, other.tenant);
     }
   };
-  struct Use {
+  struct Usage {
     base::TimePoint at{};
     double replicaSeconds = 0.0;
   };
 
-  static double kept(const Use& use, base::TimePoint now);
+  static double decayed(const Usage& usage, base::TimePoint now);
   /// Drops tenants whose use is forgotten, and the one with the least use where that is not enough.
-  void makeRoom(base::TimePoint now);
+  void evict(base::TimePoint now);
 
-  std::map<Key, Use> uses_;
+  std::map<Key, Usage> usages_;
 };
 
 }  // namespace covewing::admission
--- a/tests/admission/admission_load_test.cc
+++ b/tests/admission/admission_load_test.cc
@@ -23,7 +23,7 @@
 using Rate = std::function<double(Duration)>;
 
 /// Short requests of the most urgent kind; `load` is the share of a whole replica.
-Stream notes(const Rate& load, std::uint64_t tenant = 1) {
+Stream shortRequests(const Rate& load, std::uint64_t tenant = 1) {
   const double work = 0.6 / kReplicaSlots;
   return {0,
           tenant,
@@ -34,7 +34,7 @@
           [load, work](Duration at) { return load(at) / work; }};
 }
 /// Long requests of the least urgent kind: 9,200 tokens.
-Stream reviews(const Rate& load, std::uint64_t tenant = 2) {
+Stream longRequests(const Rate& load, std::uint64_t tenant = 2) {
   const double work = 1.5 * 9200 / kReplicaMemory;
   return {2,
           tenant,
@@ -44,17 +44,17 @@
           seconds(6),
           [load, work](Duration at) { return load(at) / work; }};
 }
-Rate steady(double load) {
+Rate constantRate(double load) {
   return [load](Duration) { return load; };
 }
 
-enum Order : std::uint8_t { kPolling, kFirstCome, kUrgency, kKept };
-constexpr std::array kOrders = {kPolling, kFirstCome, kUrgency, kKept};
+enum SchedulerKind : std::uint8_t { kPolling, kFifo, kUrgency, kAdmissionQueue };
+constexpr std::array kSchedulers = {kPolling, kFifo, kUrgency, kAdmissionQueue};
 constexpr std::array kNames = {"polling", "first come", "urgency alone", "this queue"};
 
-std::unique_ptr<ServiceOrder> make(Order order) {
-  if (order == kKept) return std::make_unique<ServiceOrder>();
-  return std::make_unique<PlainOrder>(static_cast<PlainOrder::Kind>(order));
+std::unique_ptr<Scheduler> makeScheduler(SchedulerKind scheduler) {
+  if (scheduler == kAdmissionQueue) return std::make_unique<Scheduler>();
+  return std::make_unique<BaselineScheduler>(static_cast<BaselineScheduler::Kind>(scheduler));
 }
 
 constexpr std::uint64_t kSeeds = 5;
@@ -63,39 +63,42 @@
 
 /// What callers got in all seeds together.
 struct Outcome {
-  std::map<std::uint32_t, Got> byUrgency;
-  std::map<std::uint64_t, Got> byTenant;
+  std::map<std::uint32_t, CallerStatistics> byUrgency;
+  std::map<std::uint64_t, CallerStatistics> byTenant;
   /// Most that came back within a tenth of a second.
-  int mostTogether = 0;
+  int maximumRetriesTogether = 0;
   /// Requests of the most urgent kind, and of the least urgent.
-  const Got& urgent() const { return byUrgency.at(0); }
-  const Got& other() const { return byUrgency.at(2); }
+  const CallerStatistics& mostUrgent() const { return byUrgency.at(0); }
+  const CallerStatistics& lessUrgent() const { return byUrgency.at(2); }
 };
 
-void print(const std::string& load, Order order, const std::string& kind, const Got& got) {
+void print(const std::string& load, SchedulerKind scheduler, const std::string& kind,
+           const CallerStatistics& results) {
   std::ostringstream line;
   line.precision(3);
-  line << load << ", " << kNames.at(order) << ", " << kind << ": asked " << got.asked
-       << ", in time at first " << got.firstShare() << ", or on return " << got.inTimeShare()
-       << ", served " << got.servedShare() << ", refusals " << got.refusals << ", again "
-       << got.refusedAgain;
+  line << load << ", " << kNames.at(scheduler) << ", " << kind << ": asked " << results.requests
+       << ", in time at first " << results.firstAttemptShare() << ", or on return "
+       << results.onTimeShare() << ", served " << results.servedShare() << ", refusals "
+       << results.refusals << ", again " << results.repeatedRefusals;
   BOOST_TEST_MESSAGE(line.str());
 }
 
 /// Plays the load; 8 s more let what waits end.
-Outcome played(Order order, const std::vector<Stream>& streams, Duration length,
-               const Step& step = {}) {
+Outcome simulate(SchedulerKind scheduler, const std::vector<Stream>& streams, Duration length,
+                 const Step& step = {}) {
   Outcome outcome;
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    LoadPlay play(make(order), streams, seed);
-    play.onStep = step;
-    play.run(length + seconds(8));
+    LoadSimulation simulation(makeScheduler(scheduler), streams, seed);
+    simulation.onStep = step;
+    simulation.run(length + seconds(8));
     for (const Stream& stream : streams) outcome.byUrgency[stream.urgency];
-    for (auto& [urgency, got] : outcome.byUrgency) got += play.ofUrgency(urgency);
+    for (auto& [urgency, results] : outcome.byUrgency)
+      results += simulation.resultsForUrgency(urgency);
     for (const Stream& stream : streams) {
-      outcome.byTenant[stream.tenant] += play.ofTenant(stream.tenant);
+      outcome.byTenant[stream.tenant] += simulation.resultsForTenant(stream.tenant);
     }
-    outcome.mostTogether = std::max(outcome.mostTogether, play.mostTogether());
+    outcome.maximumRetriesTogether =
+        std::max(outcome.maximumRetriesTogether, simulation.maximumRetriesTogether());
   }
   return outcome;
 }
@@ -104,10 +107,10 @@
 std::vector<Outcome> compare(const std::string& load, const std::vector<Stream>& streams,
                              Duration length, const Step& step = {}) {
   std::vector<Outcome> outcomes;
-  for (const Order order : kOrders) {
-    outcomes.push_back(played(order, streams, length, step));
-    for (const auto& [urgency, got] : outcomes.back().byUrgency) {
-      print(load, order, "urgency " + std::to_string(urgency), got);
+  for (const SchedulerKind scheduler : kSchedulers) {
+    outcomes.push_back(simulate(scheduler, streams, length, step));
+    for (const auto& [urgency, results] : outcomes.back().byUrgency) {
+      print(load, scheduler, "urgency " + std::to_string(urgency), results);
     }
   }
   return outcomes;
@@ -119,23 +122,24 @@
 
 /// The kept order against the others: the urgent begin in time when they first ask at least as
 /// often as under each other order but for `within`.
-void checkUrgent(const std::vector<Outcome>& got, double within) {
-  const Got& kept = got.at(kKept).urgent();
-  for (const Order order : {kPolling, kFirstCome, kUrgency}) {
-    BOOST_TEST_CONTEXT(kNames.at(order)) {
-      BOOST_TEST(kept.firstShare() >= got.at(order).urgent().firstShare() - within);
+void checkUrgent(const std::vector<Outcome>& results, double within) {
+  const CallerStatistics& queueResult = results.at(kAdmissionQueue).mostUrgent();
+  for (const SchedulerKind scheduler : {kPolling, kFifo, kUrgency}) {
+    BOOST_TEST_CONTEXT(kNames.at(scheduler)) {
+      BOOST_TEST(queueResult.firstAttemptShare() >=
+                 results.at(scheduler).mostUrgent().firstAttemptShare() - within);
     }
   }
 }
 /// The more urgent are in time at least as often as the less urgent, first or on return.
-void checkNoInversion(const Outcome& got) {
-  BOOST_TEST(got.urgent().firstShare() >= got.other().firstShare());
-  BOOST_TEST(got.urgent().inTimeShare() >= got.other().inTimeShare());
+void checkNoInversion(const Outcome& results) {
+  BOOST_TEST(results.mostUrgent().firstAttemptShare() >= results.lessUrgent().firstAttemptShare());
+  BOOST_TEST(results.mostUrgent().onTimeShare() >= results.lessUrgent().onTimeShare());
 }
 /// Few of those that were told when to come back are refused again.
-void checkRefusedAgain(const Got& kept, const Got& polling) {
-  BOOST_TEST(kept.refusals <= polling.refusals);
-  BOOST_TEST(kept.refusedAgain * 3 <= polling.refusedAgain);
+void checkRefusedAgain(const CallerStatistics& queueResult, const CallerStatistics& polling) {
+  BOOST_TEST(queueResult.refusals <= polling.refusals);
+  BOOST_TEST(queueResult.repeatedRefusals * 3 <= polling.repeatedRefusals);
 }
 
 }  // namespace
@@ -143,110 +147,120 @@
 BOOST_AUTO_TEST_SUITE(AdmissionLoadTest)
 
 BOOST_AUTO_TEST_CASE(SteadyOverload) {
-  const Rate half = until(seconds(20), steady(0.65));
-  const auto got = compare("overload 1.3", {notes(half), reviews(half)}, seconds(20));
-  checkUrgent(got, 0.0);
-  checkNoInversion(got.at(kKept));
-  checkRefusedAgain(got.at(kKept).other(), got.at(kPolling).other());
+  const Rate half = until(seconds(20), constantRate(0.65));
+  const auto results =
+      compare("overload 1.3", {shortRequests(half), longRequests(half)}, seconds(20));
+  checkUrgent(results, 0.0);
+  checkNoInversion(results.at(kAdmissionQueue));
+  checkRefusedAgain(results.at(kAdmissionQueue).lessUrgent(), results.at(kPolling).lessUrgent());
   // The room is enough for the urgent: none of them loses, and the less urgent have the rest.
-  BOOST_TEST(got.at(kKept).urgent().firstShare() >= 0.99);
-  BOOST_TEST(got.at(kKept).other().firstShare() >= got.at(kPolling).other().firstShare());
-  BOOST_TEST(got.at(kKept).other().firstShare() >= got.at(kUrgency).other().firstShare());
-  BOOST_TEST(got.at(kKept).other().servedShare() >= 0.9);
+  BOOST_TEST(results.at(kAdmissionQueue).mostUrgent().firstAttemptShare() >= 0.99);
+  BOOST_TEST(results.at(kAdmissionQueue).lessUrgent().firstAttemptShare() >=
+             results.at(kPolling).lessUrgent().firstAttemptShare());
+  BOOST_TEST(results.at(kAdmissionQueue).lessUrgent().firstAttemptShare() >=
+             results.at(kUrgency).lessUrgent().firstAttemptShare());
+  BOOST_TEST(results.at(kAdmissionQueue).lessUrgent().servedShare() >= 0.9);
 }
 
 /// The bound for the less urgent: they are served a tenth of what they ask, also while the most
 /// urgent alone ask for more than there is; and that costs the urgent no more than that.
 BOOST_AUTO_TEST_CASE(LessUrgentDoNotStarve) {
-  const auto got =
-      compare("urgent alone 1.3",
-              {notes(until(seconds(20), steady(1.3))), reviews(until(seconds(20), steady(0.5)))},
-              seconds(20));
-  checkUrgent(got, 0.0);
-  checkNoInversion(got.at(kKept));
-  BOOST_TEST(got.at(kKept).other().servedShare() >= 0.09);
-  BOOST_TEST(got.at(kKept).other().servedShare() > got.at(kUrgency).other().servedShare());
+  const auto results = compare("urgent alone 1.3",
+                               {shortRequests(until(seconds(20), constantRate(1.3))),
+                                longRequests(until(seconds(20), constantRate(0.5)))},
+                               seconds(20));
+  checkUrgent(results, 0.0);
+  checkNoInversion(results.at(kAdmissionQueue));
+  BOOST_TEST(results.at(kAdmissionQueue).lessUrgent().servedShare() >= 0.09);
+  BOOST_TEST(results.at(kAdmissionQueue).lessUrgent().servedShare() >
+             results.at(kUrgency).lessUrgent().servedShare());
   // A twentieth of the replica goes to the less urgent, the rest of it to the urgent: 0.73 of them
   // at the most while the load lasts.
-  BOOST_TEST(got.at(kKept).urgent().firstShare() >= 0.6);
-  BOOST_TEST(got.at(kKept).urgent().inTimeShare() >= 0.95);
-  checkRefusedAgain(got.at(kKept).urgent(), got.at(kPolling).urgent());
+  BOOST_TEST(results.at(kAdmissionQueue).mostUrgent().firstAttemptShare() >= 0.6);
+  BOOST_TEST(results.at(kAdmissionQueue).mostUrgent().onTimeShare() >= 0.95);
+  checkRefusedAgain(results.at(kAdmissionQueue).mostUrgent(), results.at(kPolling).mostUrgent());
 }
 
 BOOST_AUTO_TEST_CASE(BurstOfLessUrgentThenOfMoreUrgent) {
   const Duration length = seconds(18);
-  const Rate urgent = [](Duration at) {
+  const Rate mostUrgent = [](Duration at) {
     return at >= seconds(10) && at < milliseconds(13400) ? 0.45 * 1.8 : 0.45;
   };
-  const Rate other = [](Duration at) {
+  const Rate lessUrgent = [](Duration at) {
     return at >= seconds(4) && at < seconds(10) ? 0.25 * 2.4 : 0.25;
   };
   const Step fewer = [](Duration at, VirtualReplica& replica, std::size_t) {
-    if (at == seconds(4)) replica.setRoom(18, 64766);
-    if (at == milliseconds(13400)) replica.setRoom(24, 87000);
+    if (at == seconds(4)) replica.setCapacity(18, 64766);
+    if (at == milliseconds(13400)) replica.setCapacity(24, 87000);
   };
-  [[maybe_unused]] const auto got = compare(
-      "bursts", {notes(until(length, urgent)), reviews(until(length, other))}, length, fewer);
-  checkUrgent(got, 0.0);
-  checkNoInversion(got.at(kKept));
-  checkRefusedAgain(got.at(kKept).urgent(), got.at(kPolling).urgent());
-  BOOST_TEST(got.at(kKept).urgent().firstShare() >= 0.95);
-  BOOST_TEST(got.at(kKept).other().firstShare() >= got.at(kPolling).other().firstShare());
-  BOOST_TEST(got.at(kKept).other().firstShare() >= got.at(kUrgency).other().firstShare());
-  BOOST_TEST(got.at(kKept).other().servedShare() >= 0.75);
+  [[maybe_unused]] const auto results = compare(
+      "bursts", {shortRequests(until(length, mostUrgent)), longRequests(until(length, lessUrgent))},
+      length, fewer);
+  checkUrgent(results, 0.0);
+  checkNoInversion(results.at(kAdmissionQueue));
+  checkRefusedAgain(results.at(kAdmissionQueue).mostUrgent(), results.at(kPolling).mostUrgent());
+  BOOST_TEST(results.at(kAdmissionQueue).mostUrgent().firstAttemptShare() >= 0.95);
+  BOOST_TEST(results.at(kAdmissionQueue).lessUrgent().firstAttemptShare() >=
+             results.at(kPolling).lessUrgent().firstAttemptShare());
+  BOOST_TEST(results.at(kAdmissionQueue).lessUrgent().firstAttemptShare() >=
+             results.at(kUrgency).lessUrgent().firstAttemptShare());
+  BOOST_TEST(results.at(kAdmissionQueue).lessUrgent().servedShare() >= 0.75);
 }
 
-BOOST_AUTO_TEST_CASE(OneTenantAtFiveTimes) {
+BOOST_AUTO_TEST_CASE(OneTenantAtFiveTimesItsUsualLoad) {
   const auto tenants = [](double first) {
     std::vector<Stream> streams;
     for (std::uint64_t tenant = 1; tenant <= 10; ++tenant) {
-      streams.push_back(notes(until(seconds(20), steady(tenant == 1 ? first : 0.09)), tenant));
+      streams.push_back(
+          shortRequests(until(seconds(20), constantRate(tenant == 1 ? first : 0.09)), tenant));
     }
     return streams;
   };
   // Of the other tenants' requests, those in time when they first asked; first as usual, then with
   // the one tenant at five times.
-  std::array<std::array<double, 2>, kOrders.size()> inTime{};
-  for (const Order order : kOrders) {
+  std::array<std::array<double, 2>, kSchedulers.size()> onTime{};
+  for (const SchedulerKind scheduler : kSchedulers) {
     for (const double first : {0.09, 0.45}) {
-      const Outcome outcome = played(order, tenants(first), seconds(20));
-      Got others;
-      for (const auto& [tenant, got] : outcome.byTenant) {
-        if (tenant != 1) others += got;
+      const Outcome outcome = simulate(scheduler, tenants(first), seconds(20));
+      CallerStatistics others;
+      for (const auto& [tenant, results] : outcome.byTenant) {
+        if (tenant != 1) others += results;
       }
       const std::string load = first > 0.1 ? "tenant at five times" : "tenants as usual";
-      print(load, order, "others", others);
-      print(load, order, "this tenant", outcome.byTenant.at(1));
-      inTime.at(order).at(first > 0.1 ? 1 : 0) = others.firstShare();
-      if (order == kKept) BOOST_TEST(others.inTimeShare() >= 0.99);
-      if (order == kKept) BOOST_TEST(outcome.byTenant.at(1).servedShare() >= 0.8);
+      print(load, scheduler, "others", others);
+      print(load, scheduler, "this tenant", outcome.byTenant.at(1));
+      onTime.at(scheduler).at(first > 0.1 ? 1 : 0) = others.firstAttemptShare();
+      if (scheduler == kAdmissionQueue) BOOST_TEST(others.onTimeShare() >= 0.99);
+      if (scheduler == kAdmissionQueue) BOOST_TEST(outcome.byTenant.at(1).servedShare() >= 0.8);
     }
   }
-  BOOST_TEST(inTime[kKept][1] >= inTime[kKept][0] - 0.03);
-  for (const Order order : {kPolling, kFirstCome, kUrgency}) {
-    BOOST_TEST_CONTEXT(kNames.at(order)) {
-      BOOST_TEST(inTime[kKept][1] >= inTime.at(order)[1] + 0.5);
-      BOOST_TEST(inTime[kKept][0] >= inTime.at(order)[0]);
+  BOOST_TEST(onTime[kAdmissionQueue][1] >= onTime[kAdmissionQueue][0] - 0.03);
+  for (const SchedulerKind scheduler : {kPolling, kFifo, kUrgency}) {
+    BOOST_TEST_CONTEXT(kNames.at(scheduler)) {
+      BOOST_TEST(onTime[kAdmissionQueue][1] >= onTime.at(scheduler)[1] + 0.5);
+      BOOST_TEST(onTime[kAdmissionQueue][0] >= onTime.at(scheduler)[0]);
     }
   }
 }
 
-BOOST_AUTO_TEST_CASE(AllBackAtOnce) {
+BOOST_AUTO_TEST_CASE(AllCallersArriveAtOnce) {
   const Rate load = [](Duration at) { return at < milliseconds(500) ? 10.0 : 0.5; };
-  const auto got = compare("all at once", {notes(until(seconds(14), load))}, seconds(14));
-  for (const Order order : kOrders) {
-    BOOST_TEST_MESSAGE(kNames.at(order)
-                       << ": most that came back in 0.1 s: " << got.at(order).mostTogether);
+  const auto results =
+      compare("all at once", {shortRequests(until(seconds(14), load))}, seconds(14));
+  for (const SchedulerKind scheduler : kSchedulers) {
+    BOOST_TEST_MESSAGE(kNames.at(scheduler) << ": most that came back in 0.1 s: "
+                                            << results.at(scheduler).maximumRetriesTogether);
   }
-  checkUrgent(got, 0.0);
-  checkRefusedAgain(got.at(kKept).urgent(), got.at(kPolling).urgent());
-  BOOST_TEST(got.at(kKept).urgent().servedShare() >= 0.99);
-  BOOST_TEST(got.at(kKept).urgent().refusedAgain * 100 <= got.at(kKept).urgent().refusals);
+  checkUrgent(results, 0.0);
+  checkRefusedAgain(results.at(kAdmissionQueue).mostUrgent(), results.at(kPolling).mostUrgent());
+  BOOST_TEST(results.at(kAdmissionQueue).mostUrgent().servedShare() >= 0.99);
+  BOOST_TEST(results.at(kAdmissionQueue).mostUrgent().repeatedRefusals * 100 <=
+             results.at(kAdmissionQueue).mostUrgent().refusals);
   // Some four begin in a tenth of a second.
-  BOOST_TEST(got.at(kKept).mostTogether <= 10);
+  BOOST_TEST(results.at(kAdmissionQueue).maximumRetriesTogether <= 10);
 }
 
-BOOST_AUTO_TEST_CASE(CapacityBackAtOnce) {
+BOOST_AUTO_TEST_CASE(CapacityRestoredAtOnce) {
   // Longest times in all seeds from the return of the capacity, at 14 s.
   Duration empty{};
   Duration filled{};
@@ -254,10 +268,10 @@
   bool wasFilled = false;
   const Step step = [&](Duration at, VirtualReplica& replica, std::size_t queued) {
     if (at == Duration::zero()) {
-      replica.setRoom(8, 29000);
+      replica.setCapacity(8, 29000);
       wasEmpty = wasFilled = false;
     }
-    if (at == seconds(14)) replica.setRoom(24, 87000);
+    if (at == seconds(14)) replica.setCapacity(24, 87000);
     if (at <= seconds(14)) return;
     if (!wasEmpty) empty = std::max(empty, at - seconds(14));
     if (!wasFilled) filled = std::max(filled, at - seconds(14));
@@ -267,47 +281,47 @@
   };
   // Load that the whole replica bears, and load that fills it.
   for (const double load : {0.8, 1.2}) {
-    std::vector<Outcome> got;
-    for (const Order order : kOrders) {
+    std::vector<Outcome> results;
+    for (const SchedulerKind scheduler : kSchedulers) {
       empty = filled = Duration::zero();
-      got.push_back(played(order,
-                           {notes(until(seconds(20), steady(load * 0.55))),
-                            reviews(until(seconds(20), steady(load * 0.45)))},
-                           seconds(20), step));
+      results.push_back(simulate(scheduler,
+                                 {shortRequests(until(seconds(20), constantRate(load * 0.55))),
+                                  longRequests(until(seconds(20), constantRate(load * 0.45)))},
+                                 seconds(20), step));
       const std::string name = "capacity back, load " + std::to_string(load).substr(0, 3);
-      print(name, order, "urgent", got.back().urgent());
-      print(name, order, "other", got.back().other());
+      print(name, scheduler, "urgent", results.back().mostUrgent());
+      print(name, scheduler, "other", results.back().lessUrgent());
       BOOST_TEST_MESSAGE("queue empty after " << base::toMilliseconds(empty) << " ms, filled after "
                                               << base::toMilliseconds(filled) << " ms");
     }
-    checkUrgent(got, 0.0);
-    checkNoInversion(got.at(kKept));
-    checkRefusedAgain(got.at(kKept).urgent(), got.at(kPolling).urgent());
-    BOOST_TEST(got.at(kKept).urgent().inTimeShare() >= 0.95);
+    checkUrgent(results, 0.0);
+    checkNoInversion(results.at(kAdmissionQueue));
+    checkRefusedAgain(results.at(kAdmissionQueue).mostUrgent(), results.at(kPolling).mostUrgent());
+    BOOST_TEST(results.at(kAdmissionQueue).mostUrgent().onTimeShare() >= 0.95);
     if (load < 1.0) BOOST_TEST((empty <= seconds(1)));
     if (load > 1.0) BOOST_TEST((filled <= seconds(1)));
   }
 }
 
-BOOST_AUTO_TEST_CASE(LongAmongShort) {
-  Stream large = reviews(until(seconds(20), steady(0.15)));
+BOOST_AUTO_TEST_CASE(LongRequestsAmongShortOnes) {
+  Stream large = longRequests(until(seconds(20), constantRate(0.15)));
   large.urgency = 0;
-  Stream small = notes(until(seconds(20), steady(1.0)));
+  Stream small = shortRequests(until(seconds(20), constantRate(1.0)));
   small.tokens = 4000;
-  std::vector<Outcome> got;
-  for (const Order order : kOrders) {
-    got.push_back(played(order, {small, large}, seconds(20)));
-    print("long among short", order, "short", got.back().byTenant.at(1));
-    print("long among short", order, "long", got.back().byTenant.at(2));
+  std::vector<Outcome> results;
+  for (const SchedulerKind scheduler : kSchedulers) {
+    results.push_back(simulate(scheduler, {small, large}, seconds(20)));
+    print("long among short", scheduler, "short", results.back().byTenant.at(1));
+    print("long among short", scheduler, "long", results.back().byTenant.at(2));
   }
-  for (const Order order : {kPolling, kFirstCome, kUrgency}) {
+  for (const SchedulerKind scheduler : {kPolling, kFifo, kUrgency}) {
     for (const std::uint64_t tenant : {1, 2}) {
-      BOOST_TEST(got.at(kKept).byTenant.at(tenant).firstShare() >=
-                 got.at(order).byTenant.at(tenant).firstShare());
+      BOOST_TEST(results.at(kAdmissionQueue).byTenant.at(tenant).firstAttemptShare() >=
+                 results.at(scheduler).byTenant.at(tenant).firstAttemptShare());
     }
   }
-  BOOST_TEST(got.at(kKept).byTenant.at(2).firstShare() >= 0.95);
-  BOOST_TEST(got.at(kKept).byTenant.at(1).servedShare() >= 0.95);
+  BOOST_TEST(results.at(kAdmissionQueue).byTenant.at(2).firstAttemptShare() >= 0.95);
+  BOOST_TEST(results.at(kAdmissionQueue).byTenant.at(1).servedShare() >= 0.95);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/admission/admission_service_test.cc
+++ b/tests/admission/admission_service_test.cc
@@ -33,7 +33,7 @@
 
 BOOST_AUTO_TEST_SUITE(AdmissionServiceTest)
 
-BOOST_AUTO_TEST_CASE(AnIdleNodeAdmitsAndNeverFromInsideTheCall) {
+BOOST_AUTO_TEST_CASE(AnIdleNodeAdmitsButNeverFromWithinTheCall) {
   FakeCluster cluster(1, withTargets());
   const Call one = call(cluster.service(0), tenantNamed("a"));
   BOOST_TEST(!one.answered());
@@ -42,7 +42,7 @@
   BOOST_TEST(cluster.service(0).running() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(ADestroyedTicketSilencesTheCallbackAndGivesThePlaceBack) {
+BOOST_AUTO_TEST_CASE(DestroyingATicketCancelsTheCallbackAndReleasesItsSlot) {
   FakeCluster cluster(1, withTargets());
   Call one = call(cluster.service(0), tenantNamed("a"));
   one.ticket.reset();
@@ -66,7 +66,7 @@
              milliseconds(10) / std::chrono::microseconds(1));
 }
 
-BOOST_AUTO_TEST_CASE(AHoldThatCannotSucceedIsRefusedAtOnceWithRetryAfter) {
+BOOST_AUTO_TEST_CASE(AHoldThatCannotSucceedIsRefusedImmediatelyWithRetryAfter) {
   FakeCluster cluster(1, withTargets());
   AdmissionService& service = cluster.service(0);
   load(service, PriorityClass::kStandard, seconds(60));
@@ -77,7 +77,7 @@
   BOOST_TEST(refused.verdicts->front().retryAfter.count() > 0);
 }
 
-BOOST_AUTO_TEST_CASE(AHoldEndsWithItsTime) {
+BOOST_AUTO_TEST_CASE(AHoldEndsWhenItsTimeIsOver) {
   FakeCluster cluster(1, withTargets());
   AdmissionService& service = cluster.service(0);
   load(service, PriorityClass::kStandard, milliseconds(3000));
@@ -186,7 +186,7 @@
   BOOST_TEST((later.code() == ResultCode::kShed));
 }
 
-BOOST_AUTO_TEST_CASE(RequestsThatWaitLongHoldOthersUntilAProbeTellsBetter) {
+BOOST_AUTO_TEST_CASE(LongWaitsHoldOtherRequestsUntilAProbeIsFast) {
   FakeCluster cluster(1, withTargets());
   AdmissionService& service = cluster.service(0);
   std::vector<Call> slow;
@@ -236,7 +236,7 @@
 
 BOOST_AUTO_TEST_SUITE(AdmissionWindowTest)
 
-BOOST_AUTO_TEST_CASE(LateFirstTokensShrinkItOnceARoundAndTimelyOnesGrowIt) {
+BOOST_AUTO_TEST_CASE(LateFirstTokensShrinkTheWindowOncePerRoundAndTimelyOnesGrowIt) {
   AdmissionWindow window({.initial = 20, .minimum = 4, .shrinkFactor = 0.5});
   const base::TimePoint start{seconds(10)};
   window.onWaited(seconds(2), seconds(1), 20, start);
@@ -256,7 +256,7 @@
   BOOST_TEST(window.size() == grown);
 }
 
-BOOST_AUTO_TEST_CASE(ALessUrgentClassFillsLessOfIt) {
+BOOST_AUTO_TEST_CASE(ALessUrgentClassMayUseLessOfTheWindow) {
   const AdmissionWindow window({.initial = 20, .classShare = {1.0, 0.5, 0.35, 0.25}});
   BOOST_TEST(window.admits(PriorityClass::kUrgent, 19));
   BOOST_TEST(!window.admits(PriorityClass::kUrgent, 20));
@@ -269,7 +269,7 @@
 
 BOOST_AUTO_TEST_SUITE(FirstTokenWaitTest)
 
-BOOST_AUTO_TEST_CASE(AFewStuckRequestsAreNoLoad) {
+BOOST_AUTO_TEST_CASE(AFewStuckRequestsDoNotCountAsLoad) {
   FirstTokenWait wait;
   const base::TimePoint start{seconds(10)};
   for (std::uint64_t request = 0; request < 3; ++request) {
@@ -280,22 +280,22 @@
     wait.onAdmitted(PriorityClass::kStandard, request, later - milliseconds(100));
     wait.onFirstToken(PriorityClass::kStandard, request, later);
   }
-  BOOST_TEST((wait.of(PriorityClass::kStandard, later) == milliseconds(100)));
-  BOOST_TEST((wait.of(PriorityClass::kBackground, later) == milliseconds(100)));
-  BOOST_TEST((wait.of(PriorityClass::kUrgent, later) == milliseconds(0)));
+  BOOST_TEST((wait.current(PriorityClass::kStandard, later) == milliseconds(100)));
+  BOOST_TEST((wait.current(PriorityClass::kBackground, later) == milliseconds(100)));
+  BOOST_TEST((wait.current(PriorityClass::kUrgent, later) == milliseconds(0)));
 }
 
-BOOST_AUTO_TEST_CASE(ManyRequestsThatWaitAreSeenBeforeTheirFirstTokens) {
+BOOST_AUTO_TEST_CASE(ManyWaitingRequestsCountBeforeTheirFirstTokens) {
   FirstTokenWait wait;
   const base::TimePoint start{seconds(10)};
   for (std::uint64_t request = 0; request < 8; ++request) {
     wait.onAdmitted(PriorityClass::kUrgent, request, start);
   }
-  BOOST_TEST((wait.of(PriorityClass::kUrgent, start + seconds(3)) == seconds(3)));
+  BOOST_TEST((wait.current(PriorityClass::kUrgent, start + seconds(3)) == seconds(3)));
   for (std::uint64_t request = 0; request < 8; ++request) {
     wait.onAbandoned(PriorityClass::kUrgent, request, start + seconds(3));
   }
-  BOOST_TEST((wait.of(PriorityClass::kUrgent, start + seconds(3)) == seconds(0)));
+  BOOST_TEST((wait.current(PriorityClass::kUrgent, start + seconds(3)) == seconds(0)));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/admission/fake_cluster.h
+++ b/tests/admission/fake_cluster.h
@@ -91,8 +91,8 @@
   FakeTime& time() { return time_; }
   AdmissionService& service(std::size_t node) { return *nodes_[node]->service; }
   /// Cuts a node off from all others, or heals it. Views of the membership do not change.
-  void cut(std::size_t node, bool isCut) {
-    isCut ? (void)cut_.insert(node) : (void)cut_.erase(node);
+  void setPartitioned(std::size_t node, bool partitioned) {
+    partitioned ? (void)partitioned_.insert(node) : (void)partitioned_.erase(node);
   }
   std::size_t messages() const { return messages_; }
   std::size_t bytes() const { return bytes_; }
@@ -126,7 +126,7 @@
     });
     if (target == nodes_.end()) return;
     const std::size_t to = (*target)->index;
-    if (cut_.contains(from) || cut_.contains(to)) return;
+    if (partitioned_.contains(from) || partitioned_.contains(to)) return;
     time_.schedule(std::chrono::milliseconds(1), [this, from, to, payload = std::move(payload)] {
       const membership::Member& sender = nodes_[from]->directory.self();
       nodes_[to]->service->onPeerMessage({sender.id, sender.incarnation, sender.endpoint}, payload);
@@ -136,7 +136,7 @@
   AdmissionOptions options_;
   FakeTime time_;
   std::vector<std::unique_ptr<FakeNode>> nodes_;
-  std::set<std::size_t> cut_;
+  std::set<std::size_t> partitioned_;
   std::size_t messages_ = 0;
   std::size_t bytes_ = 0;
 };
--- a/tests/admission/load_simulation.h
+++ b/tests/admission/load_simulation.h
@@ -18,19 +18,19 @@
 namespace covewing::admission {
 
 /// An order of service as the callers of one replica see it; by default the queue under test.
-class ServiceOrder {
+class Scheduler {
  public:
-  virtual ~ServiceOrder() = default;
-  virtual QueueOffer offer(const QueueEntry& entry, const ReplicaCapacity& room,
-                           base::TimePoint now) {
-    return queue_.offer(entry, room, true, now);
+  virtual ~Scheduler() = default;
+  virtual OfferResult offer(const QueueEntry& entry, const ReplicaCapacity& capacity,
+                            base::TimePoint now) {
+    return queue_.offer(entry, capacity, true, now);
   }
-  virtual std::optional<QueueEntry> next(const ReplicaCapacity& room, base::TimePoint now) {
-    return queue_.next(room, now);
+  virtual std::optional<QueueEntry> next(const ReplicaCapacity& capacity, base::TimePoint now) {
+    return queue_.next(capacity, now);
   }
-  virtual std::vector<QueueRefusal> removeExpired(const ReplicaCapacity& room,
+  virtual std::vector<QueueRefusal> removeExpired(const ReplicaCapacity& capacity,
                                                   base::TimePoint now) {
-    return queue_.removeExpired(room, now);
+    return queue_.removeExpired(capacity, now);
   }
   virtual std::size_t size() const { return queue_.size(); }
 
@@ -40,18 +40,18 @@
 
 /// Orders without a decision: each request polls by itself and gives up after a part of its own
 /// target, first come first served, or by urgency alone.
-class PlainOrder : public ServiceOrder {
+class BaselineScheduler : public Scheduler {
  public:
-  enum class Kind : std::uint8_t { kPolling, kFirstCome, kUrgency };
-  explicit PlainOrder(Kind kind) : kind_(kind) {}
+  enum class Kind : std::uint8_t { kPolling, kFifo, kUrgency };
+  explicit BaselineScheduler(Kind kind) : kind_(kind) {}
 
-  QueueOffer offer(const QueueEntry& entry, const ReplicaCapacity& /*room*/,
-                   base::TimePoint now) override {
+  OfferResult offer(const QueueEntry& entry, const ReplicaCapacity& /*capacity*/,
+                    base::TimePoint now) override {
     waiting_.push_back({entry, now, now});
     return {QueueVerdict::kQueued, base::Duration::zero(), waiting_.size() - 1};
   }
-  std::optional<QueueEntry> next(const ReplicaCapacity& room, base::TimePoint now) override {
-    if (kind_ == Kind::kPolling) return poll(room, now);
+  std::optional<QueueEntry> next(const ReplicaCapacity& capacity, base::TimePoint now) override {
+    if (kind_ == Kind::kPolling) return poll(capacity, now);
     if (waiting_.empty()) return std::nullopt;
     auto head = waiting_.begin();
     if (kind_ == Kind::kUrgency) {
@@ -59,12 +59,12 @@
         return a.entry.urgency < b.entry.urgency;
       });
     }
-    return room.fits(head->entry, false) ? std::optional(take(head)) : std::nullopt;
+    return capacity.fits(head->entry, false) ? std::optional(take(head)) : std::nullopt;
   }
-  std::vector<QueueRefusal> removeExpired(const ReplicaCapacity& /*room*/,
+  std::vector<QueueRefusal> removeExpired(const ReplicaCapacity& /*capacity*/,
                                           base::TimePoint now) override {
     std::vector<QueueRefusal> refusals;
-    std::erase_if(waiting_, [&](const One& one) {
+    std::erase_if(waiting_, [&](const Entry& one) {
       const base::Duration allowance = one.entry.softStartDeadline - one.since;
       const bool over = kind_ == Kind::kPolling ? now - one.since > allowance * 48 / 100
                                                 : now > one.entry.hardStartDeadline;
@@ -76,27 +76,27 @@
   std::size_t size() const override { return waiting_.size(); }
 
  private:
-  struct One {
+  struct Entry {
     QueueEntry entry;
     base::TimePoint since;
     base::TimePoint nextPoll;
   };
-  QueueEntry take(std::vector<One>::iterator one) {
+  QueueEntry take(std::vector<Entry>::iterator one) {
     const QueueEntry entry = one->entry;
     waiting_.erase(one);
     return entry;
   }
-  std::optional<QueueEntry> poll(const ReplicaCapacity& room, base::TimePoint now) {
+  std::optional<QueueEntry> poll(const ReplicaCapacity& capacity, base::TimePoint now) {
     for (auto one = waiting_.begin(); one != waiting_.end(); ++one) {
       if (one->nextPoll > now) continue;
-      if (room.fits(one->entry, true)) return take(one);
+      if (capacity.fits(one->entry, true)) return take(one);
       one->nextPoll = now + std::chrono::milliseconds(20 + random_.below(60));
     }
     return std::nullopt;
   }
 
   Kind kind_;
-  std::vector<One> waiting_;
+  std::vector<Entry> waiting_;
   base::SeededRandom random_{7};
 };
 
@@ -114,35 +114,38 @@
 };
 
 /// What callers of one kind or tenant got.
-struct Got {
-  int asked = 0;
+struct CallerStatistics {
+  int requests = 0;
   /// Began in time when they first asked, or after they came back.
-  int inTime = 0;
-  int inTimeLater = 0;
+  int onTime = 0;
+  int onTimeAfterRetry = 0;
   int late = 0;
   int refusals = 0;
-  int refusedAgain = 0;
+  int repeatedRefusals = 0;
 
-  Got& operator+=(const Got& other) {
-    asked += other.asked;
-    inTime += other.inTime;
-    inTimeLater += other.inTimeLater;
+  CallerStatistics& operator+=(const CallerStatistics& other) {
+    requests += other.requests;
+    onTime += other.onTime;
+    onTimeAfterRetry += other.onTimeAfterRetry;
     late += other.late;
     refusals += other.refusals;
-    refusedAgain += other.refusedAgain;
+    repeatedRefusals += other.repeatedRefusals;
     return *this;
   }
-  double inTimeShare() const { return asked == 0 ? 1.0 : 1.0 * (inTime + inTimeLater) / asked; }
-  double firstShare() const { return asked == 0 ? 1.0 : 1.0 * inTime / asked; }
+  double onTimeShare() const {
+    return requests == 0 ? 1.0 : 1.0 * (onTime + onTimeAfterRetry) / requests;
+  }
+  double firstAttemptShare() const { return requests == 0 ? 1.0 : 1.0 * onTime / requests; }
   double servedShare() const {
-    return asked == 0 ? 1.0 : 1.0 * (inTime + inTimeLater + late) / asked;
+    return requests == 0 ? 1.0 : 1.0 * (onTime + onTimeAfterRetry + late) / requests;
   }
 };
 
-class LoadPlay {
+class LoadSimulation {
  public:
-  LoadPlay(std::unique_ptr<ServiceOrder> order, std::vector<Stream> streams, std::uint64_t seed)
-      : order_(std::move(order)), streams_(std::move(streams)), random_(seed) {}
+  LoadSimulation(std::unique_ptr<Scheduler> scheduler, std::vector<Stream> streams,
+                 std::uint64_t seed)
+      : scheduler_(std::move(scheduler)), streams_(std::move(streams)), random_(seed) {}
 
   /// Called at each step, before anything else.
   std::function<void(base::Duration, VirtualReplica&, std::size_t queued)> onStep;
@@ -151,23 +154,23 @@
     for (base::Duration at{}; at < length; at += kStep) {
       now_ = kStart + at;
       replica_.endRuns(now_);
-      if (onStep) onStep(at, replica_, order_->size());
+      if (onStep) onStep(at, replica_, scheduler_->size());
       grantAll();
-      comeBack();
+      retryDue();
       arrive(at);
       grantAll();
       if (at.count() % (10 * kStep.count()) != 0) continue;
-      for (const QueueRefusal& each : order_->removeExpired(replica_, now_)) {
-        refused(each.id, each.retryAfter);
+      for (const QueueRefusal& each : scheduler_->removeExpired(replica_, now_)) {
+        onRefused(each.id, each.retryAfter);
       }
     }
   }
-  const Got& ofUrgency(std::uint32_t urgency) { return byUrgency_[urgency]; }
-  const Got& ofTenant(std::uint64_t tenant) { return byTenant_[tenant]; }
+  const CallerStatistics& resultsForUrgency(std::uint32_t urgency) { return byUrgency_[urgency]; }
+  const CallerStatistics& resultsForTenant(std::uint64_t tenant) { return byTenant_[tenant]; }
   /// Most requests that came back within a tenth of a second.
-  int mostTogether() const {
+  int maximumRetriesTogether() const {
     int most = 0;
-    for (const auto& [at, count] : returnsAt_) most = std::max(most, count);
+    for (const auto& [at, count] : retriesAt_) most = std::max(most, count);
     return most;
   }
 
@@ -198,65 +201,67 @@
                   &stream,
                   now_,
                   0};
-        count(caller, [](Got& got) { ++got.asked; });
-        ask(caller);
+        count(caller, [](CallerStatistics& statistics) { ++statistics.requests; });
+        submit(caller);
       }
     }
   }
-  void ask(Caller& caller) {
+  void submit(Caller& caller) {
     caller.entry.softStartDeadline = now_ + caller.stream->allowance;
     caller.entry.hardStartDeadline = caller.first + caller.stream->useful;
-    const QueueOffer offer = order_->offer(caller.entry, replica_, now_);
+    const OfferResult offer = scheduler_->offer(caller.entry, replica_, now_);
     if (offer.verdict == QueueVerdict::kGranted) start(caller);
-    if (offer.verdict == QueueVerdict::kRefused) refused(caller.entry.id, offer.wait);
+    if (offer.verdict == QueueVerdict::kRefused) onRefused(caller.entry.id, offer.wait);
   }
   void grantAll() {
-    while (const std::optional<QueueEntry> entry = order_->next(replica_, now_)) {
+    while (const std::optional<QueueEntry> entry = scheduler_->next(replica_, now_)) {
       start(callers_.at(entry->id));
     }
   }
   void start(const Caller& caller) {
     replica_.start(caller.entry, now_);
-    const bool inTime = now_ <= caller.entry.softStartDeadline;
-    count(caller, [&](Got& got) {
-      ++(!inTime ? got.late : caller.refusals == 0 ? got.inTime : got.inTimeLater);
+    const bool onTime = now_ <= caller.entry.softStartDeadline;
+    count(caller, [&](CallerStatistics& statistics) {
+      ++(!onTime                ? statistics.late
+         : caller.refusals == 0 ? statistics.onTime
+                                : statistics.onTimeAfterRetry);
     });
     callers_.erase(caller.entry.id);
   }
-  void refused(std::uint64_t id, base::Duration retryAfter) {
+  void onRefused(std::uint64_t id, base::Duration retryAfter) {
     Caller& caller = callers_.at(id);
     ++caller.refusals;
-    count(caller, [&](Got& got) {
-      ++got.refusals;
-      if (caller.refusals > 1) ++got.refusedAgain;
+    count(caller, [&](CallerStatistics& statistics) {
+      ++statistics.refusals;
+      if (caller.refusals > 1) ++statistics.repeatedRefusals;
     });
     const base::TimePoint back = now_ + retryAfter;
     if (back < caller.first + caller.stream->useful) {
-      returns_.emplace(back, id);
-      ++returnsAt_[back.time_since_epoch().count() / 100000];
+      pendingRetries_.emplace(back, id);
+      ++retriesAt_[back.time_since_epoch().count() / 100000];
     } else {
       callers_.erase(id);
     }
   }
-  void comeBack() {
-    while (!returns_.empty() && returns_.begin()->first <= now_) {
-      const std::uint64_t id = returns_.begin()->second;
-      returns_.erase(returns_.begin());
-      ask(callers_.at(id));
+  void retryDue() {
+    while (!pendingRetries_.empty() && pendingRetries_.begin()->first <= now_) {
+      const std::uint64_t id = pendingRetries_.begin()->second;
+      pendingRetries_.erase(pendingRetries_.begin());
+      submit(callers_.at(id));
     }
   }
 
-  std::unique_ptr<ServiceOrder> order_;
+  std::unique_ptr<Scheduler> scheduler_;
   std::vector<Stream> streams_;
   VirtualReplica replica_;
   base::TimePoint now_;
   base::SeededRandom random_;
   std::uint64_t lastId_ = 0;
   std::map<std::uint64_t, Caller> callers_;
-  std::multimap<base::TimePoint, std::uint64_t> returns_;
-  std::map<std::int64_t, int> returnsAt_;
-  std::map<std::uint32_t, Got> byUrgency_;
-  std::map<std::uint64_t, Got> byTenant_;
+  std::multimap<base::TimePoint, std::uint64_t> pendingRetries_;
+  std::map<std::int64_t, int> retriesAt_;
+  std::map<std::uint32_t, CallerStatistics> byUrgency_;
+  std::map<std::uint64_t, CallerStatistics> byTenant_;
 };
 
 }  // namespace covewing::admission
--- a/tests/admission/quota_fleet.h
+++ b/tests/admission/quota_fleet.h
@@ -22,18 +22,18 @@
     base::TimePoint at;
     std::uint32_t tokens = 0;
   };
-  struct Answer {
-    bool answered = false;
+  struct AcquireResult {
+    bool decided = false;
     QuotaVerdict verdict;
     base::TimePoint at;
 
-    bool granted() const { return answered && verdict.outcome == QuotaOutcome::kGranted; }
+    bool granted() const { return decided && verdict.outcome == QuotaOutcome::kGranted; }
   };
-  using AnswerPtr = std::shared_ptr<Answer>;
+  using AcquireResultPtr = std::shared_ptr<AcquireResult>;
 
   static constexpr base::Duration kDelay = std::chrono::milliseconds(1);
 
-  QuotaFleet(std::size_t count, QuotaOptions options) : options_(options), known_(count) {
+  QuotaFleet(std::size_t count, QuotaOptions options) : options_(options), knownNodes_(count) {
     for (std::size_t index = 0; index < count; ++index) {
       membership::Member member;
       member.name = "node-" + std::to_string(index);
@@ -52,16 +52,16 @@
   const std::vector<Granted>& history() const { return history_; }
   std::size_t messages() const { return messages_; }
 
-  AnswerPtr acquire(std::size_t node, const QuotaDemand& demand) {
-    auto answer = std::make_shared<Answer>();
-    if (!nodes_[node]->up) return answer;
+  AcquireResultPtr acquire(std::size_t node, const QuotaDemand& demand) {
+    auto result = std::make_shared<AcquireResult>();
+    if (!nodes_[node]->up) return result;
     auto& quotas = *nodes_[node]->quotas;
     quotas.acquire(quotas.newWaitId(), demand,
-                   [this, answer, tokens = demand.tokens](const QuotaVerdict& verdict) {
-                     *answer = {true, verdict, time_.now()};
-                     if (answer->granted()) history_.push_back({time_.now(), tokens});
+                   [this, result, tokens = demand.tokens](const QuotaVerdict& verdict) {
+                     *result = {true, verdict, time_.now()};
+                     if (result->granted()) history_.push_back({time_.now(), tokens});
                    });
-    return answer;
+    return result;
   }
 
   /// Nodes of different groups do not reach each other. Views follow with `refreshViews`.
@@ -88,10 +88,10 @@
     }
   }
   /// Each node sees itself alone, as right after its start.
-  void seeNobody() {
+  void isolateViews() {
     for (auto& node : nodes_) node->directory.set(node->member, {node->member});
   }
-  void setKnown(std::size_t count) { known_ = count; }
+  void setKnownNodes(std::size_t count) { knownNodes_ = count; }
   std::size_t homeOf(base::TenantId tenant) const {
     const auto& home = tenantHome(tenant, nodes_.front()->directory);
     for (const auto& node : nodes_) {
@@ -101,7 +101,7 @@
   }
 
   /// The most that was granted within any span of this length.
-  double worstWindow(base::Duration span) const {
+  double maximumInWindow(base::Duration span) const {
     double worst = 0;
     double sum = 0;
     std::size_t first = 0;
@@ -121,7 +121,7 @@
     void start() {
       quotas = std::make_unique<TenantQuotas>(
           fleet.options_, QuotaEnvironment{fleet.time_, fleet.time_, random, directory, *this,
-                                           [this] { return fleet.known_; }});
+                                           [this] { return fleet.knownNodes_; }});
     }
     void send(const base::Endpoint& destination, base::Channel /*channel*/,
               std::string payload) override {
@@ -159,7 +159,7 @@
   FakeTime time_;
   std::vector<std::unique_ptr<Node>> nodes_;
   std::vector<Granted> history_;
-  std::size_t known_;
+  std::size_t knownNodes_;
   std::size_t messages_ = 0;
 };
 
--- a/tests/admission/quota_fleet_test.cc
+++ b/tests/admission/quota_fleet_test.cc
@@ -66,15 +66,15 @@
   double perSecond;
   base::SeededRandom random{11};
   double owed = 0;
-  std::vector<QuotaFleet::AnswerPtr> answers{};
+  std::vector<QuotaFleet::AcquireResultPtr> results{};
 
-  void play(base::Duration span) {
+  void run(base::Duration span) {
     constexpr milliseconds kStep{10};
     for (base::Duration passed{}; passed < span; passed += kStep) {
       owed += perSecond * base::toSeconds(kStep);
       while (owed > 0) {
         const auto tokens = random.below(3) == 0 ? kLongPrompt : kShortPrompt;
-        answers.push_back(fleet.acquire(random.below(fleet.size()), demandOf(rate, tokens)));
+        results.push_back(fleet.acquire(random.below(fleet.size()), demandOf(rate, tokens)));
         owed -= tokens;
       }
       fleet.time().advance(kStep);
@@ -82,8 +82,8 @@
   }
   std::size_t refused() const {
     return static_cast<std::size_t>(
-        std::count_if(answers.begin(), answers.end(),
-                      [](const auto& one) { return one->answered && !one->granted(); }));
+        std::count_if(results.begin(), results.end(),
+                      [](const auto& one) { return one->decided && !one->granted(); }));
   }
 };
 
@@ -91,14 +91,14 @@
 
 BOOST_AUTO_TEST_SUITE(QuotaFleetTest)
 
-BOOST_AUTO_TEST_CASE(TenantFarBeyondItsLimitGetsItsLimitAndNoMore) {
+BOOST_AUTO_TEST_CASE(TenantFarAboveItsLimitGetsExactlyItsLimit) {
   QuotaFleet fleet(kNodes, relayOptions());
   fleet.time().advance(seconds(20));
   const auto rate = statedRate(300'000);
   Traffic traffic{fleet, rate, 7 * rate.perSecond};
-  traffic.play(seconds(12));
-  BOOST_TEST(fleet.worstWindow(seconds(8)) <= allowed(rate));
-  BOOST_TEST(fleet.worstWindow(seconds(8)) >= rate.perSecond * 8 + rate.burst);
+  traffic.run(seconds(12));
+  BOOST_TEST(fleet.maximumInWindow(seconds(8)) <= allowed(rate));
+  BOOST_TEST(fleet.maximumInWindow(seconds(8)) >= rate.perSecond * 8 + rate.burst);
 }
 
 BOOST_AUTO_TEST_CASE(NothingBelowTheLimitIsRefused) {
@@ -107,31 +107,31 @@
     fleet.time().advance(seconds(20));
     const auto rate = statedRate(perSecond);
     Traffic traffic{fleet, rate, 0.6 * rate.perSecond};
-    traffic.play(seconds(20));
+    traffic.run(seconds(20));
     BOOST_TEST(traffic.refused() == 0U);
     // A question and its answer, but for the requests that come to the home itself.
-    BOOST_TEST(fleet.messages() <= 2 * traffic.answers.size());
+    BOOST_TEST(fleet.messages() <= 2 * traffic.results.size());
   }
 }
 
-BOOST_AUTO_TEST_CASE(AnotherTenantIsUntouchedByOneBeyondItsLimit) {
+BOOST_AUTO_TEST_CASE(TenantAboveItsLimitDoesNotAffectAnotherTenant) {
   QuotaFleet fleet(kNodes, relayOptions());
   fleet.time().advance(seconds(20));
   const auto rate = statedRate(100'000);
   Traffic traffic{fleet, rate, 7 * rate.perSecond};
   for (int round = 0; round < 30; ++round) {
-    traffic.play(milliseconds(100));
+    traffic.run(milliseconds(100));
     const auto other = fleet.acquire(5, demandOf(statedRate(29'000), kShortPrompt, "other"));
     fleet.time().advance(milliseconds(5));
     BOOST_TEST(other->granted());
   }
 }
 
-BOOST_AUTO_TEST_CASE(RefusalSaysWhenTheTokensAreThere) {
+BOOST_AUTO_TEST_CASE(RefusalReportsWhenTheTokensWillBeAvailable) {
   QuotaFleet fleet(kNodes, relayOptions());
   fleet.time().advance(seconds(20));
   const auto rate = statedRate(29'000);
-  QuotaFleet::AnswerPtr refused;
+  QuotaFleet::AcquireResultPtr refused;
   for (int count = 0; count < 20 && (!refused || refused->granted()); ++count) {
     refused = fleet.acquire(3, demandOf(rate, kLongPrompt));
     fleet.time().advance(milliseconds(5));
@@ -148,7 +148,7 @@
   BOOST_TEST(back->granted());
 }
 
-BOOST_AUTO_TEST_CASE(ThoseRefusedTogetherAreToldToComeBackOneBehindTheOther) {
+BOOST_AUTO_TEST_CASE(RetriesOfRequestsRefusedTogetherAreScheduledOneAfterTheOther) {
   QuotaFleet fleet(kNodes, relayOptions());
   fleet.time().advance(seconds(20));
   const auto rate = statedRate(29'000);
@@ -165,7 +165,7 @@
                boost::test_tools::tolerance(0.1));
 }
 
-BOOST_AUTO_TEST_CASE(RequestLargerThanTheBucketPassesAFullOneAndIsPaidFor) {
+BOOST_AUTO_TEST_CASE(RequestLargerThanTheBucketIsGrantedByAFullOneAndCharged) {
   QuotaFleet fleet(3, relayOptions());
   fleet.time().advance(seconds(20));
   const auto rate = statedRate(1'000);
@@ -182,14 +182,14 @@
              boost::test_tools::tolerance(0.02));
 }
 
-BOOST_AUTO_TEST_CASE(TenantsWithoutALimitAreNotAskedFor) {
+BOOST_AUTO_TEST_CASE(TenantsWithoutALimitNeedNoLease) {
   QuotaFleet fleet(3, relayOptions());
   const auto answer = fleet.acquire(0, {base::tenantIdOf("free"), 1, {}, 1'000'000});
   BOOST_TEST(answer->granted());
   BOOST_TEST(fleet.messages() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(RepeatedAttemptsAreChargedAndWhatDidNotRunIsGivenBack) {
+BOOST_AUTO_TEST_CASE(RepeatedAttemptsAreChargedAndUnusedTokensAreReturned) {
   QuotaFleet fleet(5, relayOptions());
   fleet.time().advance(seconds(20));
   const auto rate = statedRate(29'000);
@@ -211,7 +211,7 @@
   BOOST_TEST(third->verdict.balance < 0);
 }
 
-BOOST_AUTO_TEST_CASE(SilentHomeIsReplacedByTheNextInLineWithinItsTimeouts) {
+BOOST_AUTO_TEST_CASE(UnresponsiveHomeIsReplacedByTheNextInLineWithinItsTimeouts) {
   QuotaFleet fleet(kNodes, relayOptions());
   fleet.time().advance(seconds(20));
   const auto demand = demandOf(statedRate(300'000), kShortPrompt);
@@ -228,17 +228,17 @@
   BOOST_TEST(second->granted());
 }
 
-BOOST_AUTO_TEST_CASE(DeadHomesTenantsGetNoSecondFullBucket) {
+BOOST_AUTO_TEST_CASE(TenantsOfADeadHomeGetNoSecondFullBucket) {
   QuotaFleet fleet(kNodes, relayOptions());
   fleet.time().advance(seconds(20));
   const auto rate = statedRate(300'000);
   Traffic traffic{fleet, rate, 7 * rate.perSecond};
-  traffic.play(seconds(3));
+  traffic.run(seconds(3));
   fleet.kill(fleet.homeOf(base::tenantIdOf("tenant")));
-  traffic.play(seconds(2));
+  traffic.run(seconds(2));
   fleet.refreshViews();
-  traffic.play(seconds(8));
-  BOOST_TEST(fleet.worstWindow(seconds(8)) <= allowed(rate));
+  traffic.run(seconds(8));
+  BOOST_TEST(fleet.maximumInWindow(seconds(8)) <= allowed(rate));
 }
 
 BOOST_AUTO_TEST_CASE(RestartOfAllNodesDoesNotFillTheBucketOnEach) {
@@ -246,67 +246,67 @@
   fleet.time().advance(seconds(20));
   const auto rate = statedRate(300'000);
   Traffic traffic{fleet, rate, 4 * rate.perSecond};
-  traffic.play(seconds(4));
+  traffic.run(seconds(4));
   for (std::size_t node = 0; node < kNodes; ++node) fleet.kill(node);
   fleet.time().advance(seconds(1));
   for (std::size_t node = 0; node < kNodes; ++node) fleet.restart(node);
-  fleet.seeNobody();
-  fleet.setKnown(8);
-  traffic.play(milliseconds(300));
-  fleet.setKnown(kNodes);
+  fleet.isolateViews();
+  fleet.setKnownNodes(8);
+  traffic.run(milliseconds(300));
+  fleet.setKnownNodes(kNodes);
   fleet.refreshViews();
-  traffic.play(seconds(8));
-  BOOST_TEST(fleet.worstWindow(seconds(8)) <= allowed(rate));
+  traffic.run(seconds(8));
+  BOOST_TEST(fleet.maximumInWindow(seconds(8)) <= allowed(rate));
 }
 
-BOOST_AUTO_TEST_CASE(NodesThatAreCutOffGrantTheirSharesOnly) {
+BOOST_AUTO_TEST_CASE(PartitionedNodesGrantOnlyTheirShares) {
   for (const double perSecond : {29'000.0, 300'000.0}) {
     QuotaFleet fleet(kNodes, relayOptions());
     fleet.time().advance(seconds(20));
     const auto rate = statedRate(perSecond);
     Traffic traffic{fleet, rate, 7 * rate.perSecond};
-    traffic.play(seconds(2));
+    traffic.run(seconds(2));
     for (std::size_t node = 0; node < 28; ++node) fleet.setGroup(node, node + 1);
-    traffic.play(milliseconds(1500));
+    traffic.run(milliseconds(1500));
     fleet.refreshViews();
-    traffic.play(seconds(8));
-    BOOST_TEST(fleet.worstWindow(seconds(8)) <= allowed(rate));
+    traffic.run(seconds(8));
+    BOOST_TEST(fleet.maximumInWindow(seconds(8)) <= allowed(rate));
   }
 }
 
-BOOST_AUTO_TEST_CASE(DividedFleetSharesTheLimit) {
+BOOST_AUTO_TEST_CASE(PartitionedFleetSharesTheLimit) {
   QuotaFleet fleet(kNodes, relayOptions());
   fleet.time().advance(seconds(20));
   const auto rate = statedRate(300'000);
   Traffic traffic{fleet, rate, 7 * rate.perSecond};
   for (std::size_t node = 0; node < kNodes; ++node) fleet.setGroup(node, node % 3);
   fleet.refreshViews();
-  traffic.play(seconds(12));
-  BOOST_TEST(fleet.worstWindow(seconds(8)) <= allowed(rate));
-  BOOST_TEST(fleet.worstWindow(seconds(8)) >= rate.perSecond * 8);
+  traffic.run(seconds(12));
+  BOOST_TEST(fleet.maximumInWindow(seconds(8)) <= allowed(rate));
+  BOOST_TEST(fleet.maximumInWindow(seconds(8)) >= rate.perSecond * 8);
 }
 
-BOOST_AUTO_TEST_CASE(TwoHomesAtOnceStayWithinTheTolerance) {
+BOOST_AUTO_TEST_CASE(TwoSimultaneousHomesStayWithinTheTolerance) {
   QuotaFleet fleet(kNodes, relayOptions());
   fleet.time().advance(seconds(20));
   const auto rate = statedRate(300'000);
   Traffic traffic{fleet, rate, 7 * rate.perSecond};
   const std::size_t home = fleet.homeOf(base::tenantIdOf("tenant"));
-  traffic.play(seconds(2));
+  traffic.run(seconds(2));
   // Half of the nodes lose the home for as long as it takes to declare a node dead.
   for (std::size_t node = 0; node < kNodes; ++node)
     fleet.setGroup(node, node != home && node % 2 == 0 ? 1 : 0);
-  traffic.play(milliseconds(1500));
+  traffic.run(milliseconds(1500));
   for (std::size_t node = 0; node < kNodes; ++node) fleet.setGroup(node, 0);
-  traffic.play(seconds(8));
-  BOOST_TEST(fleet.worstWindow(seconds(8)) <= allowed(rate));
+  traffic.run(seconds(8));
+  BOOST_TEST(fleet.maximumInWindow(seconds(8)) <= allowed(rate));
 }
 
-BOOST_AUTO_TEST_CASE(LowerLimitBindsAfterOneWindow) {
+BOOST_AUTO_TEST_CASE(LoweredLimitAppliesAfterOneWindow) {
   QuotaFleet fleet(kNodes, relayOptions());
   fleet.time().advance(seconds(20));
   Traffic before{fleet, statedRate(300'000), 600'000};
-  before.play(seconds(5));
+  before.run(seconds(5));
   const auto lower = statedRate(60'000);
   const auto changedAt = fleet.time().now();
   base::SeededRandom random{3};
@@ -338,7 +338,7 @@
                     base::SeededRandom{seed}};
     for (int fault = 0; fault < 3; ++fault) {
       // Two faults fall into one window at most.
-      traffic.play(milliseconds(2'500 + random.below(3'000)));
+      traffic.run(milliseconds(2'500 + random.below(3'000)));
       const std::size_t node = random.below(kSmallFleet);
       const std::uint64_t kind = random.below(4);
       if (kind == 0) fleet.freeze(node, true);
@@ -350,17 +350,17 @@
         for (std::size_t other = 0; other < kSmallFleet; ++other) fleet.setGroup(other, other % 2);
       }
       if (kind == 3) fleet.kill(fleet.homeOf(base::tenantIdOf("tenant")));
-      traffic.play(milliseconds(500 + random.below(1'000)));
+      traffic.run(milliseconds(500 + random.below(1'000)));
       if (kind != 0) fleet.refreshViews();
-      traffic.play(milliseconds(500 + random.below(3'000)));
+      traffic.run(milliseconds(500 + random.below(3'000)));
       fleet.freeze(node, false);
       for (std::size_t other = 0; other < kSmallFleet; ++other) fleet.setGroup(other, 0);
       if (kind == 3) fleet.restart(fleet.homeOf(base::tenantIdOf("tenant")));
       fleet.refreshViews();
     }
-    traffic.play(seconds(4));
-    BOOST_TEST(fleet.worstWindow(seconds(8)) <= allowed(rate),
-               "seed " << seed << ": " << fleet.worstWindow(seconds(8)) / allowed(rate));
+    traffic.run(seconds(4));
+    BOOST_TEST(fleet.maximumInWindow(seconds(8)) <= allowed(rate),
+               "seed " << seed << ": " << fleet.maximumInWindow(seconds(8)) / allowed(rate));
   }
 }
 
@@ -380,7 +380,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(WithoutToleranceATenantMaySaveUpMostOfASecond) {
+BOOST_AUTO_TEST_CASE(WithoutToleranceATenantMayAccumulateMostOfASecond) {
   const auto rate = statedRate(29'000);
   const auto limits = QuotaWindow{}.limitsFor(rate);
   BOOST_TEST(limits.burst >= 2 * kLongPrompt);
