--- a/tests/admission/retry_window_test.cc
+++ b/tests/admission/retry_window_test.cc
@@ -52,12 +52,12 @@
       : random(seed), stepTime(timeOfStep) {}
 
   /// A few seconds with a load of their own. Retries wait up to `wait` and are sent when it ends.
-  void play(base::Duration span, std::size_t requestsAStep, base::Duration wait) {
+  void run(base::Duration span, std::size_t requestsAStep, base::Duration wait) {
     const auto end = now + span;
-    const auto shortageEnds = now + wait;
+    const auto waitEnds = now + wait;
     for (; now < end; now += stepTime) {
       for (Node& node : fleet) {
-        step(node, random.below(requestsAStep + 1), std::max(now, shortageEnds));
+        step(node, random.below(requestsAStep + 1), std::max(now, waitEnds));
         sendDue(node);
       }
     }
@@ -79,7 +79,7 @@
   }
 
   /// Each node starts again with this chance: what it counted is lost, what waited there is gone.
-  void restartSome(std::size_t percent) {
+  void restartRandomNodes(std::size_t percent) {
     for (Node& node : fleet) {
       if (random.below(100) >= percent) continue;
       node.waiting.clear();
@@ -88,7 +88,7 @@
   }
 
   /// Retries sent within a window, for each that the bound allows there: the most of all windows.
-  double fullestWindow() const {
+  double maximumUsage() const {
     constexpr base::Duration kWindow = seconds(10);
     double fullest = 0;
     for (auto begin = base::TimePoint{seconds(90)}; begin < now; begin += milliseconds(100)) {
@@ -125,7 +125,7 @@
   BOOST_TEST(take(windows, "s", now + seconds(11)));
 }
 
-BOOST_AUTO_TEST_CASE(NodeThatHasJustStartedRetriesWithoutSlackForOneWindow) {
+BOOST_AUTO_TEST_CASE(NewlyStartedNodeHasNoSlackForOneWindow) {
   const base::TimePoint startedAt{seconds(100)};
   const auto almost = startedAt + milliseconds(9900);
   RetryWindows windows({seconds(10), 0.2, 10, 1.0}, startedAt, nodes(1));
@@ -137,7 +137,7 @@
   BOOST_TEST(take(windows, "s", startedAt + seconds(10)));
 }
 
-BOOST_AUTO_TEST_CASE(ServicesHaveWindowsOfTheirOwn) {
+BOOST_AUTO_TEST_CASE(ServicesHaveSeparateWindows) {
   RetryWindows windows({seconds(10), 0, 1, 1.0}, kLongAgo, nodes(1));
   const base::TimePoint now{seconds(100)};
   BOOST_TEST(take(windows, "s", now));
@@ -145,7 +145,7 @@
   BOOST_TEST(take(windows, "t", now));
 }
 
-BOOST_AUTO_TEST_CASE(NoWindowEverHoldsMoreThanItsShareOfItsRequests) {
+BOOST_AUTO_TEST_CASE(NoWindowExceedsTheShareOfItsRequests) {
   base::SeededRandom random(1);
   RetryWindows windows({seconds(10), 0.2, 6, 1.0}, kLongAgo, nodes(2));
   std::vector<base::TimePoint> requests;
@@ -170,14 +170,14 @@
 
 // Retries were counted when they were taken from the budget. With waits of up to 6 s a window held
 // up to 1.376 times what the bound allows; counted when they are sent, it is 0.862.
-BOOST_AUTO_TEST_CASE(NoWindowOfSendsHoldsMoreThanTheBoundWhereRetriesWait) {
+BOOST_AUTO_TEST_CASE(NoWindowExceedsTheBoundIfRetriesWaitBeforeTheyAreSent) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     RetryingNodes fleet{seed};
     for (int phase = 0; phase < 12; ++phase) {
       const auto wait = milliseconds(static_cast<std::int64_t>(fleet.random.below(6000)));
-      fleet.play(seconds(6), fleet.random.below(4), wait);
+      fleet.run(seconds(6), fleet.random.below(4), wait);
     }
-    BOOST_TEST_CONTEXT("seed " << seed) { BOOST_TEST(fleet.fullestWindow() <= 1.0); }
+    BOOST_TEST_CONTEXT("seed " << seed) { BOOST_TEST(fleet.maximumUsage() <= 1.0); }
     BOOST_TEST(!fleet.sent.empty());
   }
 }
@@ -185,34 +185,33 @@
 // A node that started again had its whole part of the slack anew, though its former run had used it
 // within the same window. All nodes were killed at 8 s, 13 s and 17 s while replicas refused most
 // requests: 242 retries reached a service within 10 s, where 227 were allowed for 863 requests.
-BOOST_AUTO_TEST_CASE(NoWindowOfSendsHoldsMoreThanTheBoundWhereNodesStartAgain) {
+BOOST_AUTO_TEST_CASE(NoWindowExceedsTheBoundIfNodesRestart) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     RetryingNodes fleet{seed, milliseconds(100)};
     for (int phase = 0; phase < 36; ++phase) {
       const auto wait = milliseconds(static_cast<std::int64_t>(fleet.random.below(300)));
-      fleet.play(seconds(2), fleet.random.below(2), wait);
-      fleet.restartSome(fleet.random.below(100));
+      fleet.run(seconds(2), fleet.random.below(2), wait);
+      fleet.restartRandomNodes(fleet.random.below(100));
     }
-    BOOST_TEST_CONTEXT("seed " << seed) { BOOST_TEST(fleet.fullestWindow() <= 1.0); }
+    BOOST_TEST_CONTEXT("seed " << seed) { BOOST_TEST(fleet.maximumUsage() <= 1.0); }
     BOOST_TEST(!fleet.sent.empty());
   }
 }
 
 // A node that was killed a second after its requests had begun to fail had used the allowance of
 // its last ten seconds; its next run had that of its own requests besides, within the same window.
-BOOST_AUTO_TEST_CASE(
-    NoWindowOfSendsHoldsMoreThanTheBoundWhereNodesAreKilledSoonAfterFailuresBegin) {
+BOOST_AUTO_TEST_CASE(NoWindowExceedsTheBoundIfNodesAreKilledSoonAfterFailuresBegin) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     RetryingNodes nodes{seed, milliseconds(50)};
     for (int phase = 0; phase < 6; ++phase) {
       nodes.failing = false;
-      nodes.play(seconds(11), 1, {});
+      nodes.run(seconds(11), 1, {});
       nodes.failing = true;
-      nodes.play(milliseconds(500 + static_cast<std::int64_t>(nodes.random.below(2000))), 1, {});
-      nodes.restartSome(100);
-      nodes.play(seconds(9), 1, {});
+      nodes.run(milliseconds(500 + static_cast<std::int64_t>(nodes.random.below(2000))), 1, {});
+      nodes.restartRandomNodes(100);
+      nodes.run(seconds(9), 1, {});
     }
-    BOOST_TEST_CONTEXT("seed " << seed) { BOOST_TEST(nodes.fullestWindow() <= 1.0); }
+    BOOST_TEST_CONTEXT("seed " << seed) { BOOST_TEST(nodes.maximumUsage() <= 1.0); }
     BOOST_TEST(!nodes.sent.empty());
   }
 }
--- a/tests/admission/tenant_quotas_test.cc
+++ b/tests/admission/tenant_quotas_test.cc
@@ -93,7 +93,7 @@
 
 // What the home lent is of the time at which it was asked for: after the end of the lease it may
 // have granted as much anew.
-BOOST_AUTO_TEST_CASE(GrantThatIsReadAfterASleepBeyondItsLeaseIsNotUsed) {
+BOOST_AUTO_TEST_CASE(GrantReadAfterItsLeaseExpiredInASuspensionIsNotUsed) {
   FakeCluster cluster(2);
   const auto tenant = tenantNamed("large");
   tenant->limits.requestsPerSecond = 50;
@@ -113,7 +113,7 @@
   BOOST_TEST(admittedOf(calls) == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(SlotsThatAreReadAfterASleepBeyondTheirLeaseAreAskedForAnew) {
+BOOST_AUTO_TEST_CASE(SlotsReadAfterTheirLeaseExpiredInASuspensionAreRequestedAgain) {
   FakeCluster cluster(2);
   const auto tenant = tenantNamed("large");
   tenant->limits.concurrency = 4;
@@ -128,7 +128,7 @@
   BOOST_TEST(admittedOf(calls) == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(ARefusalSaysWhenTheNextTokenComes) {
+BOOST_AUTO_TEST_CASE(ARefusalReportsWhenTheNextTokenIsAvailable) {
   FakeCluster cluster(1);
   const auto tenant = tenantNamed("slow");
   tenant->limits.requestsPerSecond = 0.1;
@@ -142,13 +142,13 @@
   BOOST_TEST((retryAfter > seconds(7) && retryAfter < seconds(13)));
 }
 
-BOOST_AUTO_TEST_CASE(WithoutItsHomeANodeAdmitsItsShareOnly) {
+BOOST_AUTO_TEST_CASE(WithoutItsHomeANodeAdmitsOnlyItsShare) {
   constexpr std::size_t kNodes = 4;
   constexpr std::uint32_t kLimit = 8;
   FakeCluster cluster(kNodes);
   const auto tenant = tenantNamed("large");
   tenant->limits.concurrency = kLimit;
-  for (std::size_t node = 0; node < kNodes; ++node) cluster.cut(node, true);
+  for (std::size_t node = 0; node < kNodes; ++node) cluster.setPartitioned(node, true);
   std::vector<Call> calls;
   for (int round = 0; round < 20; ++round) {
     for (std::size_t node = 0; node < kNodes; ++node) {
@@ -167,8 +167,8 @@
   FakeCluster cluster(2);
   const auto tenant = tenantNamed("large");
   tenant->limits.concurrency = 8;
-  cluster.cut(0, true);
-  cluster.cut(1, true);
+  cluster.setPartitioned(0, true);
+  cluster.setPartitioned(1, true);
   const Call first = call(cluster.service(0), tenant);
   const Call second = call(cluster.service(1), tenant);
   cluster.time().advance(milliseconds(125));
@@ -218,32 +218,32 @@
 
 BOOST_AUTO_TEST_SUITE(QuotaMessagesTest)
 
-RC_BOOST_PROP(AnAskComesBackAsSent,
-              (std::uint64_t tenant, std::uint32_t held, std::uint32_t wanted, bool answer)) {
-  QuotaLeaseRequest ask;
-  ask.tenant.value = tenant;
-  ask.revision = 7;
-  ask.limits.ratePerSecond = 12.5;
-  ask.limits.burst = 4;
-  ask.limits.concurrency = 9;
-  ask.sequence = 11;
-  ask.tokensWanted = wanted;
-  ask.slotsHeld = held;
-  ask.slotsWanted = wanted;
-  ask.answerWanted = answer;
-  const auto decoded = decodeQuotaMessage(encode(ask));
+RC_BOOST_PROP(LeaseRequestSurvivesEncoding,
+              (std::uint64_t tenant, std::uint32_t held, std::uint32_t wanted, bool wantsReply)) {
+  QuotaLeaseRequest leaseRequest;
+  leaseRequest.tenant.value = tenant;
+  leaseRequest.revision = 7;
+  leaseRequest.limits.ratePerSecond = 12.5;
+  leaseRequest.limits.burst = 4;
+  leaseRequest.limits.concurrency = 9;
+  leaseRequest.sequence = 11;
+  leaseRequest.tokensWanted = wanted;
+  leaseRequest.slotsHeld = held;
+  leaseRequest.slotsWanted = wanted;
+  leaseRequest.replyWanted = wantsReply;
+  const auto decoded = decodeQuotaMessage(encode(leaseRequest));
   RC_ASSERT(decoded.has_value());
   const auto& got = std::get<QuotaLeaseRequest>(*decoded);
-  RC_ASSERT(got.tenant == ask.tenant);
+  RC_ASSERT(got.tenant == leaseRequest.tenant);
   RC_ASSERT(got.limits.ratePerSecond == 12.5);
   RC_ASSERT(got.limits.concurrency == 9U);
   RC_ASSERT(got.tokensWanted == wanted);
   RC_ASSERT(got.slotsHeld == held);
   RC_ASSERT(got.slotsWanted == wanted);
-  RC_ASSERT(got.answerWanted == answer);
+  RC_ASSERT(got.replyWanted == wantsReply);
 }
 
-RC_BOOST_PROP(ArbitraryBytesAreRefusedOrDecoded, (const std::string& bytes)) {
+RC_BOOST_PROP(ArbitraryBytesAreRejectedOrDecoded, (const std::string& bytes)) {
   decodeQuotaMessage(bytes);
 }
 
--- a/tests/admission/virtual_replica.h
+++ b/tests/admission/virtual_replica.h
@@ -15,7 +15,7 @@
   explicit VirtualReplica(std::uint32_t slots = 24, std::uint64_t memory = 87000)
       : slots_(slots), memory_(memory) {}
 
-  bool fits(const QueueEntry& entry, bool /*inTime*/) const override {
+  bool fits(const QueueEntry& entry, bool /*onTime*/) const override {
     return runs_.size() < slots_ && (memory_ == 0 || memoryInUse() + entry.cost.tokens <= memory_);
   }
   std::uint32_t slots() const override { return slots_; }
@@ -29,13 +29,13 @@
   base::Duration meanRunTime() const override { return runTime_; }
 
   void start(const QueueEntry& entry, base::TimePoint now) {
-    runs_.push_back({now + entry.cost.run, entry.cost.tokens});
-    runTime_ += (entry.cost.run - runTime_) / 16;
+    runs_.push_back({now + entry.cost.runTime, entry.cost.tokens});
+    runTime_ += (entry.cost.runTime - runTime_) / 16;
   }
   void endRuns(base::TimePoint now) {
     std::erase_if(runs_, [now](const Run& run) { return run.end <= now; });
   }
-  void setRoom(std::uint32_t slots, std::uint64_t memory) {
+  void setCapacity(std::uint32_t slots, std::uint64_t memory) {
     slots_ = slots;
     memory_ = memory;
   }
