--- a/src/quarantine/crash_evidence.h
+++ b/src/quarantine/crash_evidence.h
@@ -25,15 +25,15 @@
   /// Runs that broke off by chance at the same replicas make two crashes in common likely in a wave
   /// of them, and three hardly (129 runs at eleven crashed replicas: eight requests twice, none
   /// of the innocent ones three times).
-  std::size_t crashesOfCulprit = 3;
+  std::size_t culpritCrashThreshold = 3;
   /// Suspects that were at the same crashes are held for culprits together from this number on.
-  std::size_t crashesOfInseparable = 5;
+  std::size_t inseparableCrashThreshold = 5;
   /// Crashes longer ago count no more.
-  base::Duration memory = std::chrono::minutes(10);
+  base::Duration retention = std::chrono::minutes(10);
   /// Crashes that are remembered; the oldest give way.
-  std::size_t mostCrashes = 256;
+  std::size_t maximumCrashes = 256;
   /// Runs that are remembered of one crash: more than replicas run at once.
-  std::size_t mostRuns = 1024;
+  std::size_t maximumRunsPerCrash = 1024;
 };
 
 struct Culprit {
@@ -68,13 +68,13 @@
     bool explained = false;
   };
   /// Crashes that count against each suspect, as places in `crashes_`, ascending.
-  using Cases = std::unordered_map<base::RequestFingerprint, std::vector<std::size_t>>;
+  using CrashesBySuspect = std::unordered_map<base::RequestFingerprint, std::vector<std::size_t>>;
 
   Crash& crashOf(base::EngineId replica, base::TimePoint now);
-  bool counts(const Crash& crash, base::RequestFingerprint request) const;
-  void forgetOld(base::TimePoint now);
-  Cases cases() const;
-  bool separable(const Cases& all, base::RequestFingerprint request) const;
+  bool countsAgainst(const Crash& crash, base::RequestFingerprint request) const;
+  void dropExpired(base::TimePoint now);
+  CrashesBySuspect crashesBySuspect() const;
+  bool separable(const CrashesBySuspect& all, base::RequestFingerprint request) const;
 
   CrashEvidenceOptions options_;
   std::deque<Crash> crashes_;
--- a/src/quarantine/quarantine_messages.cc
+++ b/src/quarantine/quarantine_messages.cc
@@ -8,20 +8,20 @@
 
 namespace {
 
-constexpr std::uint64_t kEndedType = 1;
+constexpr std::uint64_t kCrashReportType = 1;
 constexpr std::uint64_t kSuspectedType = 2;
 constexpr std::uint64_t kServedType = 3;
 constexpr std::uint64_t kEntryType = 4;
-constexpr std::uint32_t kEndedFields = 3;
+constexpr std::uint32_t kCrashReportFields = 3;
 constexpr std::uint32_t kSuspectedFields = 4;
 constexpr std::uint32_t kServedFields = 2;
 constexpr std::uint32_t kEntryFields = 5;
 /// Identifiers in one message: no replica runs more requests of one node at once.
-constexpr std::uint32_t kMostIdentifiers = 1024;
+constexpr std::uint32_t kMaximumIdentifiers = 1024;
 
 template <class Identifier>
 void write(base::Writer& writer, const std::vector<Identifier>& identifiers) {
-  const auto count = std::min<std::size_t>(identifiers.size(), kMostIdentifiers);
+  const auto count = std::min<std::size_t>(identifiers.size(), kMaximumIdentifiers);
   writer.array(static_cast<std::uint32_t>(count));
   for (std::size_t index = 0; index < count; ++index)
     writer.unsignedInteger(identifiers[index].value);
@@ -30,7 +30,7 @@
 template <class Identifier>
 std::vector<Identifier> read(base::Reader& reader) {
   std::vector<Identifier> identifiers;
-  const auto count = std::min(reader.beginArray(), kMostIdentifiers);
+  const auto count = std::min(reader.beginArray(), kMaximumIdentifiers);
   for (std::uint32_t index = 0; index < count && reader.ok(); ++index)
     identifiers.push_back({reader.unsignedInteger()});
   reader.endArray();
@@ -48,7 +48,7 @@
   return std::chrono::milliseconds(std::min(reader.unsignedInteger(), kLatestMilliseconds));
 }
 
-CrashReport readEnded(base::Reader& reader) {
+CrashReport readCrashReport(base::Reader& reader) {
   CrashReport message;
   message.replica.value = reader.unsignedInteger();
   message.runs = read<base::RequestFingerprint>(reader);
@@ -75,7 +75,7 @@
 std::optional<QuarantineMessage> readMessage(base::Reader& reader) {
   const auto fields = reader.beginArray();
   const auto type = reader.unsignedInteger();
-  if (type == kEndedType && fields >= kEndedFields) return readEnded(reader);
+  if (type == kCrashReportType && fields >= kCrashReportFields) return readCrashReport(reader);
   if (type == kSuspectedType && fields >= kSuspectedFields) return readSuspected(reader);
   if (type == kServedType && fields >= kServedFields)
     return RequestServed{{reader.unsignedInteger()}};
@@ -87,7 +87,9 @@
 
 std::string encode(const CrashReport& message) {
   base::Writer writer;
-  writer.array(kEndedFields).unsignedInteger(kEndedType).unsignedInteger(message.replica.value);
+  writer.array(kCrashReportFields)
+      .unsignedInteger(kCrashReportType)
+      .unsignedInteger(message.replica.value);
   write(writer, message.runs);
   return writer.take();
 }
--- a/src/quarantine/quarantine_rows.cc
+++ b/src/quarantine/quarantine_rows.cc
@@ -8,9 +8,9 @@
 namespace {
 
 /// Rows read at once: more than are quarantined within the lifetime of an entry.
-constexpr std::size_t kMostRows = 4096;
-constexpr base::Duration kFirstPause = std::chrono::milliseconds(100);
-constexpr base::Duration kLongestPause = std::chrono::seconds(5);
+constexpr std::size_t kMaximumRows = 4096;
+constexpr base::Duration kInitialRetryDelay = std::chrono::milliseconds(100);
+constexpr base::Duration kMaximumRetryDelay = std::chrono::seconds(5);
 constexpr double kJitter = 0.5;
 constexpr int kWriteAttempts = 10;
 
@@ -23,30 +23,30 @@
   int attempts = 0;
 };
 
-base::Duration QuarantineRows::pause(int attempts) {
-  auto pause = kFirstPause;
-  for (int attempt = 1; attempt < attempts && pause < kLongestPause; ++attempt) pause *= 2;
-  return random_.jittered(std::min(pause, kLongestPause), kJitter);
+base::Duration QuarantineRows::retryDelay(int attempts) {
+  auto delay = kInitialRetryDelay;
+  for (int attempt = 1; attempt < attempts && delay < kMaximumRetryDelay; ++attempt) delay *= 2;
+  return random_.jittered(std::min(delay, kMaximumRetryDelay), kJitter);
 }
 
 void QuarantineRows::load(Loaded loaded) {
-  table_.scan(std::string{kQuarantineRowsPrefix}, 0, kMostRows,
+  table_.scan(std::string{kQuarantineRowsPrefix}, 0, kMaximumRows,
               [this, loaded = std::move(loaded),
                alive = std::weak_ptr(lifetime_)](const clients::TableReply& reply) {
                 if (alive.expired()) return;
                 if (reply.status != clients::TableStatus::kOk) {
-                  timers_.schedule(pause(++loads_), [this, loaded, alive] {
+                  timers_.schedule(retryDelay(++loadAttempts_), [this, loaded, alive] {
                     if (!alive.expired()) load(loaded);
                   });
                   return;
                 }
-                loads_ = 0;
-                loaded(evidenceIn(reply));
+                loadAttempts_ = 0;
+                loaded(decodeRows(reply));
               });
 }
 
-KeptEvidence QuarantineRows::evidenceIn(const clients::TableReply& reply) {
-  KeptEvidence evidence;
+StoredEvidence QuarantineRows::decodeRows(const clients::TableReply& reply) {
+  StoredEvidence evidence;
   for (const auto& row : reply.rows) {
     const auto message = decodeQuarantineMessage(row.value);
     if (message && std::holds_alternative<QuarantineEntry>(*message)) {
@@ -89,11 +89,11 @@
                                const clients::TableReply& reply) {
   if (reply.status == clients::TableStatus::kOk) return;
   if (reply.status == clients::TableStatus::kConflict) {
-    const auto kept = evidenceIn(reply).entries;
-    if (!kept.empty() && kept.front().version() >= write->entry.version()) return;
+    const auto stored = decodeRows(reply).entries;
+    if (!stored.empty() && stored.front().version() >= write->entry.version()) return;
     write->expected = reply.rows.empty() ? 0 : reply.rows.front().revision;
   }
-  timers_.schedule(pause(write->attempts), [this, write, alive = std::weak_ptr(lifetime_)] {
+  timers_.schedule(retryDelay(write->attempts), [this, write, alive = std::weak_ptr(lifetime_)] {
     if (!alive.expired()) step(write);
   });
 }
@@ -102,7 +102,7 @@
   write(suspected.request, encode(suspected));
 }
 
-void QuarantineRows::forgetSuspect(base::RequestFingerprint request) {
+void QuarantineRows::removeSuspect(base::RequestFingerprint request) {
   write(request, std::nullopt);
 }
 
@@ -142,7 +142,7 @@
     }
     return;
   }
-  timers_.schedule(pause(write.attempts), [this, suspect, alive = std::weak_ptr(lifetime_)] {
+  timers_.schedule(retryDelay(write.attempts), [this, suspect, alive = std::weak_ptr(lifetime_)] {
     if (!alive.expired()) step(suspect);
   });
 }
--- a/src/quarantine/quarantine_rows.h
+++ b/src/quarantine/quarantine_rows.h
@@ -19,14 +19,14 @@
 namespace covewing::quarantine {
 
 /// What the rows hold.
-struct KeptEvidence {
+struct StoredEvidence {
   std::vector<QuarantineEntry> entries;
   std::vector<RequestSuspected> suspects;
 };
 
 class QuarantineRows {
  public:
-  using Loaded = std::function<void(const KeptEvidence&)>;
+  using Loaded = std::function<void(const StoredEvidence&)>;
 
   /// All must outlive the rows.
   QuarantineRows(clients::TableClient& table, base::TimerService& timers,
@@ -42,7 +42,7 @@
   /// Keeps a suspect in place of what is kept of it. Repeated as above.
   void write(const RequestSuspected& suspected);
   /// Removes the row of a suspect.
-  void forgetSuspect(base::RequestFingerprint request);
+  void removeSuspect(base::RequestFingerprint request);
 
  private:
   struct Write;
@@ -56,19 +56,19 @@
     int attempts = 0;
   };
 
-  KeptEvidence evidenceIn(const clients::TableReply& reply);
+  StoredEvidence decodeRows(const clients::TableReply& reply);
   void write(base::RequestFingerprint suspect, std::optional<std::string> value);
   void step(base::RequestFingerprint suspect);
   void onWritten(base::RequestFingerprint suspect, const clients::TableReply& reply);
   void step(const std::shared_ptr<Write>& write);
   void onWritten(const std::shared_ptr<Write>& write, const clients::TableReply& reply);
-  base::Duration pause(int attempts);
+  base::Duration retryDelay(int attempts);
 
   clients::TableClient& table_;
   base::TimerService& timers_;
   base::RandomSource& random_;
   base::EventLog& log_;
-  int loads_ = 0;
+  int loadAttempts_ = 0;
   /// Rows of suspects that are being written.
   std::unordered_map<base::RequestFingerprint, SuspectWrite> suspectWrites_;
   /// Outlived by callbacks that must no longer reach this object.
--- a/src/quarantine/request_quarantine.cc
+++ b/src/quarantine/request_quarantine.cc
@@ -26,7 +26,7 @@
 RequestQuarantine::~RequestQuarantine() {
   environment_.timers.cancel(verdictTimer_);
   environment_.timers.cancel(comparisonTimer_);
-  environment_.timers.cancel(followTimer_);
+  environment_.timers.cancel(homeCheckTimer_);
 }
 
 void RequestQuarantine::start() {
@@ -45,7 +45,7 @@
   if (message && std::holds_alternative<QuarantineEntry>(*message)) {
     apply(std::get<QuarantineEntry>(*message), "another node");
   } else if (message && std::holds_alternative<RequestSuspected>(*message)) {
-    take(std::get<RequestSuspected>(*message));
+    handle(std::get<RequestSuspected>(*message));
   } else {
     environment_.log.write(
         base::Event::kMessageRejected,
@@ -67,49 +67,51 @@
 }
 
 void RequestQuarantine::onReplicaCrash(base::EngineId replica, const Fingerprints& runs) {
-  const CrashReport ended{replica, runs};
-  if (reports_.size() >= options_.mostReports) reports_.pop_front();
-  reports_.push_back({ended, environment_.clock.now()});
-  repeatedly([this, ended] { report(ended); });
-  scheduleFollowing();
+  const CrashReport report{replica, runs};
+  if (reports_.size() >= options_.maximumReports) reports_.pop_front();
+  reports_.push_back({report, environment_.clock.now()});
+  sendRepeatedly([this, report] { sendReport(report); });
+  scheduleHomeCheck();
 }
 
-void RequestQuarantine::scheduleFollowing() {
-  if (followTimer_ != 0) return;
-  reportedTo_ = environment_.members.version();
-  followTimer_ = environment_.timers.schedule(options_.followPeriod, [this] { followHomes(); });
+void RequestQuarantine::scheduleHomeCheck() {
+  if (homeCheckTimer_ != 0) return;
+  reportedMembersVersion_ = environment_.members.version();
+  homeCheckTimer_ =
+      environment_.timers.schedule(options_.homeCheckPeriod, [this] { resendToNewHomes(); });
 }
 
-void RequestQuarantine::followHomes() {
-  followTimer_ = 0;
-  const auto oldest = environment_.clock.now() - options_.evidence.memory;
+void RequestQuarantine::resendToNewHomes() {
+  homeCheckTimer_ = 0;
+  const auto oldest = environment_.clock.now() - options_.evidence.retention;
   while (!reports_.empty() && reports_.front().at < oldest) reports_.pop_front();
   if (reports_.empty()) return;
-  if (environment_.members.version() != reportedTo_) {
-    for (const auto& own : reports_) report(own.ended);
+  if (environment_.members.version() != reportedMembersVersion_) {
+    for (const auto& sent : reports_) sendReport(sent.report);
   }
-  scheduleFollowing();
+  scheduleHomeCheck();
 }
 
-void RequestQuarantine::report(const CrashReport& ended) {
+void RequestQuarantine::sendReport(const CrashReport& report) {
   std::map<base::Endpoint, Fingerprints> runsOf;
-  for (const auto run : ended.runs) {
+  for (const auto run : report.runs) {
     for (const auto& home : homesOf(run)) runsOf[home].push_back(run);
   }
-  for (const auto& [home, own] : runsOf) send(home, encode(CrashReport{ended.replica, own}));
+  for (const auto& [home, own] : runsOf) send(home, encode(CrashReport{report.replica, own}));
 }
 
-void RequestQuarantine::take(const CrashReport& ended) {
-  Fingerprints news;
-  for (const auto run : ended.runs) {
+void RequestQuarantine::handle(const CrashReport& report) {
+  Fingerprints newSuspects;
+  for (const auto run : report.runs) {
     const auto before = evidence_.crashesAgainst(run).size();
-    evidence_.onReplicaCrash(ended.replica, {run}, environment_.clock.now());
+    evidence_.onReplicaCrash(report.replica, {run}, environment_.clock.now());
     const auto after = evidence_.crashesAgainst(run).size();
-    if (after > before && after > 1 && after <= options_.mostAnnounced) news.push_back(run);
+    if (after > before && after > 1 && after <= options_.maximumAnnouncedCrashes)
+      newSuspects.push_back(run);
   }
-  for (const auto run : news) {
-    repeatedly([this, run] { announce(run); });
-    keepSuspect(run);
+  for (const auto run : newSuspects) {
+    sendRepeatedly([this, run] { announce(run); });
+    storeSuspect(run);
     object(run);
   }
   scheduleVerdict();
@@ -117,13 +119,13 @@
 
 void RequestQuarantine::announce(base::RequestFingerprint request) {
   // Repeated after the request was served, it would count against it anew where it was missed.
-  const auto suspected = suspicionOf(request);
+  const auto suspected = currentSuspicion(request);
   if (suspected.replicas.size() < 2) return;
   sendToAll(encode(suspected));
   publish(suspected);
 }
 
-RequestSuspected RequestQuarantine::suspicionOf(base::RequestFingerprint request) const {
+RequestSuspected RequestQuarantine::currentSuspicion(base::RequestFingerprint request) const {
   return {request, evidence_.crashesAgainst(request),
           environment_.serviceClock().value_or(base::Duration::zero())};
 }
@@ -134,16 +136,16 @@
       {suspectKeyOf(suspected.request), static_cast<std::uint64_t>(version), encode(suspected)});
 }
 
-void RequestQuarantine::take(const RequestSuspected& suspected) {
+void RequestQuarantine::handle(const RequestSuspected& suspected) {
   const auto before = evidence_.crashesAgainst(suspected.request).size();
-  count(suspected);
+  addSuspicion(suspected);
   const auto after = evidence_.crashesAgainst(suspected.request).size();
   // The other home may tell of a crash before the node does that saw it.
-  if (after > before && after > 1) keepSuspect(suspected.request);
+  if (after > before && after > 1) storeSuspect(suspected.request);
 }
 
-void RequestQuarantine::count(const RequestSuspected& suspected) {
-  if (ageOf(suspected.announcedAt) > options_.evidence.memory) return;
+void RequestQuarantine::addSuspicion(const RequestSuspected& suspected) {
+  if (ageOf(suspected.announcedAt) > options_.evidence.retention) return;
   for (const auto replica : suspected.replicas)
     evidence_.onReplicaCrash(replica, {suspected.request}, environment_.clock.now());
   object(suspected.request);
@@ -152,31 +154,31 @@
 
 void RequestQuarantine::object(base::RequestFingerprint request) {
   if (!served_.contains(request, environment_.clock.now())) return;
-  repeatedly([this, request] { sendToHomes(request, encode(RequestServed{request})); });
+  sendRepeatedly([this, request] { sendToHomes(request, encode(RequestServed{request})); });
 }
 
 void RequestQuarantine::onServed(base::RequestFingerprint request) {
   served_.add(request, environment_.clock.now());
   if (evidence_.crashesAgainst(request).empty() && !find(request)) return;
-  repeatedly([this, request] { sendToHomes(request, encode(RequestServed{request})); });
+  sendRepeatedly([this, request] { sendToHomes(request, encode(RequestServed{request})); });
 }
 
-void RequestQuarantine::take(const RequestServed& served) {
+void RequestQuarantine::handle(const RequestServed& served) {
   const auto request = served.request;
   const bool announced = evidence_.crashesAgainst(request).size() > 1;
   evidence_.onServed(request, environment_.clock.now());
   if (!isHomeOf(request)) return;
   if (announced) {
-    repeatedly([this, served] { sendToAll(encode(served)); });
-    publish(suspicionOf(request));
-    if (keepsRowsOf(request)) forgetSuspect(request);
+    sendRepeatedly([this, served] { sendToAll(encode(served)); });
+    publish(currentSuspicion(request));
+    if (writesRowsOf(request)) removeSuspect(request);
   }
   if (find(request)) lift(request);
 }
 
 void RequestQuarantine::scheduleVerdict() {
   if (verdictTimer_ != 0 || !evidence_.findCulprit(environment_.clock.now())) return;
-  verdictTimer_ = environment_.timers.schedule(options_.objectionTime, [this] {
+  verdictTimer_ = environment_.timers.schedule(options_.objectionPeriod, [this] {
     verdictTimer_ = 0;
     decide();
   });
@@ -201,7 +203,7 @@
   // The crashes are explained even where there is no room for one more.
   evidence_.onQuarantined(culprit.request, environment_.clock.now() + options_.lifetime);
   if (!apply(entry, "crashes seen")) return;
-  spread(entry);
+  broadcast(entry);
   rows_.write(entry);
 }
 
@@ -212,7 +214,7 @@
       std::max(environment_.serviceClock().value_or(entry.decidedAt), entry.decidedAt);
   entry.lifted = true;
   if (!apply(entry, "a run that came to its end")) return;
-  spread(entry);
+  broadcast(entry);
   rows_.write(entry);
 }
 
@@ -224,14 +226,14 @@
   std::erase_if(verdicts_, [now](const auto& verdict) { return verdict.second.until < now; });
   const auto age = ageOf(entry.decidedAt);
   const bool room =
-      verdicts_.contains(entry.request) || verdicts_.size() < options_.mostQuarantined;
+      verdicts_.contains(entry.request) || verdicts_.size() < options_.maximumQuarantined;
   if (age >= options_.lifetime || !room) return false;
   verdicts_[entry.request] = {entry, now + options_.lifetime - age};
   if (entry.lifted) {
     evidence_.onServed(entry.request, now);
   } else {
     evidence_.onQuarantined(entry.request, now + options_.lifetime - age);
-    forgetQuarantinedSuspect(entry.request);
+    removeQuarantinedSuspect(entry.request);
   }
   // Both homes decide, a few milliseconds apart.
   if (refusedBefore == entry.lifted) {
@@ -247,9 +249,9 @@
   return true;
 }
 
-void RequestQuarantine::spread(const QuarantineEntry& entry) {
+void RequestQuarantine::broadcast(const QuarantineEntry& entry) {
   // Gossip takes a second or more in a fleet of hundreds.
-  repeatedly([this, entry] { sendToAll(encode(entry)); });
+  sendRepeatedly([this, entry] { sendToAll(encode(entry)); });
   publish(entry);
 }
 
@@ -259,7 +261,7 @@
 
 void RequestQuarantine::scheduleComparison() {
   if (comparisonTimer_ != 0) return;
-  const auto delay = environment_.random.jittered(options_.comparePeriod, kJitter);
+  const auto delay = environment_.random.jittered(options_.comparisonPeriod, kJitter);
   comparisonTimer_ = environment_.timers.schedule(delay, [this] {
     comparisonTimer_ = 0;
     const bool judges = std::ranges::any_of(
@@ -277,75 +279,75 @@
       verdicts_, [this](const auto& verdict) { return isHomeOf(verdict.first); });
   if (judges) compareWithRows();
   for (const auto& [request, until] : suspectRows_) {
-    const auto suspected = suspicionOf(request);
-    if (keepsRowsOf(request) && !suspected.replicas.empty()) rows_.write(suspected);
+    const auto suspected = currentSuspicion(request);
+    if (writesRowsOf(request) && !suspected.replicas.empty()) rows_.write(suspected);
   }
 }
 
 void RequestQuarantine::compareWithRows() {
-  rows_.load([this](const KeptEvidence& kept) {
-    takeRows(kept);
+  rows_.load([this](const StoredEvidence& stored) {
+    mergeRows(stored);
     if (size() > 0) scheduleComparison();
   });
 }
 
-void RequestQuarantine::takeRows(const KeptEvidence& kept) {
-  for (const auto& entry : kept.entries) apply(entry, "the table service");
+void RequestQuarantine::mergeRows(const StoredEvidence& stored) {
+  for (const auto& entry : stored.entries) apply(entry, "the table service");
   for (const auto& [request, verdict] : verdicts_) {
-    const auto row = std::ranges::find(kept.entries, request, &QuarantineEntry::request);
+    const auto row = std::ranges::find(stored.entries, request, &QuarantineEntry::request);
     const bool wanted = find(request).has_value();
     // A row of a request that may be sent again would stop it after a restart.
-    const bool missing = wanted && row == kept.entries.end();
-    const bool left = verdict.entry.lifted && row != kept.entries.end();
+    const bool missing = wanted && row == stored.entries.end();
+    const bool left = verdict.entry.lifted && row != stored.entries.end();
     if (missing || left) rows_.write(verdict.entry);
     if (wanted) publish(verdict.entry);
   }
-  for (const auto& suspected : kept.suspects) {
+  for (const auto& suspected : stored.suspects) {
     const auto age = ageOf(suspected.announcedAt);
-    if (age > options_.evidence.memory) {
-      rows_.forgetSuspect(suspected.request);
+    if (age > options_.evidence.retention) {
+      rows_.removeSuspect(suspected.request);
       continue;
     }
-    watchSuspectRow(suspected.request, age);
-    count(suspected);
+    scheduleRowRemoval(suspected.request, age);
+    addSuspicion(suspected);
   }
 }
 
-void RequestQuarantine::keepSuspect(base::RequestFingerprint request) {
-  if (!keepsRowsOf(request)) return;
+void RequestQuarantine::storeSuspect(base::RequestFingerprint request) {
+  if (!writesRowsOf(request)) return;
   const bool room =
-      suspectRows_.contains(request) || suspectRows_.size() < options_.mostSuspectRows;
+      suspectRows_.contains(request) || suspectRows_.size() < options_.maximumSuspectRows;
   if (!room) return;
   // Where all nodes are killed before a verdict, nobody else knows of these crashes: a request
   // ended four replicas more, and was refused 5.3 s after its third instead of within 1 s.
-  rows_.write(suspicionOf(request));
-  watchSuspectRow(request, base::Duration::zero());
+  rows_.write(currentSuspicion(request));
+  scheduleRowRemoval(request, base::Duration::zero());
 }
 
-void RequestQuarantine::watchSuspectRow(base::RequestFingerprint request, base::Duration age) {
-  const auto left = options_.evidence.memory - age;
+void RequestQuarantine::scheduleRowRemoval(base::RequestFingerprint request, base::Duration age) {
+  const auto left = options_.evidence.retention - age;
   suspectRows_[request] = environment_.clock.now() + left;
   environment_.timers.schedule(left, [this, request, alive = std::weak_ptr(lifetime_)] {
     if (alive.expired()) return;
     const auto found = suspectRows_.find(request);
     if (found == suspectRows_.end() || environment_.clock.now() < found->second) return;
     suspectRows_.erase(found);
-    if (keepsRowsOf(request)) rows_.forgetSuspect(request);
+    if (writesRowsOf(request)) rows_.removeSuspect(request);
   });
 }
 
-void RequestQuarantine::forgetSuspect(base::RequestFingerprint request) {
+void RequestQuarantine::removeSuspect(base::RequestFingerprint request) {
   suspectRows_.erase(request);
-  rows_.forgetSuspect(request);
+  rows_.removeSuspect(request);
 }
 
-void RequestQuarantine::forgetQuarantinedSuspect(base::RequestFingerprint request) {
-  if (suspectRows_.erase(request) == 0 || !keepsRowsOf(request)) return;
+void RequestQuarantine::removeQuarantinedSuspect(base::RequestFingerprint request) {
+  if (suspectRows_.erase(request) == 0 || !writesRowsOf(request)) return;
   // Its homes write the verdict now: the row before it goes once that is there.
-  environment_.timers.schedule(options_.secondRepeat,
+  environment_.timers.schedule(options_.secondResendDelay,
                                [this, request, alive = std::weak_ptr(lifetime_)] {
                                  if (!alive.expired() && find(request))
-                                   rows_.forgetSuspect(request);
+                                   rows_.removeSuspect(request);
                                });
 }
 
@@ -366,7 +368,7 @@
   return std::ranges::find(homes, environment_.members.self().endpoint) != homes.end();
 }
 
-bool RequestQuarantine::keepsRowsOf(base::RequestFingerprint request) const {
+bool RequestQuarantine::writesRowsOf(base::RequestFingerprint request) const {
   return homesOf(request).front() == environment_.members.self().endpoint;
 }
 
@@ -391,9 +393,9 @@
   }
 }
 
-void RequestQuarantine::repeatedly(const std::function<void()>& send) {
+void RequestQuarantine::sendRepeatedly(const std::function<void()>& send) {
   send();
-  for (const auto delay : {options_.firstRepeat, options_.secondRepeat}) {
+  for (const auto delay : {options_.firstResendDelay, options_.secondResendDelay}) {
     environment_.timers.schedule(delay, [send, alive = std::weak_ptr(lifetime_)] {
       if (!alive.expired()) send();
     });
@@ -413,7 +415,7 @@
         if constexpr (std::is_same_v<Message, QuarantineEntry>) {
           apply(known, "its home");
         } else {
-          take(known);
+          handle(known);
         }
       },
       *message);
--- a/src/quarantine/request_quarantine.h
+++ b/src/quarantine/request_quarantine.h
@@ -37,25 +37,25 @@
 struct RequestQuarantineOptions {
   CrashEvidenceOptions evidence;
   /// From the proof against a request to its quarantine; others object within a round trip.
-  base::Duration objectionTime = std::chrono::milliseconds(300);
+  base::Duration objectionPeriod = std::chrono::milliseconds(300);
   /// How long a quarantined request is refused. New weights or software may run it, and a wrong
   /// verdict must not last; three crashes an hour are borne.
   base::Duration lifetime = std::chrono::hours(1);
   /// Messages are sent again after each of these.
-  base::Duration firstRepeat = std::chrono::milliseconds(150);
-  base::Duration secondRepeat = std::chrono::milliseconds(600);
+  base::Duration firstResendDelay = std::chrono::milliseconds(150);
+  base::Duration secondResendDelay = std::chrono::milliseconds(600);
   /// How often it is looked whether homes have changed, while there is evidence of this node's own.
-  base::Duration followPeriod = std::chrono::seconds(1);
+  base::Duration homeCheckPeriod = std::chrono::seconds(1);
   /// Own reports that are kept for homes to come; the oldest give way.
-  std::size_t mostReports = 256;
+  std::size_t maximumReports = 256;
   /// A suspect at more crashes than these is not announced again: the homes know enough.
-  std::size_t mostAnnounced = 8;
+  std::size_t maximumAnnouncedCrashes = 8;
   /// Between a home's comparisons with the table service, while anything is quarantined.
-  base::Duration comparePeriod = std::chrono::seconds(30);
+  base::Duration comparisonPeriod = std::chrono::seconds(30);
   /// Suspects of which this node keeps a row; beyond that none is added.
-  std::size_t mostSuspectRows = 256;
+  std::size_t maximumSuspectRows = 256;
   /// Requests in quarantine; beyond that none is added.
-  std::size_t mostQuarantined = 1024;
+  std::size_t maximumQuarantined = 1024;
 };
 
 /// All must outlive the quarantine and share its thread.
@@ -108,26 +108,26 @@
   };
 
   /// Runs of this node that ended with a replica.
-  struct Report {
-    CrashReport ended;
+  struct SentReport {
+    CrashReport report;
     base::TimePoint at{};
   };
 
   /// Sends each home those of the runs that are its own.
-  void report(const CrashReport& ended);
+  void sendReport(const CrashReport& report);
   /// Reports to the homes again when members came or went: a home that died took what it knew with
   /// it, and without its evidence a culprit would need three more crashes.
-  void followHomes();
-  void scheduleFollowing();
+  void resendToNewHomes();
+  void scheduleHomeCheck();
   /// As a home: runs of any node ended with a replica.
-  void take(const CrashReport& ended);
-  void take(const RequestSuspected& suspected);
-  void take(const RequestServed& served);
+  void handle(const CrashReport& report);
+  void handle(const RequestSuspected& suspected);
+  void handle(const RequestServed& served);
   /// Counts the crashes against the request, unless the suspicion is old.
-  void count(const RequestSuspected& suspected);
+  void addSuspicion(const RequestSuspected& suspected);
   /// Tells all which crashes count against the request.
   void announce(base::RequestFingerprint request);
-  RequestSuspected suspicionOf(base::RequestFingerprint request) const;
+  RequestSuspected currentSuspicion(base::RequestFingerprint request) const;
   void publish(const RequestSuspected& suspected);
   void onRecord(const membership::GossipRecord& record);
   void object(base::RequestFingerprint request);
@@ -139,32 +139,32 @@
   /// Takes an entry from wherever; false when a later one is known.
   bool apply(const QuarantineEntry& entry, std::string_view source);
   /// Tells all nodes, and gossip.
-  void spread(const QuarantineEntry& entry);
+  void broadcast(const QuarantineEntry& entry);
   void publish(const QuarantineEntry& entry);
   void scheduleComparison();
   void compareWithRows();
-  void takeRows(const KeptEvidence& kept);
+  void mergeRows(const StoredEvidence& stored);
   /// As the home that keeps the rows of a suspect: writes what counts against it now.
-  void keepSuspect(base::RequestFingerprint request);
+  void storeSuspect(base::RequestFingerprint request);
   /// Takes the row of a suspect for this node's to remove once it is as old as evidence gets.
-  void watchSuspectRow(base::RequestFingerprint request, base::Duration age);
+  void scheduleRowRemoval(base::RequestFingerprint request, base::Duration age);
   /// Nothing counts against the request any more.
-  void forgetSuspect(base::RequestFingerprint request);
+  void removeSuspect(base::RequestFingerprint request);
   /// The verdict on the request says all that its row as a suspect did.
-  void forgetQuarantinedSuspect(base::RequestFingerprint request);
+  void removeQuarantinedSuspect(base::RequestFingerprint request);
 
   /// The two nodes that judge a request, as this node sees the members; one where it is alone.
   std::vector<base::Endpoint> homesOf(base::RequestFingerprint request) const;
   bool isHomeOf(base::RequestFingerprint request) const;
   /// Of the two homes, the one that writes rows of a suspect.
-  bool keepsRowsOf(base::RequestFingerprint request) const;
+  bool writesRowsOf(base::RequestFingerprint request) const;
   void sendToHomes(base::RequestFingerprint request, const std::string& payload);
   /// To another node, or as if from another one to this node.
   void send(const base::Endpoint& destination, const std::string& payload);
   /// To all other nodes.
   void sendToAll(const std::string& payload);
   /// Runs now and after each pause.
-  void repeatedly(const std::function<void()>& send);
+  void sendRepeatedly(const std::function<void()>& send);
   /// Time since a moment by the table service's clock; zero where that clock is not known.
   base::Duration ageOf(base::Duration moment) const;
 
@@ -176,11 +176,11 @@
   std::unordered_map<base::RequestFingerprint, Verdict> verdicts_;
   /// Until when the rows of suspects count that this node keeps.
   std::unordered_map<base::RequestFingerprint, base::TimePoint> suspectRows_;
-  std::deque<Report> reports_;
+  std::deque<SentReport> reports_;
   /// The members that the reports were sent to.
-  std::uint64_t reportedTo_ = 0;
+  std::uint64_t reportedMembersVersion_ = 0;
   base::TimerId verdictTimer_ = 0;
-  base::TimerId followTimer_ = 0;
+  base::TimerId homeCheckTimer_ = 0;
   base::TimerId comparisonTimer_ = 0;
   /// Outlived by callbacks that must no longer reach this object.
   std::shared_ptr<bool> lifetime_ = std::make_shared<bool>(true);
--- a/src/quarantine/served_requests.cc
+++ b/src/quarantine/served_requests.cc
@@ -5,7 +5,7 @@
 void ServedRequests::add(base::RequestFingerprint request, base::TimePoint now) {
   order_.push_back({request, now});
   latest_[request] = now;
-  while (order_.size() > kMost || now - order_.front().at > kMemory) {
+  while (order_.size() > kMaximumEntries || now - order_.front().at > kRetention) {
     const auto& oldest = order_.front();
     const auto known = latest_.find(oldest.request);
     if (known != latest_.end() && known->second == oldest.at) latest_.erase(known);
@@ -15,7 +15,7 @@
 
 bool ServedRequests::contains(base::RequestFingerprint request, base::TimePoint now) const {
   const auto known = latest_.find(request);
-  return known != latest_.end() && now - known->second <= kMemory;
+  return known != latest_.end() && now - known->second <= kRetention;
 }
 
 }  // namespace covewing::quarantine
--- a/src/quarantine/served_requests.h
+++ b/src/quarantine/served_requests.h
@@ -19,9 +19,9 @@
  private:
   /// A request that many send is served many times a minute; one that began to crash replicas only
   /// now, under new software or weights, is found this much later.
-  static constexpr base::Duration kMemory = std::chrono::seconds(60);
+  static constexpr base::Duration kRetention = std::chrono::seconds(60);
   /// 60 s of 11 requests a second, what a node serves at the planned size, ten times over.
-  static constexpr std::size_t kMost = 8192;
+  static constexpr std::size_t kMaximumEntries = 8192;
 
   struct Served {
     base::RequestFingerprint request;
--- a/tests/quarantine/crash_evidence_test.cc
+++ b/tests/quarantine/crash_evidence_test.cc
@@ -49,7 +49,7 @@
   BOOST_TEST(culprit() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(NodesReportTheRunsOfOneCrashApart) {
+BOOST_AUTO_TEST_CASE(NodesReportTheirRequestsOfOneCrashSeparately) {
   for (const std::uint64_t replica : {1U, 2U, 3U}) {
     report(replica, {100 + replica});
     report(replica, {1});
@@ -68,7 +68,7 @@
   BOOST_TEST(evidence.crashesAgainst({2}).empty());
 }
 
-BOOST_AUTO_TEST_CASE(SuspectsThatStayTogetherAreBothHeldForTheCulprit) {
+BOOST_AUTO_TEST_CASE(InseparableSuspectsAreBothTreatedAsCulprits) {
   for (int count = 0; count < 5; ++count) crash({1, 2});
   BOOST_TEST(culprit() == 1U);
 }
@@ -93,7 +93,7 @@
   BOOST_TEST(culprit() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(CrashesOfAKnownCulpritCountAgainstNobodyElse) {
+BOOST_AUTO_TEST_CASE(CrashesOfAKnownCulpritCountAgainstNoOtherRequest) {
   for (int count = 0; count < 3; ++count) crash({1, 10});
   crash({1});
   evidence.onQuarantined({1}, now + minutes(60));
@@ -112,7 +112,7 @@
   BOOST_TEST(culprit() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(CrashesLongAgoCountNoMore) {
+BOOST_AUTO_TEST_CASE(OldCrashesNoLongerCount) {
   crash({1});
   crash({1});
   now += minutes(11);
@@ -138,19 +138,19 @@
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     base::SeededRandom random(seed);
     CrashEvidence wave;
-    Fingerprints comingAgain;
+    Fingerprints retried;
     std::uint64_t fresh = 1000;
     bool found = false;
     for (std::uint64_t replica = 1; replica <= 8 && !found; ++replica) {
       Fingerprints runs{{kCulprit}};
       // What broke off is tried again once, and lands on one of twelve replicas.
-      for (const auto run : comingAgain) {
+      for (const auto run : retried) {
         if (random.below(12) == 0) runs.push_back(run);
       }
-      comingAgain.clear();
-      const auto beside = 3 + random.below(20);
-      for (std::uint64_t count = 0; count < beside; ++count) runs.push_back({++fresh});
-      comingAgain.assign(runs.begin() + 1, runs.end());
+      retried.clear();
+      const auto concurrent = 3 + random.below(20);
+      for (std::uint64_t count = 0; count < concurrent; ++count) runs.push_back({++fresh});
+      retried.assign(runs.begin() + 1, runs.end());
       wave.onReplicaCrash({replica}, runs, base::TimePoint{seconds(replica)});
       while (const auto culprit = wave.findCulprit(base::TimePoint{seconds(replica)})) {
         wave.onQuarantined(culprit->request, base::TimePoint{seconds(1000)});
--- a/tests/quarantine/quarantine_messages_test.cc
+++ b/tests/quarantine/quarantine_messages_test.cc
@@ -7,7 +7,7 @@
 
 BOOST_AUTO_TEST_SUITE(QuarantineMessagesTest)
 
-BOOST_AUTO_TEST_CASE(MessagesComeBackAsTheyWere) {
+BOOST_AUTO_TEST_CASE(MessagesSurviveEncoding) {
   const auto ended = decodeQuarantineMessage(encode(CrashReport{{7}, {{1}, {2}}}));
   BOOST_REQUIRE(ended.has_value());
   const auto& runs = std::get<CrashReport>(*ended);
@@ -25,7 +25,7 @@
   BOOST_TEST((suspicion.announcedAt == std::chrono::seconds(9)));
 }
 
-BOOST_AUTO_TEST_CASE(EntryComesBackAsItWas) {
+BOOST_AUTO_TEST_CASE(EntrySurvivesEncoding) {
   const QuarantineEntry entry{{5}, 3, std::chrono::milliseconds(1234), true};
   const auto decoded = decodeQuarantineEntry(encode(entry));
   BOOST_REQUIRE(decoded.has_value());
@@ -36,21 +36,21 @@
   BOOST_TEST(decoded->version() == entry.version());
 }
 
-BOOST_AUTO_TEST_CASE(LiftedEntryIsLaterThanTheVerdictOfTheSameMoment) {
+BOOST_AUTO_TEST_CASE(LiftedEntryIsLaterThanTheVerdictOfTheSameTime) {
   QuarantineEntry entry{{5}, 3, std::chrono::milliseconds(1234), false};
   const auto verdict = entry.version();
   entry.lifted = true;
   BOOST_TEST(entry.version() > verdict);
 }
 
-BOOST_AUTO_TEST_CASE(MalformedBytesAreRefused) {
+BOOST_AUTO_TEST_CASE(MalformedBytesAreRejected) {
   for (const std::string bytes : {"", "x", "\x93\x01\x02", "\x93\x09\x01\x90", "\x91\x01"}) {
     BOOST_TEST(!decodeQuarantineMessage(bytes).has_value());
     BOOST_TEST(!decodeQuarantineEntry(bytes).has_value());
   }
-  auto cut = encode(CrashReport{{7}, {{1}, {2}}});
-  cut.pop_back();
-  BOOST_TEST(!decodeQuarantineMessage(cut).has_value());
+  auto truncated = encode(CrashReport{{7}, {{1}, {2}}});
+  truncated.pop_back();
+  BOOST_TEST(!decodeQuarantineMessage(truncated).has_value());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/quarantine/request_quarantine_test.cc
+++ b/tests/quarantine/request_quarantine_test.cc
@@ -20,7 +20,7 @@
 
 namespace {
 
-constexpr base::RequestFingerprint kDeadly{1};
+constexpr base::RequestFingerprint kCrashing{1};
 constexpr base::RequestFingerprint kPopular{2};
 
 /// The members of a fleet, the same for all of them.
@@ -95,7 +95,7 @@
   void crash(std::size_t node, const Fingerprints& runs) {
     at(node).onReplicaCrash({++replicas}, runs);
   }
-  std::size_t refusing(base::RequestFingerprint request) {
+  std::size_t refusingNodes(base::RequestFingerprint request) {
     return static_cast<std::size_t>(std::ranges::count_if(
         nodes_, [&](const auto& node) { return node->quarantine.find(request).has_value(); }));
   }
@@ -110,7 +110,7 @@
   /// Part of the messages that are lost.
   double loss = 0;
   /// Nodes that no message reaches and whose messages reach nobody.
-  std::set<std::size_t> cut;
+  std::set<std::size_t> partitioned;
   std::uint64_t replicas = 0;
   std::size_t messages = 0;
 
@@ -123,7 +123,7 @@
               std::string payload) override {
       ++fleet_.messages;
       const std::size_t target = destination.port;
-      if (fleet_.cut.contains(self_) || fleet_.cut.contains(target)) return;
+      if (fleet_.partitioned.contains(self_) || fleet_.partitioned.contains(target)) return;
       if (fleet_.random.unit() < fleet_.loss) return;
       fleet_.time.schedule(std::chrono::microseconds(500),
                            [this, target, payload = std::move(payload)] {
@@ -164,55 +164,56 @@
 
 BOOST_AUTO_TEST_SUITE(RequestQuarantineTest)
 
-BOOST_AUTO_TEST_CASE(CrashesSeenByDifferentNodesAddUp) {
+BOOST_AUTO_TEST_CASE(CrashesReportedByDifferentNodesAddUp) {
   QuarantineFleet fleet(5);
   for (std::size_t node = 0; node < 3; ++node) {
-    BOOST_TEST(fleet.refusing(kDeadly) == 0U);
-    fleet.crash(node, {kDeadly, {100 + node}});
+    BOOST_TEST(fleet.refusingNodes(kCrashing) == 0U);
+    fleet.crash(node, {kCrashing, {100 + node}});
     fleet.time.advance(milliseconds(400));
   }
-  BOOST_TEST(fleet.refusing(kDeadly) == 5U);
-  BOOST_TEST(fleet.refusing({100}) == 0U);
-  const auto status = fleet.at(4).find(kDeadly);
+  BOOST_TEST(fleet.refusingNodes(kCrashing) == 5U);
+  BOOST_TEST(fleet.refusingNodes({100}) == 0U);
+  const auto status = fleet.at(4).find(kCrashing);
   BOOST_TEST(status->crashes == 3U);
   BOOST_TEST((status->remaining > minutes(59)));
   BOOST_TEST(fleet.log.count(base::Event::kRequestQuarantined) == 5U);
 }
 
-BOOST_AUTO_TEST_CASE(EvidenceArrivesWhereAThirdOfTheMessagesIsLost) {
+BOOST_AUTO_TEST_CASE(EvidenceArrivesThoughAThirdOfTheMessagesIsLost) {
   for (std::uint64_t seed = 1; seed <= 50; ++seed) {
     QuarantineFleet fleet(7);
     fleet.random = base::SeededRandom(seed);
     fleet.loss = 0.33;
     for (std::size_t count = 0; count < 3; ++count) {
-      fleet.crash(count * 2, {kDeadly});
+      fleet.crash(count * 2, {kCrashing});
       fleet.time.advance(milliseconds(500));
     }
     fleet.time.advance(seconds(1));
-    BOOST_TEST(fleet.refusing(kDeadly) == 7U);
+    BOOST_TEST(fleet.refusingNodes(kCrashing) == 7U);
   }
 }
 
 // Both homes of a request are killed between its crashes, with all that they knew of it. With the
 // first reports alone, the culprit would need three more.
-BOOST_AUTO_TEST_CASE(EvidenceOutlivesTheNodesThatKeptIt) {
+BOOST_AUTO_TEST_CASE(EvidenceSurvivesTheNodesThatHeldIt) {
   constexpr std::size_t kNodes = 6;
   for (std::size_t first = 0; first < kNodes; ++first) {
     for (std::size_t second = 0; second < first; ++second) {
       QuarantineFleet fleet(kNodes);
       std::size_t reporter = 0;
       while (reporter == first || reporter == second) ++reporter;
-      for (int count = 0; count < 2; ++count) fleet.crash(reporter, {kDeadly, {10}});
+      for (int count = 0; count < 2; ++count) fleet.crash(reporter, {kCrashing, {10}});
       fleet.time.advance(seconds(1));
       // The two are dead before anybody else has heard of the third crash, and held dead later.
-      fleet.cut = {first, second};
-      fleet.crash(reporter, {kDeadly});
+      fleet.partitioned = {first, second};
+      fleet.crash(reporter, {kCrashing});
       fleet.time.advance(seconds(2));
       fleet.members.remove(first);
       fleet.members.remove(second);
       fleet.time.advance(seconds(2));
       for (std::size_t node = 0; node < kNodes; ++node) {
-        if (!fleet.cut.contains(node)) BOOST_TEST(fleet.at(node).find(kDeadly).has_value());
+        if (!fleet.partitioned.contains(node))
+          BOOST_TEST(fleet.at(node).find(kCrashing).has_value());
       }
     }
   }
@@ -220,17 +221,17 @@
 
 // All nodes are restarted in turn between the second crash of a request and its third: at the end
 // no node is left that was told of the first two by those that saw them.
-BOOST_AUTO_TEST_CASE(EvidenceOutlivesARestartOfAllNodesInTurn) {
+BOOST_AUTO_TEST_CASE(EvidenceSurvivesARollingRestartOfAllNodes) {
   QuarantineFleet fleet(4);
-  for (int count = 0; count < 2; ++count) fleet.crash(0, {kDeadly});
+  for (int count = 0; count < 2; ++count) fleet.crash(0, {kCrashing});
   fleet.time.advance(seconds(1));
   for (std::size_t node = 0; node < 4; ++node) {
     fleet.restart(node);
     fleet.time.advance(seconds(1));
   }
-  fleet.crash(1, {kDeadly});
+  fleet.crash(1, {kCrashing});
   fleet.time.advance(seconds(1));
-  BOOST_TEST(fleet.refusing(kDeadly) == 4U);
+  BOOST_TEST(fleet.refusingNodes(kCrashing) == 4U);
 }
 
 // All nodes were killed 0.2 s after the third end of a request, before its verdict. None of them
@@ -240,30 +241,30 @@
 //     43.990 s  node-5  event=6009 name=ReplicaEndedUnderRuns runs="c921e94b01294ee5"   (the third)
 //     49.222 s  node-3  event=5008 name=RequestQuarantined fingerprint="c921e94b01294ee5"
 //     crashes="4"
-BOOST_AUTO_TEST_CASE(EvidenceOutlivesARestartOfAllNodesAtOnce) {
+BOOST_AUTO_TEST_CASE(EvidenceSurvivesASimultaneousRestartOfAllNodes) {
   QuarantineFleet fleet(6);
-  for (std::size_t node = 0; node < 3; ++node) fleet.crash(node, {kDeadly, {100 + node}});
+  for (std::size_t node = 0; node < 3; ++node) fleet.crash(node, {kCrashing, {100 + node}});
   fleet.time.advance(milliseconds(200));
-  BOOST_TEST(fleet.refusing(kDeadly) == 0U);
+  BOOST_TEST(fleet.refusingNodes(kCrashing) == 0U);
   fleet.restartAll();
   fleet.time.advance(milliseconds(500));
-  BOOST_TEST(fleet.refusing(kDeadly) == 6U);
-  BOOST_TEST(fleet.refusing({100}) == 0U);
+  BOOST_TEST(fleet.refusingNodes(kCrashing) == 6U);
+  BOOST_TEST(fleet.refusingNodes({100}) == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(OneMoreCrashIsEnoughAfterARestartBehindTheSecond) {
+BOOST_AUTO_TEST_CASE(OneMoreCrashSufficesAfterARestartFollowingTheSecond) {
   QuarantineFleet fleet(6);
-  for (std::size_t node = 0; node < 2; ++node) fleet.crash(node, {kDeadly});
+  for (std::size_t node = 0; node < 2; ++node) fleet.crash(node, {kCrashing});
   fleet.time.advance(milliseconds(100));
   fleet.restartAll();
-  fleet.crash(3, {kDeadly});
+  fleet.crash(3, {kCrashing});
   fleet.time.advance(milliseconds(500));
-  BOOST_TEST(fleet.refusing(kDeadly) == 6U);
+  BOOST_TEST(fleet.refusingNodes(kCrashing) == 6U);
 }
 
-BOOST_AUTO_TEST_CASE(RowsOfSuspectsGoOnceTheyAreServedQuarantinedOrOld) {
+BOOST_AUTO_TEST_CASE(RowsOfSuspectsAreRemovedOnceServedQuarantinedOrExpired) {
   QuarantineFleet fleet(4);
-  for (const auto request : {kDeadly, kPopular, base::RequestFingerprint{3}}) {
+  for (const auto request : {kCrashing, kPopular, base::RequestFingerprint{3}}) {
     for (int count = 0; count < 2; ++count) fleet.crash(0, {request});
   }
   fleet.time.advance(seconds(2));
@@ -271,7 +272,7 @@
   fleet.at(2).onServed(kPopular);
   fleet.time.advance(seconds(2));
   BOOST_TEST(fleet.suspectRows() == 2U);
-  fleet.crash(1, {kDeadly});
+  fleet.crash(1, {kCrashing});
   fleet.time.advance(seconds(2));
   BOOST_TEST(fleet.suspectRows() == 1U);
   fleet.time.advance(minutes(11));
@@ -279,31 +280,31 @@
 }
 
 // A row that nobody removed, since its homes had been killed, counts no more and goes.
-BOOST_AUTO_TEST_CASE(OldRowsOfSuspectsAreRemovedByNodesThatStart) {
+BOOST_AUTO_TEST_CASE(ExpiredRowsOfSuspectsAreRemovedByStartingNodes) {
   QuarantineFleet fleet(3);
-  for (int count = 0; count < 2; ++count) fleet.crash(0, {kDeadly});
+  for (int count = 0; count < 2; ++count) fleet.crash(0, {kCrashing});
   fleet.time.advance(seconds(2));
   const auto left = fleet.table.ownRows(std::string{kSuspectKeyPrefix});
   BOOST_REQUIRE(left.size() == 1U);
   fleet.time.advance(minutes(11));
   fleet.table.put("own", left.front().key, left.front().value);
   fleet.restartAll();
-  fleet.crash(1, {kDeadly});
+  fleet.crash(1, {kCrashing});
   fleet.time.advance(seconds(2));
-  BOOST_TEST(fleet.refusing(kDeadly) == 0U);
+  BOOST_TEST(fleet.refusingNodes(kCrashing) == 0U);
   BOOST_TEST(fleet.suspectRows() == 0U);
 }
 
 // Each write costs the table service a call; what ran beside two crashes is told of once.
-BOOST_AUTO_TEST_CASE(SuspectsAreWrittenByOneOfTheirHomes) {
+BOOST_AUTO_TEST_CASE(SuspectsAreStoredByOneOfTheirHomes) {
   QuarantineFleet fleet(40);
   const auto before = fleet.table.commits;
-  for (int count = 0; count < 2; ++count) fleet.crash(fleet.random.below(40), {kDeadly, {10}});
+  for (int count = 0; count < 2; ++count) fleet.crash(fleet.random.below(40), {kCrashing, {10}});
   fleet.time.advance(seconds(5));
   BOOST_TEST(fleet.table.commits - before <= 2);
 }
 
-BOOST_AUTO_TEST_CASE(RestartedNodeDoesNotSuspectWhatWasServedSince) {
+BOOST_AUTO_TEST_CASE(RestartedNodeDoesNotSuspectARequestServedSince) {
   QuarantineFleet fleet(4);
   for (int count = 0; count < 2; ++count) fleet.crash(0, {kPopular});
   fleet.time.advance(seconds(1));
@@ -312,17 +313,17 @@
   for (std::size_t node = 0; node < 4; ++node) fleet.restart(node);
   fleet.crash(1, {kPopular});
   fleet.time.advance(seconds(1));
-  BOOST_TEST(fleet.refusing(kPopular) == 0U);
+  BOOST_TEST(fleet.refusingNodes(kPopular) == 0U);
 }
 
 // What many send is in flight at every replica; when three lose power together, all of it ends.
-BOOST_AUTO_TEST_CASE(PopularRequestIsNotRefusedWhenSeveralReplicasEndAtOnce) {
+BOOST_AUTO_TEST_CASE(PopularRequestIsNotRefusedWhenSeveralReplicasCrashAtOnce) {
   QuarantineFleet fleet(4);
   fleet.at(3).onServed(kPopular);
   fleet.time.advance(seconds(20));
   for (std::size_t node = 0; node < 3; ++node) fleet.crash(node, {kPopular, {100 + node}});
   fleet.time.advance(seconds(5));
-  BOOST_TEST(fleet.refusing(kPopular) == 0U);
+  BOOST_TEST(fleet.refusingNodes(kPopular) == 0U);
   BOOST_TEST(fleet.log.count(base::Event::kRequestQuarantined) == 0U);
 }
 
@@ -334,69 +335,69 @@
     if (count % 2 == 1) fleet.at(2).onServed(kPopular);
     fleet.time.advance(seconds(70));
   }
-  BOOST_TEST(fleet.refusing(kPopular) == 0U);
+  BOOST_TEST(fleet.refusingNodes(kPopular) == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(NodeThatWasCutOffLearnsTheVerdictOfTheOthers) {
+BOOST_AUTO_TEST_CASE(PartitionedNodeReceivesTheVerdictOfTheOthers) {
   QuarantineFleet fleet(3);
-  fleet.cut = {2};
-  for (int count = 0; count < 3; ++count) fleet.crash(0, {kDeadly});
+  fleet.partitioned = {2};
+  for (int count = 0; count < 3; ++count) fleet.crash(0, {kCrashing});
   fleet.time.advance(seconds(1));
   // Gossip repairs what the node has missed.
-  BOOST_TEST(fleet.refusing(kDeadly) == 3U);
+  BOOST_TEST(fleet.refusingNodes(kCrashing) == 3U);
 }
 
-BOOST_AUTO_TEST_CASE(VerdictOutlastsARestartOfAllNodes) {
+BOOST_AUTO_TEST_CASE(VerdictSurvivesARestartOfAllNodes) {
   QuarantineFleet fleet(3);
-  for (int count = 0; count < 3; ++count) fleet.crash(0, {kDeadly});
+  for (int count = 0; count < 3; ++count) fleet.crash(0, {kCrashing});
   fleet.time.advance(seconds(1));
   BOOST_TEST(fleet.rows() == 1U);
   QuarantineFleet restarted(3);
-  restarted.table.put("own", keyOf(kDeadly),
+  restarted.table.put("own", keyOf(kCrashing),
                       fleet.table.ownRows(std::string{kQuarantineKeyPrefix}).front().value);
   // The service's clock went on; a third node starts later and reads the row.
   restarted.time.advance(seconds(60));
   for (std::size_t node = 0; node < 3; ++node) restarted.at(node).start();
   restarted.time.advance(seconds(1));
-  BOOST_TEST(restarted.refusing(kDeadly) == 3U);
-  BOOST_TEST((restarted.at(0).find(kDeadly)->remaining <= hours(1) - seconds(59)));
+  BOOST_TEST(restarted.refusingNodes(kCrashing) == 3U);
+  BOOST_TEST((restarted.at(0).find(kCrashing)->remaining <= hours(1) - seconds(59)));
 }
 
-BOOST_AUTO_TEST_CASE(VerdictIsWrittenOnceTheTableServiceIsBack) {
+BOOST_AUTO_TEST_CASE(VerdictIsStoredOnceTheTableServiceIsAvailableAgain) {
   QuarantineFleet fleet(3);
   fleet.table.down = true;
-  for (int count = 0; count < 3; ++count) fleet.crash(0, {kDeadly});
+  for (int count = 0; count < 3; ++count) fleet.crash(0, {kCrashing});
   fleet.time.advance(minutes(3));
-  BOOST_TEST(fleet.refusing(kDeadly) == 3U);
+  BOOST_TEST(fleet.refusingNodes(kCrashing) == 3U);
   BOOST_TEST(fleet.rows() == 0U);
   fleet.table.down = false;
   fleet.time.advance(minutes(1));
   BOOST_TEST(fleet.rows() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(VerdictIsLiftedEverywhereWhenARunComesToItsEnd) {
+BOOST_AUTO_TEST_CASE(VerdictIsLiftedEverywhereWhenTheRequestCompletes) {
   QuarantineFleet fleet(3);
-  for (int count = 0; count < 3; ++count) fleet.crash(0, {kDeadly});
+  for (int count = 0; count < 3; ++count) fleet.crash(0, {kCrashing});
   fleet.time.advance(seconds(1));
-  BOOST_TEST(fleet.refusing(kDeadly) == 3U);
-  fleet.at(1).onServed(kDeadly);
+  BOOST_TEST(fleet.refusingNodes(kCrashing) == 3U);
+  fleet.at(1).onServed(kCrashing);
   fleet.time.advance(seconds(1));
-  BOOST_TEST(fleet.refusing(kDeadly) == 0U);
+  BOOST_TEST(fleet.refusingNodes(kCrashing) == 0U);
   BOOST_TEST(fleet.rows() == 0U);
   BOOST_TEST(fleet.log.count(base::Event::kQuarantineLifted) == 3U);
 }
 
-BOOST_AUTO_TEST_CASE(VerdictLapsesAndIsPassedAgainAfterThreeMoreCrashes) {
+BOOST_AUTO_TEST_CASE(VerdictExpiresAndIsPassedAgainAfterThreeMoreCrashes) {
   QuarantineFleet fleet(3);
-  for (int count = 0; count < 3; ++count) fleet.crash(0, {kDeadly});
+  for (int count = 0; count < 3; ++count) fleet.crash(0, {kCrashing});
   fleet.time.advance(hours(1) + seconds(1));
-  BOOST_TEST(fleet.refusing(kDeadly) == 0U);
-  for (int count = 0; count < 2; ++count) fleet.crash(0, {kDeadly});
+  BOOST_TEST(fleet.refusingNodes(kCrashing) == 0U);
+  for (int count = 0; count < 2; ++count) fleet.crash(0, {kCrashing});
   fleet.time.advance(seconds(1));
-  BOOST_TEST(fleet.refusing(kDeadly) == 0U);
-  fleet.crash(0, {kDeadly});
+  BOOST_TEST(fleet.refusingNodes(kCrashing) == 0U);
+  fleet.crash(0, {kCrashing});
   fleet.time.advance(minutes(1));
-  BOOST_TEST(fleet.refusing(kDeadly) == 3U);
+  BOOST_TEST(fleet.refusingNodes(kCrashing) == 3U);
   // The row is that of the new verdict: a node that starts now does not take it for a lapsed one.
   const auto row = fleet.table.ownRows(std::string{kQuarantineKeyPrefix}).front();
   BOOST_TEST(
@@ -405,10 +406,10 @@
 
 // The table service comes back from a copy without the rows: where all nodes start again before one
 // of them has looked, the request would end three replicas more.
-BOOST_AUTO_TEST_CASE(RowsThatTheServiceHasLostAreWrittenAgain) {
+BOOST_AUTO_TEST_CASE(RowsLostByTheTableServiceAreRewritten) {
   QuarantineFleet fleet(3);
   const auto copy = fleet.table.copy();
-  for (int count = 0; count < 3; ++count) fleet.crash(0, {kDeadly});
+  for (int count = 0; count < 3; ++count) fleet.crash(0, {kCrashing});
   for (int count = 0; count < 2; ++count) fleet.crash(0, {kPopular});
   fleet.time.advance(seconds(1));
   BOOST_TEST(fleet.rows() == 1U);
@@ -420,7 +421,7 @@
   BOOST_TEST(fleet.suspectRows() == 1U);
   fleet.restartAll();
   fleet.time.advance(seconds(1));
-  BOOST_TEST(fleet.refusing(kDeadly) == 3U);
+  BOOST_TEST(fleet.refusingNodes(kCrashing) == 3U);
 }
 
 // Told to all nodes, each crash of a zone would cost 299 messages a run, three times over.
@@ -443,11 +444,11 @@
   BOOST_TEST(fleet.log.count(base::Event::kRequestQuarantined) == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(CulpritIsToldToAllOfALargeFleetAndWrittenOnce) {
+BOOST_AUTO_TEST_CASE(CulpritIsAnnouncedInALargeFleetAndStoredOnce) {
   QuarantineFleet fleet(300);
-  for (int count = 0; count < 3; ++count) fleet.crash(fleet.random.below(300), {kDeadly});
+  for (int count = 0; count < 3; ++count) fleet.crash(fleet.random.below(300), {kCrashing});
   fleet.time.advance(milliseconds(310));
-  BOOST_TEST(fleet.refusing(kDeadly) == 300U);
+  BOOST_TEST(fleet.refusingNodes(kCrashing) == 300U);
   fleet.time.advance(seconds(2));
   BOOST_TEST(fleet.rows() == 1U);
   BOOST_TEST_MESSAGE(fleet.messages << " messages");
@@ -461,7 +462,7 @@
   for (std::size_t node = 0; node < 300; ++node) fleet.at(node).onServed(kPopular);
   for (int count = 0; count < 200; ++count) fleet.crash(fleet.random.below(300), {kPopular});
   fleet.time.advance(seconds(5));
-  BOOST_TEST(fleet.refusing(kPopular) == 0U);
+  BOOST_TEST(fleet.refusingNodes(kPopular) == 0U);
   BOOST_TEST_MESSAGE(fleet.messages << " messages");
   BOOST_TEST(fleet.messages < 60'000U);
 }
