--- a/src/admission/admission_controller.h
+++ b/src/admission/admission_controller.h
@@ -1,6 +1,8 @@
 /// \file
-/// Decides when a request may run: tenant limits, hold, shed, refuse. A refusal is final and given
-/// at once; the caller is told when to come back rather than kept waiting.
+/// Interface of admission control: decides whether and when a request may run, by tenant limits and
+/// available capacity. A request is admitted, held for a while, or refused. A refusal is final and
+/// returned immediately; it includes a recommended retry delay, so that the caller is not kept
+/// waiting.
 #pragma once
 
 #include <cstdint>
@@ -24,20 +26,20 @@
 
 struct AdmissionVerdict {
   bool admitted = false;
-  /// Why it was refused.
+  /// Reason of the refusal; empty if the request was admitted.
   base::Reason reason;
-  /// When to come back, with a refusal; zero when waiting does not help.
+  /// Recommended time until a retry, for a refusal; zero if waiting does not help.
   base::Duration retryAfter{};
-  /// How long the request was held.
+  /// Time that the request was held before this decision.
   base::Duration held{};
 };
 
-/// A place in the admission queue or, once admitted, among the running. Destroying it gives it
-/// back.
+/// Represents a request in the hold queue or, once admitted, among the running requests. Destroying
+/// the ticket releases the slot.
 class AdmissionTicket {
  public:
   virtual ~AdmissionTicket() = default;
-  /// The first token of the admitted request has come.
+  /// Called when the first token of the admitted request was received.
   virtual void onFirstToken() {}
 };
 
@@ -46,13 +48,14 @@
 class AdmissionController {
  public:
   virtual ~AdmissionController() = default;
-  /// Calls back exactly once, unless the ticket is destroyed first; never from inside `admit`.
+  /// Calls `callback` exactly once, unless the ticket is destroyed first. The callback is never
+  /// called from within `admit`.
   virtual std::unique_ptr<AdmissionTicket> admit(AdmissionRequest request,
                                                  AdmissionCallback callback) = 0;
-  /// How many retries may start now on this node (the node's share of the retry budget).
+  /// Takes one retry from this node's share of the retry budget; false if none is left.
   virtual bool takeRetry() = 0;
-  /// Tells how long the routed engine is expected to take to the first token, the input of hold and
-  /// shed.
+  /// Reports the expected time to first token of the engine that a request was routed to: the load
+  /// signal for hold and shed.
   virtual void onExpectedFirstToken(base::PriorityClass priority, base::Duration expected) = 0;
 };
 
--- a/src/admission/admission_options.h
+++ b/src/admission/admission_options.h
@@ -1,5 +1,6 @@
 /// \file
-/// Parameters of admission on one node. docs/design/admission.md gives the reason of each default.
+/// Parameters of admission control on one node. docs/design/admission.md gives the reason for each
+/// default.
 #pragma once
 
 #include <array>
@@ -10,92 +11,99 @@
 
 namespace covewing::admission {
 
-/// Retries allowed on one node, by all layers together.
+/// Limit on the retries of one node, shared by all layers that retry.
 struct RetryBudgetOptions {
-  /// Retries earned by each admitted request.
+  /// Retries earned per admitted request.
   double ratio = 0.1;
-  /// Retries earned each second without any request, so that a quiet node may still retry.
+  /// Retries earned per second regardless of traffic, so that a node with few requests can still
+  /// retry.
   double minimumPerSecond = 1.0;
-  /// Most retries saved up.
+  /// Maximum number of unused retries that can accumulate.
   double capacity = 20.0;
 };
 
-/// Leases of tenant limits between a tenant's home node and the nodes that use them.
+/// Leasing of tenant limits by a tenant's home node to the nodes that serve the tenant.
 struct QuotaOptions {
-  /// Time without an answer after which an ask is repeated, and after the last repeat the home
-  /// counts as unreachable.
+  /// Time without a reply after which a lease request is sent again. If the last retry is not
+  /// answered within this time either, the home node counts as unresponsive.
   base::Duration requestTimeout = std::chrono::milliseconds(40);
   std::uint32_t requestRetries = 1;
-  /// How long a home that did not answer is not asked again.
+  /// Time during which an unresponsive home node is not queried again.
   base::Duration unresponsiveHomeBackoff = std::chrono::seconds(1);
-  /// Life of leased concurrency slots without renewal.
+  /// Lifetime of leased concurrency slots unless renewed.
   base::Duration slotLease = std::chrono::seconds(3);
-  /// Life of leased rate tokens.
+  /// Lifetime of leased rate tokens.
   base::Duration tokenLease = std::chrono::seconds(1);
-  /// Tokens are leased for this much of a node's own recent demand.
+  /// Rate tokens are leased ahead for this much of the node's own recent demand.
   base::Duration tokenBatch = std::chrono::milliseconds(250);
-  /// Longest time that a refusal by the home is remembered and given without asking.
+  /// Maximum time for which a refusal by the home node is cached and applied without another query.
   base::Duration refusalCacheTime = std::chrono::milliseconds(500);
-  /// Refused requests are told to come back one behind the other, at most this far ahead.
+  /// Retries of refused requests are scheduled one after the other, at most this far ahead.
   base::Duration maximumRetryDelay = std::chrono::seconds(5);
-  /// Part of a full bucket that a tenant's new home starts with: the former home may have granted
-  /// the whole just before.
+  /// Fraction of a full bucket with which a new home node of a tenant starts. The previous home
+  /// node may have granted a whole bucket just before.
   double initialBucketShare = 1.0;
-  /// A home that started less than this ago starts with an empty bucket: after a restart of all
-  /// nodes each takes itself for every tenant's home until it sees the others.
+  /// A home node that started less than this ago gives new accounts an empty bucket: after a
+  /// restart of the whole cluster each node considers itself the home node of every tenant until it
+  /// sees the others.
   base::Duration clusterFormationTime{};
-  /// For so long after its start a node assumes that there are more nodes than it sees.
+  /// For this long after its start a node assumes that there are more nodes than its member list
+  /// shows: at least `assumedNodesWhileJoining`.
   base::Duration joinPeriod{};
   std::size_t assumedNodesWhileJoining = 1;
-  /// Part of the limits that a node grants when it is asked in place of a silent home, which other
-  /// nodes may still reach.
+  /// Fraction of the limits that a node grants as a stand-in for an unresponsive home node, which
+  /// other nodes may still be able to reach.
   double actingHomeShare = 0.2;
-  /// A tenant with less than this part of its bucket left is close to its limit.
+  /// A tenant is near its limit if less than this fraction of its bucket is left.
   double nearLimitShare = 0.25;
-  /// Part of its local share that a node grants while it sees other nodes but no home answers.
+  /// Fraction of its local share that a node grants while it sees other nodes but no home node
+  /// responds.
   double localShareFactor = 0.25;
-  /// Part by which a home that does not see all nodes grants more than belongs to those it sees. A
-  /// few machines that are replaced cost tenants little then.
+  /// Fraction by which a home node that does not see all nodes may grant more than the part of the
+  /// limits that belongs to the nodes it sees. This reduces the cost to tenants while a few
+  /// machines are being replaced.
   double partialViewTolerance = 0.0;
 };
 
-/// The window of requests that wait for their first token.
+/// Congestion window: limits the number of requests that wait for their first token.
 struct WindowOptions {
   double initial = 64;
   double minimum = 4;
   double maximum = 2000;
-  /// Factor on the window when a first token came later than its target.
+  /// Factor applied to the window when a first token arrived later than its target.
   double shrinkFactor = 0.8;
-  /// Share of the window that a class may fill.
+  /// Fraction of the window that each class may use.
   std::array<double, base::kPriorityClassCount> classShare = {1.0, 0.5, 0.35, 0.25};
 };
 
-/// Hold and shed by the expected time to first token.
+/// Hold and shed decisions based on the expected time to first token.
 struct CapacityOptions {
-  /// Expected first token, by class, above which a class is held; also bounded by the deadline.
+  /// Expected time to first token above which requests of a class are held, by class. The deadline
+  /// of the request bounds it as well.
   std::array<base::Duration, base::kPriorityClassCount> target = {
       std::chrono::milliseconds(1500), std::chrono::milliseconds(1000),
       std::chrono::milliseconds(1000), std::chrono::milliseconds(750)};
   WindowOptions window;
-  /// The target is at most this share of the template's deadline.
+  /// The target is at most this fraction of the deadline in the tenant's template.
   double deadlineShare = 0.5;
-  /// The estimate halves for each such time without a new sample, so that a held class is probed.
+  /// The estimate halves for each such period without a new sample, so that a held class is probed
+  /// eventually.
   base::Duration estimateHalfLife = std::chrono::milliseconds(500);
-  /// While a class is held and nothing is heard of the engines for this long, one request is let
-  /// through to see how it fares.
+  /// If a class is held and nothing was observed of the engines for this long, one request is let
+  /// through as a probe.
   base::Duration probeInterval = std::chrono::milliseconds(250);
-  /// A class is not refused for lack of capacity until no less urgent one has run on this node for
-  /// this long: such requests may still run through other nodes.
+  /// A class is not refused for lack of capacity until no request of a less urgent class has run on
+  /// this node for this long: such requests may still be running through other nodes.
   base::Duration lowerClassIdleTime = std::chrono::seconds(10);
-  /// Requests that may run ahead of their routing estimate while their class is being held.
+  /// Maximum number of requests of a held class that may run before their routing estimates arrive.
   std::uint32_t maximumAwaitingEstimate = 4;
-  /// Requests held on this node over all classes.
+  /// Maximum number of requests held on this node, over all classes.
   std::uint32_t maximumHeld = 1000;
-  /// Requests admitted and not over on this node.
+  /// Maximum number of admitted, unfinished requests on this node.
   std::uint32_t maximumRunning = 10'000;
-  /// How often held requests are looked at when nothing else happens.
+  /// Interval at which held requests are re-examined if no other event occurs.
   base::Duration reviewPeriod = std::chrono::milliseconds(50);
-  /// Shortest and longest advice to callers that were refused for lack of capacity.
+  /// Bounds of the retry delay recommended to callers that were refused for lack of capacity.
   base::Duration minimumRetryAfter = std::chrono::seconds(1);
   base::Duration maximumRetryAfter = std::chrono::seconds(30);
 };
--- a/src/admission/admission_queue.cc
+++ b/src/admission/admission_queue.cc
@@ -14,14 +14,16 @@
 using base::Duration;
 using base::TimePoint;
 
-/// Least part of the replica that is believed to be left over; below that late work has no hope.
+/// Minimum share of the replica that is expected to be left over for late requests. Below that,
+/// late requests are assumed not to be served.
 constexpr double kMinimumRemainingShare = 0.02;
-/// A request in the queue is given up before its time when its start is expected this many times
-/// its time left from now: expectations vary.
+/// A queued request is refused early once its expected wait exceeds the time left until its soft
+/// deadline by this factor. The margin allows for the variation of the expectations.
 constexpr double kAbandonFactor = 1.5;
-/// A request that reads at most this part of what another has to read hardly delays it.
+/// A request hardly delays another one if its tokens to prefill are at most those of the other one
+/// divided by this.
 constexpr std::uint32_t kSmallPrefillDivisor = 8;
-/// Times further away count as this far away.
+/// Times further away are treated as this far away.
 constexpr Duration kMaximumTimeDistance = std::chrono::hours(1);
 
 QueueEntry sanitized(QueueEntry entry, TimePoint now) {
@@ -69,7 +71,8 @@
   const auto tokens = static_cast<std::int64_t>(waiting.entry.cost.tokens);
   if (!rank.beyondMinimumShare) return {1, tokens};
   const FreeCapacity reserve = load.reserve.at(LoadSnapshot::indexOf(rank.urgency, rank.late));
-  // Never more than the replica has: an empty one takes also what exceeds the part not kept.
+  // Limited to what the replica has: an empty replica also accepts a request that is larger than
+  // the part that is not reserved.
   const FreeCapacity total = load.capacity.total();
   return {std::min(1 + reserve.slots, total.slots),
           std::min(tokens + reserve.tokens, total.tokens)};
@@ -94,9 +97,10 @@
     rule.headStart = load_.whenFree(need, load);
     return rule;
   }
-  // The replica has room, and yet cannot begin it in time, by what it has to read: others may pass
-  // for half of the time left, and then only those that read little. Without shortage nothing is
-  // held back: what has to wait then is larger than the replica can read in time.
+  // The replica has capacity, but cannot start the head on time because of the prompt tokens it has
+  // to prefill. Others may overtake the head for half of its time left, and after that only
+  // requests with little to prefill. Without a shortage nothing is held back: a request that has to
+  // wait then is larger than the replica can prefill on time.
   const Duration allowance = head.entry.softStartDeadline - head.queuedAt;
   if (!rank.late && !load.capacity.halfFree() && load.now - head.queuedAt > allowance / 2) {
     rule.maximumPrefillTokens = head.entry.cost.prefillTokens / kSmallPrefillDivisor;
@@ -140,7 +144,8 @@
   const QueueEntry& entry = waiting.entry;
   const double ownWork =
       load.capacity.shareOf(entry.cost) * base::toSeconds(load.capacity.meanRunTime);
-  // One within the least share of its kind goes before the more urgent: they leave it all.
+  // A request within the minimum share of its level precedes the more urgent ones, which leave all
+  // of the replica to it.
   const double availableShare =
       rank.beyondMinimumShare
           ? 1.0 - load.demandAbove.at(LoadSnapshot::indexOf(rank.urgency, rank.late))
@@ -148,7 +153,7 @@
   const Duration wait = fromSeconds((workAhead + ownWork) /
                                     std::max(availableShare, LoadSnapshot::kMinimumAssumedShare));
   if (!rank.late && load.now + wait <= entry.softStartDeadline) return {wait, true};
-  // Late service takes what all requests in time leave.
+  // Late requests only get the capacity that the demand of on-time requests leaves free.
   const double lateShare = 1.0 - load.longTermDemand;
   if (lateShare < kMinimumRemainingShare) return {wait, false};
   const Duration lateWait = fromSeconds((workAhead + ownWork) / lateShare);
@@ -165,7 +170,7 @@
     return queueOrRefuse(static_cast<std::size_t>(known - waiting_.begin()), true, ranks(load),
                          load);
   }
-  // One that gave way and asks again before it was told is a new request.
+  // A displaced request that is offered again before its refusal was returned is a new request.
   withdraw(entry.id);
   QueuedRequest waiting{sanitized(entry, now), now, {}};
   waiting.due = waiting.entry.softStartDeadline - (now - waiting.entry.arrivedAt);
@@ -182,7 +187,7 @@
   return queueOrRefuse(position, mayQueue, order, load);
 }
 
-/// Whether the entry, which gets no room now, waits or is refused.
+/// Queues or refuses the entry, which gets no capacity now.
 OfferResult AdmissionQueue::queueOrRefuse(std::size_t position, bool mayQueue,
                                           const std::vector<Rank>& ranks,
                                           const LoadSnapshot& load) {
--- a/src/admission/admission_queue.h
+++ b/src/admission/admission_queue.h
@@ -1,27 +1,30 @@
 /// \file
-/// The ordered queue of requests that wait for room at one replica, kept by the replica's home.
+/// Priority queue of the requests that wait for capacity of one replica. The home node of the
+/// replica keeps it.
 ///
-/// Load that it answers: more is asked than the replicas can begin in time. Without an order the
-/// request that happens to ask at the right moment gets the next place, and a kind of request with
-/// a short target gives up first, however urgent it is.
+/// Purpose: the queue orders requests when more are offered than the replicas can start in time.
+/// Without an order, the request that polls at the right moment gets the next slot, and requests
+/// with a short target are abandoned first, however urgent they are.
 ///
-/// Order: requests that can still be in time before those that cannot; among these the more urgent
-/// first; within one urgency the tenant that has had least of its share; within one tenant the
-/// least time left against what the request takes. A request that cannot be served by what is ahead
-/// of it is refused at once. The queue knows nothing of caches, messages or the network; whether
-/// the replica has room is asked of the caller (`ReplicaCapacity`).
+/// Order: requests that can still meet their soft deadline come before late ones; among these, the
+/// more urgent come first; within one urgency level, the tenant that has used the least of its
+/// share comes first; within one tenant, the request with the earliest due time. A request that the
+/// work ahead of it rules out is refused immediately. The queue has no knowledge of caches,
+/// messages or the network; the caller provides the state of the replica through `ReplicaCapacity`.
 ///
-/// Bounds, stated as what callers lose:
-/// - A less urgent kind that can be in time is served a tenth of what it asks for, however much the
-///   more urgent ask: that costs these at most a tenth of the replica for each such kind.
-/// - Room kept for more urgent requests that are expected is at most half of the replica, and none
-///   where none arrived lately.
-/// - A request that lacks room is passed only by requests that do not delay it.
+/// Guarantees:
+/// - A less urgent level whose requests can be on time is served at least a tenth of its demand,
+///   regardless of the demand of more urgent levels. Each such level costs the more urgent ones at
+///   most a tenth of the replica.
+/// - At most half of the replica's capacity is reserved for expected requests of more urgent
+///   levels, and none if no such requests arrived recently.
+/// - A request that lacks capacity is overtaken only by requests that do not delay it.
 ///
-/// Contract: single thread; the clock is passed in; equal calls give equal results. Bad input
-/// breaks nothing: negative durations count as not known, times more than an hour away count as an
-/// hour away, an arrival in the future as one now, a request larger than the memory is refused, and
-/// an id that is queued already is answered by its first terms.
+/// Contract: single-threaded; the clock is passed in; the same calls give the same results. Invalid
+/// input is tolerated: negative durations count as unknown, times more than an hour away count as
+/// an hour away, an arrival time in the future counts as now, a request larger than the replica's
+/// memory is refused, and an offer with the id of a queued request is decided by the terms of the
+/// first offer.
 #pragma once
 
 #include <cstddef>
@@ -39,39 +42,39 @@
 namespace covewing::admission {
 
 enum class QueueVerdict : std::uint8_t {
-  /// The request gets room now; the caller counts it in `ReplicaCapacity` from here on.
+  /// The request gets capacity now; from here on the caller includes it in `ReplicaCapacity`.
   kGranted,
-  /// It waits; a later call of `next`, `removeExpired` or `withdraw` ends that.
+  /// The request waits until `next`, `removeExpired`, `withdraw` or `clear` removes it.
   kQueued,
-  /// It cannot be served here.
+  /// The request cannot be served by this replica.
   kRefused,
 };
 
 struct OfferResult {
   QueueVerdict verdict = QueueVerdict::kRefused;
-  /// Expected time until the request begins; for a refusal, until a request of this urgency and
-  /// size would begin in time, spread so that those refused do not come back together. Where the
-  /// request might not queue: the expected time until it would have begun.
+  /// For a queued request: expected time until it starts. For a refusal: delay until a request of
+  /// this urgency and size could start on time, spread so that refused requests are not retried
+  /// together. For a request that was not allowed to queue: the expected wait it would have had.
   base::Duration wait{};
-  /// Requests ahead of it.
+  /// Number of queued requests ahead of it.
   std::size_t ahead = 0;
 };
 
-/// A request that left the queue without room.
+/// A request that left the queue without getting capacity.
 struct QueueRefusal {
   std::uint64_t id = 0;
   base::Duration retryAfter{};
-  /// How long it waited, and how many were ahead of it when it left.
+  /// Time spent in the queue, and number of requests that were ahead when it left.
   base::Duration waited{};
   std::size_t ahead = 0;
 };
 
 struct AdmissionQueueOptions {
-  /// Most entries; a request beyond takes the place of the last one in order or is refused.
-  /// A replica serves some 30 to 100 requests a second, callers wait a few seconds.
+  /// Maximum number of entries. A request beyond it replaces the last one in order, or is refused.
+  /// A replica serves some 30 to 100 requests a second, and callers wait a few seconds.
   std::size_t maximumEntries = 256;
-  /// Time constant of the observed rates of arrivals and grants by urgency: bursts rise within
-  /// about a second.
+  /// Time constant of the observed rates of arrivals and grants per urgency level: bursts build up
+  /// within about a second.
   base::Duration rateTimeConstant = std::chrono::milliseconds(1000);
 };
 
@@ -79,18 +82,22 @@
  public:
   explicit AdmissionQueue(AdmissionQueueOptions options = {});
 
-  /// A request asks for room. With `mayQueue` false it is granted or refused at once, and a refusal
-  /// says what the wait would be; either way it counts as an arrival of its urgency.
+  /// Offers a request to the queue. If `mayQueue` is false, the request is granted or refused
+  /// immediately, and a refusal carries the expected wait. Either way it counts as an arrival of
+  /// its urgency level.
   OfferResult offer(const QueueEntry& entry, const ReplicaCapacity& capacity, bool mayQueue,
                     base::TimePoint now);
-  /// Something ended at the replica, or time passed: the request that gets room now, removed from
-  /// the queue. Call again, with `room` counting it, until empty.
+  /// To be called when a request ended at the replica, or time passed: returns the request that
+  /// gets capacity now and removes it from the queue. Call it again, with `capacity` including that
+  /// request, until it returns nothing.
   std::optional<QueueEntry> next(const ReplicaCapacity& capacity, base::TimePoint now);
-  /// The requests that can no longer be served by what is ahead of them, removed from the queue.
+  /// Returns the requests that can no longer be served given the work ahead of them, and removes
+  /// them.
   std::vector<QueueRefusal> removeExpired(const ReplicaCapacity& capacity, base::TimePoint now);
-  /// The request no longer waits; false when it is not queued.
+  /// Removes a request that no longer waits; false if it is not queued.
   bool withdraw(std::uint64_t id);
-  /// Takes all entries out, in order: the replica ended, leaves or changes its weights.
+  /// Removes and returns all entries in order, for when the replica ended, leaves or changes its
+  /// weights.
   std::vector<QueueEntry> clear();
 
   std::size_t size() const;
@@ -99,17 +106,17 @@
   struct QueuedRequest {
     QueueEntry entry;
     base::TimePoint queuedAt{};
-    /// Latest start in time, earlier by the request's age when it asked: one that came back goes
-    /// before a fresh one.
+    /// Soft deadline of the start, moved earlier by the age of the request at its offer, so that a
+    /// retried request precedes a first attempt.
     base::TimePoint due{};
   };
-  /// Place in the order: members in order of weight, smaller first.
+  /// Position in the order. Members are compared in this sequence; smaller values come first.
   struct Rank {
-    /// Past its use, or larger than the replica's memory is now: gets no room and holds back
-    /// nobody.
+    /// Past its hard deadline, or larger than the replica's memory: gets no capacity and blocks no
+    /// other request.
     bool ineligible = false;
     bool late = false;
-    /// False for a request within the least share of its kind.
+    /// False for a request covered by the minimum share of its urgency level.
     bool beyondMinimumShare = false;
     std::uint32_t urgency = 0;
     std::int64_t tenantUsage = 0;
@@ -121,28 +128,29 @@
                       other.tenantUsage, other.due, other.id);
     }
   };
-  /// Expected start of one request.
+  /// Expected start of a request.
   struct Forecast {
     base::Duration wait{};
     bool servable = false;
   };
-  /// What may pass the head of the queue while that lacks room.
+  /// Which requests may overtake the head of the queue while it lacks capacity.
   struct OvertakingRule {
-    /// Where given, only what has to read at most this many tokens passes.
+    /// If set, only requests with at most this many tokens to prefill may overtake.
     std::optional<std::uint32_t> maximumPrefillTokens;
-    /// Only what does not delay the head passes.
+    /// If set, only requests that do not delay the head may overtake.
     bool mustNotDelayHead = false;
     FutureCapacity headStart;
   };
 
   Rank rankOf(const QueuedRequest& waiting, const LoadSnapshot& load) const;
   std::vector<Rank> ranks(const LoadSnapshot& load) const;
-  /// The one that gets room now; the queue's size where there is none.
+  /// Index of the request that gets capacity now; the size of the queue if there is none.
   std::size_t selectNext(const std::vector<Rank>& ranks, const ReplicaCapacity& capacity,
                          const LoadSnapshot& load) const;
   bool canStart(const QueuedRequest& waiting, const Rank& rank, const ReplicaCapacity& capacity,
                 const LoadSnapshot& load) const;
-  /// What must be free for it to begin: its own and what is kept for more urgent ones.
+  /// Capacity that must be free for the request to start: its own, and the reserve for more urgent
+  /// requests.
   static FreeCapacity requiredCapacity(const QueuedRequest& waiting, const Rank& rank,
                                        const LoadSnapshot& load);
   static bool ineligible(const QueueEntry& entry, const LoadSnapshot& load);
@@ -150,10 +158,10 @@
                                 const LoadSnapshot& load) const;
   static bool mayOvertake(const QueuedRequest& waiting, const OvertakingRule& rule,
                           const LoadSnapshot& load);
-  /// The work ahead is in seconds of the whole replica.
+  /// `workAhead` is in seconds of the whole replica.
   static Forecast forecast(const QueuedRequest& waiting, const Rank& rank, double workAhead,
                            const LoadSnapshot& load);
-  /// Whether what is ahead of it shows that it cannot be served.
+  /// Whether the work ahead of the request shows that it cannot be served.
   static bool unservable(const QueuedRequest& waiting, const Rank& rank, double workAhead,
                          const LoadSnapshot& load);
   OfferResult queueOrRefuse(std::size_t position, bool mayQueue, const std::vector<Rank>& ranks,
@@ -163,9 +171,9 @@
   QueuedRequest remove(std::size_t position);
 
   AdmissionQueueOptions options_;
-  /// In no order.
+  /// Unordered.
   std::vector<QueuedRequest> waiting_;
-  /// Gave way when the queue was full; told by `removeExpired`.
+  /// Displaced while the queue was full; returned by the next `removeExpired`.
   std::vector<QueuedRequest> displaced_;
   ReplicaLoad load_;
   TenantShares shares_;
--- a/src/admission/admission_service.cc
+++ b/src/admission/admission_service.cc
@@ -23,7 +23,7 @@
 
 class AdmissionServiceImpl;
 
-/// Lets tickets outlive the service.
+/// Weak reference, so that tickets may outlive the service.
 using ServiceHandle = std::weak_ptr<AdmissionServiceImpl*>;
 
 class TicketImpl final : public AdmissionTicket {
@@ -39,7 +39,7 @@
   AdmissionId id_;
 };
 
-/// States of one admission:
+/// States of an admission:
 ///
 ///     quota -> [held] -> running -> (ticket destroyed)
 ///       |         |
@@ -50,9 +50,9 @@
   AdmissionRequest request;
   AdmissionCallback callback;
   AdmissionState state = AdmissionState::kQuota;
-  /// The tenant's limits count it.
+  /// The tenant's limits include the request.
   bool holdsQuota = false;
-  /// It runs on an engine and its first token has not come.
+  /// The request runs on an engine and its first token has not arrived.
   bool awaitsFirstToken = false;
   TimePoint arrivedAt;
   TimePoint heldUntil;
@@ -115,7 +115,7 @@
     releaseHeld();
   }
 
-  /// The ticket was destroyed.
+  /// Releases what the admission holds after its ticket was destroyed.
   void onTicketDestroyed(AdmissionId id) {
     const auto found = admissions_.find(id);
     if (found == admissions_.end()) return;
@@ -186,7 +186,7 @@
                         clock_.now());
   }
 
-  /// Where a refusal would come in the end it comes now.
+  /// Refuses immediately if the request would be refused at the end of the hold anyway.
   void hold(AdmissionId id, Admission& admission) {
     const TimePoint now = clock_.now();
     const config::TenantTemplate& tenant = *admission.request.tenant;
@@ -222,7 +222,7 @@
             fmt::format("no capacity for class {} within its hold time", base::toString(priority))};
   }
 
-  /// A class keeps running while a less urgent one does, or did lately.
+  /// A class is not refused while a less urgent class is running, or was running recently.
   bool mustNotRefuse(PriorityClass priority) const {
     for (std::size_t lower = static_cast<std::size_t>(priority) + 1;
          lower < base::kPriorityClassCount; ++lower) {
@@ -245,7 +245,7 @@
     return true;
   }
 
-  /// How long a request of the class that arrives now would be held.
+  /// Expected hold time of a request of the class that arrives now.
   Duration expectedHold(PriorityClass priority, Duration deadline, TimePoint now) const {
     const Duration opening = gate_.timeToOpen(priority, deadline, now);
     const auto ahead = static_cast<Duration::rep>(holdQueue_.aheadOf(priority));
@@ -287,7 +287,7 @@
     }
     AdmissionVerdict verdict;
     verdict.reason = std::move(reason);
-    // Spread, so that callers who were refused together do not come back together.
+    // Spread, so that callers that were refused together do not retry together.
     verdict.retryAfter = random_.jittered(
         std::clamp(retryAfter, options_.minimumRetryAfter, options_.maximumRetryAfter),
         kRetryAfterSpread);
@@ -306,7 +306,7 @@
         });
   }
 
-  /// Lets held requests run, most urgent first, while there is capacity for the first of them.
+  /// Runs held requests, most urgent first, while there is capacity for the first of them.
   void releaseHeld() {
     while (const std::optional<AdmissionId> first = holdQueue_.front()) {
       Admission& admission = admissions_.at(*first);
@@ -325,7 +325,7 @@
     releasedAt_ = now;
   }
 
-  /// Ends holds that have lasted their time.
+  /// Ends the holds whose time is over.
   void expireHeld() {
     const TimePoint now = clock_.now();
     for (std::size_t index = 0; index < base::kPriorityClassCount; ++index) {
@@ -375,9 +375,9 @@
   AdmissionId nextId_ = 1;
   std::size_t running_ = 0;
   std::array<std::size_t, base::kPriorityClassCount> runningByClass_{};
-  /// When a request of the class last ended.
+  /// When a request of each class last ended.
   std::array<TimePoint, base::kPriorityClassCount> lastRan_{};
-  /// Smoothed time between two releases from the hold queue.
+  /// Smoothed interval between releases from the hold queue.
   Duration releaseInterval_ = std::chrono::milliseconds(20);
   TimePoint releasedAt_;
   base::TimerId reviewTimer_ = 0;
--- a/src/admission/admission_service.h
+++ b/src/admission/admission_service.h
@@ -1,5 +1,5 @@
 /// \file
-/// The shipped admission controller: tenant limits first, then hold and shed by class.
+/// The production admission controller: applies tenant limits first, then hold and shed by class.
 #pragma once
 
 #include <memory>
@@ -14,17 +14,17 @@
 
 namespace covewing::admission {
 
-/// Admission of one node. Receives the messages of Channel::kAdmission.
+/// Admission control of one node. Receives the messages of Channel::kAdmission.
 class AdmissionService : public AdmissionController, public base::PeerHandler {
  public:
-  /// Requests held for capacity now.
+  /// Number of requests currently held for capacity.
   virtual std::size_t held() const = 0;
-  /// Requests admitted and not over.
+  /// Number of admitted requests that have not ended.
   virtual std::size_t running() const = 0;
 };
 
-/// All arguments must outlive the service, and the service its tickets' use; tickets may outlive
-/// the service.
+/// All arguments must outlive the service. Tickets may outlive the service; using them is then a
+/// no-op.
 std::unique_ptr<AdmissionService> makeAdmissionController(
     const AdmissionOptions& options, base::Clock& clock, base::TimerService& timers,
     base::RandomSource& random, base::EventLog& log, membership::MemberDirectory& directory,
--- a/src/admission/admission_window.cc
+++ b/src/admission/admission_window.cc
@@ -10,13 +10,13 @@
 void AdmissionWindow::onWaited(Duration wait, Duration target, std::uint32_t waiting,
                                TimePoint now) {
   if (wait > target) {
-    // Requests admitted before the last step down say nothing of the window after it.
+    // Requests admitted before the last reduction carry no information about the reduced window.
     if (now - wait < shrunkAt_) return;
     size_ = std::max(options_.minimum, size_ * options_.shrinkFactor);
     shrunkAt_ = now;
     return;
   }
-  // A window that is not used up is not tested by what it admits.
+  // A window that is not fully used is not tested by the requests that it admits.
   if (2.0 * waiting < size_) return;
   size_ = std::min(options_.maximum, size_ + 1.0 / size_);
 }
--- a/src/admission/admission_window.h
+++ b/src/admission/admission_window.h
@@ -1,7 +1,7 @@
 /// \file
-/// How many admitted requests may wait for their first token at a time on this node: grows by one a
-/// round while first tokens come within their target, and shrinks by a share when they do not, as a
-/// congestion window does. Less urgent classes may use less of it.
+/// Limits how many admitted requests may wait for their first token at a time on this node. Works
+/// like a congestion window: it grows by one per round while first tokens arrive within their
+/// target, and shrinks by a factor when they do not. Less urgent classes may use only a part of it.
 #pragma once
 
 #include <array>
@@ -18,10 +18,11 @@
   explicit AdmissionWindow(const WindowOptions& options)
       : options_(options), size_(options.initial) {}
 
-  /// A request came to its end of waiting: with its first token, or without one, after `wait`.
+  /// A request stopped waiting after `wait`, with or without a first token. `waiting` is the number
+  /// of requests that were waiting at that time.
   void onWaited(base::Duration wait, base::Duration target, std::uint32_t waiting,
                 base::TimePoint now);
-  /// Whether one more request of the class may wait beside `waiting` others.
+  /// Whether one more request of the class may wait in addition to `waiting` others.
   bool admits(base::PriorityClass priority, std::uint32_t waiting) const;
   double size() const { return size_; }
 
--- a/src/admission/arrival_rates.cc
+++ b/src/admission/arrival_rates.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Shortest memory; shorter ones hold hardly one request.
+/// Minimum time constant: a shorter one averages over hardly more than one request.
 constexpr base::Duration kMinimumTimeConstant = std::chrono::milliseconds(100);
 
 }  // namespace
--- a/src/admission/arrival_rates.h
+++ b/src/admission/arrival_rates.h
@@ -1,7 +1,7 @@
 /// \file
-/// Observed load of one replica by urgency: what is asked for, forgotten exponentially. The reserve
-/// for more urgent requests, the room left to the less urgent ones and the predicted waits follow
-/// from it.
+/// Observed demand on one replica per urgency level, with exponential decay. The reserve for more
+/// urgent requests, the capacity left to less urgent ones and the predicted waits are derived from
+/// it.
 #pragma once
 
 #include <array>
@@ -12,18 +12,19 @@
 
 namespace covewing::admission {
 
-/// What one request takes of a replica, as work: room times time.
+/// Work of one request on a replica: capacity multiplied by time.
 struct Work {
-  /// Seconds in which it holds a slot.
+  /// Seconds during which it holds a slot.
   double slotSeconds = 0.0;
-  /// Tokens of memory times the seconds in which it holds them.
+  /// Tokens of memory multiplied by the seconds during which it holds them.
   double tokenSeconds = 0.0;
-  /// Seconds of the whole replica: the larger of its shares of slots and memory, times its run.
+  /// Seconds of the whole replica: the larger of its shares of slots and memory, multiplied by its
+  /// run time.
   double replicaSeconds = 0.0;
 };
 
-/// Work asked for a second: mean slots and tokens held, and mean share of the whole replica, if all
-/// of it was granted.
+/// Work requested per second: the mean number of slots and tokens held, and the mean share of the
+/// whole replica, if all of it were granted.
 struct Demand {
   double slots = 0.0;
   double tokens = 0.0;
@@ -32,17 +33,17 @@
 
 class ArrivalRates {
  public:
-  /// Urgencies beyond the last one kept count as the last one.
+  /// Number of levels that are tracked; higher values count as the last level.
   static constexpr std::size_t kUrgencyLevels = 16;
 
   explicit ArrivalRates(base::Duration timeConstant);
 
-  /// A request that can be in time asked for room.
+  /// Records a request for capacity that can still be on time.
   void onArrival(std::uint32_t urgency, const Work& work, base::TimePoint now);
 
-  /// What requests of this urgency ask for.
+  /// Demand of the requests of this urgency level.
   Demand demand(std::uint32_t urgency, base::TimePoint now) const;
-  /// The share of the replica that requests more urgent than this one ask for.
+  /// Share of the replica that requests more urgent than this level demand.
   double demandAbove(std::uint32_t urgency, base::TimePoint now) const;
 
  private:
--- a/src/admission/capacity_gate.cc
+++ b/src/admission/capacity_gate.cc
@@ -10,9 +10,10 @@
 using base::TimePoint;
 
 namespace {
-/// From this share of the target on, requests are released only as fast as their estimates come.
+/// From this fraction of the target on, requests are released only at the rate at which their
+/// estimates arrive.
 constexpr double kPacingShare = 0.5;
-/// A request that was admitted longer ago has been routed or is over.
+/// A request that was admitted longer ago than this has been routed or has ended.
 constexpr Duration kEstimateTimeout = std::chrono::milliseconds(200);
 }  // namespace
 
@@ -43,7 +44,7 @@
   const std::uint32_t waiting = wait_.waiting();
   const Duration waited = wait_.onAbandoned(priority, request, now);
   const Duration limit = target(priority, Duration::zero());
-  // One that ended early was the caller's own decision.
+  // A request that ended before the limit was cancelled by its caller and is no sign of overload.
   if (waited > limit) window_.onWaited(waited, limit, waiting, now);
 }
 
--- a/src/admission/capacity_gate.h
+++ b/src/admission/capacity_gate.h
@@ -1,9 +1,11 @@
 /// \file
-/// Decides whether a class may run now, from the router's expectation of the first token and from
-/// how long admitted requests really wait for theirs, whichever is longer.
+/// Decides whether requests of a class may run now. The estimate of a class is the larger of two
+/// values: the time to first token that the router expects, and the time that admitted requests
+/// actually wait for their first token.
 ///
-/// A class runs while its estimate is within its target. While it is not, the class and all less
-/// urgent ones are held; estimates fade without samples, so that a few requests probe the engines.
+/// A class runs while its estimate is within its target. Otherwise the class and all less urgent
+/// ones are held. Estimates decay without new samples, so that a few requests eventually probe the
+/// engines.
 #pragma once
 
 #include <algorithm>
@@ -29,35 +31,35 @@
 
   /// A request of the class was admitted; its routing estimate is to follow.
   void onAdmitted(base::PriorityClass priority, RequestNumber request, base::TimePoint now);
-  /// Its first token came.
+  /// The first token of the request was received.
   void onFirstToken(base::PriorityClass priority, RequestNumber request, base::TimePoint now);
-  /// It ended without a first token.
+  /// The request ended without a first token.
   void onAbandoned(base::PriorityClass priority, RequestNumber request, base::TimePoint now);
-  /// The router told its estimate for a request of the class.
+  /// The router reported its estimate for a request of the class.
   void onEstimate(base::PriorityClass priority, base::Duration expected, base::TimePoint now);
 
-  /// Whether one more request of the class may run now, be it as a probe. `deadline` is its time to
-  /// the first token; zero means none.
+  /// Whether one more request of the class may run now, possibly as a probe. `deadline` is the
+  /// request's time limit to the first token; zero means none.
   bool isOpen(base::PriorityClass priority, base::Duration deadline, base::TimePoint now) const;
   base::Duration expected(base::PriorityClass priority, base::TimePoint now) const {
     return std::max(estimate_.current(priority, now), wait_.current(priority, now));
   }
-  /// Time until the estimate will have faded to the target, without further samples.
+  /// Time until the estimate will have decayed to the target if no further samples arrive.
   base::Duration timeToOpen(base::PriorityClass priority, base::Duration deadline,
                             base::TimePoint now) const;
   base::Duration target(base::PriorityClass priority, base::Duration deadline) const;
 
  private:
-  /// Admitted requests whose estimate may still come.
+  /// Number of admitted requests whose estimate may still arrive.
   std::size_t awaitingEstimate(base::PriorityClass priority, base::TimePoint now) const;
 
   CapacityOptions options_;
   FirstTokenEstimate estimate_;
   FirstTokenWait wait_;
   AdmissionWindow window_;
-  /// When something was last learned of the engines, or a probe sent to learn it.
+  /// Time of the last observation of the engines, or of the last probe that was sent to obtain one.
   base::TimePoint lastObservedAt_;
-  /// When the requests were admitted whose estimates have not come, oldest first.
+  /// Admission times of the requests whose estimates have not arrived, oldest first.
   std::array<std::deque<base::TimePoint>, base::kPriorityClassCount> awaitingEstimate_;
 };
 
--- a/src/admission/capacity_snapshot.cc
+++ b/src/admission/capacity_snapshot.cc
@@ -7,9 +7,10 @@
 
 namespace {
 
-/// Taken where neither the request nor the replica knows; runs last 0.2 to 2.5 s.
+/// Assumed if neither the request nor the replica provides a value; runs take 0.2 to 2.5 s.
 constexpr base::Duration kAssumedRunTime = std::chrono::milliseconds(500);
-/// Longer runs count as this long, so that one wrong figure does not stop the queue.
+/// Longer run times are treated as this long, so that a single wrong value does not block the
+/// queue.
 constexpr base::Duration kMaximumRunTime = std::chrono::seconds(60);
 constexpr std::int64_t kNoLimit = std::numeric_limits<std::int64_t>::max() / 4;
 
--- a/src/admission/capacity_snapshot.h
+++ b/src/admission/capacity_snapshot.h
@@ -1,5 +1,5 @@
 /// \file
-/// The figures of one replica's room, read once for a decision, and what a request takes of it.
+/// Capacity of one replica, read once per decision, and the part of it that a request uses.
 #pragma once
 
 #include <cstdint>
@@ -11,24 +11,24 @@
 
 namespace covewing::admission {
 
-/// At least zero and at most an hour.
+/// Converts seconds to a duration, limited to the range from zero to one hour.
 base::Duration fromSeconds(double seconds);
 
 struct CapacitySnapshot {
   explicit CapacitySnapshot(const ReplicaCapacity& capacity);
 
-  /// How long the request is expected to run.
+  /// Expected run time of the request.
   base::Duration runTimeOf(const QueueCost& cost) const;
   Work workOf(const QueueCost& cost) const;
-  /// The larger of the request's shares of slots and memory.
+  /// The larger of the request's shares of slots and of memory.
   double shareOf(const QueueCost& cost) const;
-  /// All slots and memory; what is not known counts as without limit.
+  /// All slots and memory; unknown values count as unlimited.
   FreeCapacity total() const;
-  /// What is free; what is not known counts as without limit.
+  /// Free slots and memory; unknown values count as unlimited.
   FreeCapacity free() const;
   bool atCapacity() const { return slots != 0 && slotsInUse >= slots; }
-  /// Half of the places are free; requests are then not refused for want of room. A replica that
-  /// runs nothing is free also where its slots are not known.
+  /// At least half of the slots are free; requests are then not refused for lack of capacity. A
+  /// replica that runs nothing also counts as half free if its number of slots is unknown.
   bool halfFree() const { return 2 * static_cast<std::uint64_t>(slotsInUse) <= slots; }
   /// The request is larger than the replica's memory.
   bool exceedsMemory(const QueueCost& cost) const { return memory != 0 && cost.tokens > memory; }
@@ -37,7 +37,7 @@
   std::uint32_t slotsInUse = 0;
   std::uint64_t memory = 0;
   std::uint64_t memoryInUse = 0;
-  /// Positive, also where the caller knows none.
+  /// Positive, even if the caller has no value.
   base::Duration meanRunTime{};
 };
 
--- a/src/admission/first_token_estimate.cc
+++ b/src/admission/first_token_estimate.cc
@@ -10,7 +10,7 @@
 
 void FirstTokenEstimate::add(base::PriorityClass priority, Duration expected, TimePoint now) {
   ClassSamples& samples = classes_.at(static_cast<std::size_t>(priority));
-  // Samples from before a long silence say nothing of the load now.
+  // Samples from before a long gap carry no information about the current load.
   if (now - samples.newest > 2 * halfLife_) {
     samples.ring.clear();
     samples.next = 0;
--- a/src/admission/first_token_estimate.h
+++ b/src/admission/first_token_estimate.h
@@ -1,10 +1,10 @@
 /// \file
-/// What the router lately expected as the time to first token, by priority class: the load signal
-/// of hold and shed.
+/// Recent times to first token as expected by the router, by priority class: the load signal of
+/// hold and shed.
 ///
-/// The estimate of a class is the median of its last samples, so that one long prompt does not
-/// count as load, and at least that of every more urgent class, because engines serve those first.
-/// It halves with each half-life without a sample.
+/// The estimate of a class is the median of its last samples, so that a single long prompt does not
+/// count as load, and at least the estimate of every more urgent class, because engines serve those
+/// first. It halves with each half-life that passes without a sample.
 #pragma once
 
 #include <array>
@@ -21,7 +21,7 @@
   explicit FirstTokenEstimate(base::Duration halfLife) : halfLife_(halfLife) {}
 
   void add(base::PriorityClass priority, base::Duration expected, base::TimePoint now);
-  /// Zero where nothing is known.
+  /// Zero if there are no samples.
   base::Duration current(base::PriorityClass priority, base::TimePoint now) const;
 
  private:
--- a/src/admission/first_token_wait.cc
+++ b/src/admission/first_token_wait.cc
@@ -9,9 +9,9 @@
 using base::TimePoint;
 
 namespace {
-/// First tokens older than this say nothing of the load now.
+/// First tokens older than this carry no information about the current load.
 constexpr Duration kRetention = std::chrono::seconds(1);
-/// Fewer requests say nothing of the load.
+/// Fewer samples than this carry no information about the load.
 constexpr std::size_t kMinimumSamples = 4;
 }  // namespace
 
--- a/src/admission/first_token_wait.h
+++ b/src/admission/first_token_wait.h
@@ -1,10 +1,10 @@
 /// \file
-/// How long admitted requests really wait for their first token. It sees what a router's
-/// expectation misses, such as engines whose memory is full.
+/// Measures how long admitted requests actually wait for their first token. This covers conditions
+/// that the router's expectation misses, such as engines whose memory is full.
 ///
-/// The wait of a class is the median over the first tokens of the last second and over the requests
-/// that have waited longer than the median of those already. A few requests stuck at one engine
-/// therefore do not count as load of the whole fleet.
+/// The wait of a class is the median over two groups: the first tokens received within the last
+/// second, and the pending requests that have already waited longer than the median of the first
+/// group. A few requests stuck at one engine therefore do not count as load of the whole fleet.
 #pragma once
 
 #include <array>
@@ -23,18 +23,18 @@
   /// Identifies a request; unique within this node.
   using RequestNumber = std::uint64_t;
 
-  /// A request was admitted and waits from now on.
+  /// A request was admitted and starts waiting.
   void onAdmitted(base::PriorityClass priority, RequestNumber request, base::TimePoint now);
-  /// Its first token came; returns how long it waited.
+  /// The first token of the request was received; returns the time it waited.
   base::Duration onFirstToken(base::PriorityClass priority, RequestNumber request,
                               base::TimePoint now);
-  /// It ended without one; returns how long it waited.
+  /// The request ended without a first token; returns the time it waited.
   base::Duration onAbandoned(base::PriorityClass priority, RequestNumber request,
                              base::TimePoint now);
-  /// Requests that wait now.
+  /// Number of requests that are waiting now.
   std::uint32_t waiting() const;
 
-  /// The longest wait over the class and the more urgent ones; zero where too little is known.
+  /// Longest wait over the class and all more urgent ones; zero if there are too few samples.
   base::Duration current(base::PriorityClass priority, base::TimePoint now) const;
 
  private:
@@ -44,7 +44,7 @@
   };
   struct ClassWaits {
     std::map<RequestNumber, base::TimePoint> waiting;
-    /// Of the last second, oldest first.
+    /// First tokens of the last second, oldest first.
     std::deque<Finished> finished;
   };
 
--- a/src/admission/granted_runs.cc
+++ b/src/admission/granted_runs.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Most runs kept where the caller tells no true number of them.
+/// Maximum number of runs kept if the caller does not report their true number.
 constexpr std::size_t kMaximumRuns = 1024;
 
 }  // namespace
--- a/src/admission/granted_runs.h
+++ b/src/admission/granted_runs.h
@@ -1,6 +1,6 @@
 /// \file
-/// The requests that were granted room at one replica and are believed to run: by urgency, and when
-/// their room falls free.
+/// Requests that were granted capacity of one replica and are presumed to be running: their urgency
+/// levels, and when their capacity becomes free.
 #pragma once
 
 #include <cstddef>
@@ -17,13 +17,13 @@
   base::TimePoint expectedEnd{};
 };
 
-/// Room in slots and tokens of memory.
+/// Capacity in slots and in tokens of memory.
 struct FreeCapacity {
   std::int64_t slots = 0;
   std::int64_t tokens = 0;
 };
 
-/// When a request finds room, and what is free beside it then.
+/// Time at which a request finds capacity, and the capacity that is left beside it then.
 struct FutureCapacity {
   base::TimePoint at{};
   FreeCapacity spare;
@@ -32,17 +32,18 @@
 class GrantedRuns {
  public:
   void onGrant(const GrantedRun& run);
-  /// As many runs as the replica has taken stay, those that end last: a run that takes longer than
-  /// expected stays counted, one that ended early goes.
+  /// Keeps as many runs as the replica has slots in use, namely those expected to end last: a run
+  /// that takes longer than expected stays counted, and one that ended early is dropped.
   void trim(std::size_t slotsInUse);
   void clear() { runs_.clear(); }
-  /// Slots and tokens that runs of this urgency hold.
+  /// Slots and tokens held by runs of this urgency level.
   FreeCapacity heldBy(std::uint32_t urgency) const;
-  /// When `need` is free if nothing more is granted; `free` is free now.
+  /// When `need` will be available if nothing more is granted; `free` is the capacity available
+  /// now.
   FutureCapacity whenFree(const FreeCapacity& need, FreeCapacity free, base::TimePoint now) const;
 
  private:
-  /// By expected end.
+  /// Sorted by expected end.
   std::vector<GrantedRun> runs_;
 };
 
--- a/src/admission/hold_queue.h
+++ b/src/admission/hold_queue.h
@@ -1,5 +1,6 @@
 /// \file
-/// Requests that wait for capacity: by priority class, first in first out within a class.
+/// Requests that are held for capacity: ordered by priority class, first in, first out within a
+/// class.
 #pragma once
 
 #include <array>
@@ -12,19 +13,19 @@
 
 namespace covewing::admission {
 
-/// Number of one admission on this node, in order of arrival.
+/// Sequence number of an admission on this node, in order of arrival.
 using AdmissionId = std::uint64_t;
 
 class HoldQueue {
  public:
   void push(base::PriorityClass priority, AdmissionId id);
-  /// Removes the entry where it is queued.
+  /// Removes the entry if it is queued.
   void remove(base::PriorityClass priority, AdmissionId id);
-  /// The oldest entry of the most urgent class.
+  /// The oldest entry of the most urgent non-empty class.
   std::optional<AdmissionId> front() const;
-  /// The newest entry of the least urgent class, the first to be shed.
+  /// The newest entry of the least urgent non-empty class: the first one to be shed.
   std::optional<AdmissionId> last() const;
-  /// Entries of this class and of more urgent ones.
+  /// Number of entries of this class and of more urgent ones.
   std::size_t aheadOf(base::PriorityClass priority) const;
   std::size_t size() const;
   const std::deque<AdmissionId>& entries(base::PriorityClass priority) const;
--- a/src/admission/minimum_share.cc
+++ b/src/admission/minimum_share.cc
@@ -6,17 +6,17 @@
 
 namespace {
 
-/// Part of what the kind asks for, and of the replica, that it is served in any case. Without it,
-/// with 1.3 times the room asked for by the most urgent kind alone, a less urgent one was served
-/// 0.05 of its requests in place of 0.10.
+/// Fraction of its own demand, and of the replica, that a level is served in any case. Without it,
+/// when the most urgent level alone demanded 1.3 times the capacity, a less urgent level was served
+/// 0.05 of its requests instead of 0.10.
 constexpr double kGuaranteedShare = 0.1;
-/// Most credit: more urgent ones wait at most about this long for it at once, as long as the
-/// shortest times to a start that callers ask for. A request that takes more is served once this
-/// much is there, and leaves a debt.
+/// Maximum credit in seconds of the whole replica. A more urgent request waits at most about this
+/// long because of it, which is as long as the shortest time to start that callers require. A
+/// request that needs more is served once this much credit is available, and leaves a debt.
 constexpr double kMaximumCredit = 0.5;
 
-/// Grants beyond the credit leave no further debt: room that nobody else wanted is no service
-/// before others.
+/// Grants beyond the credit add no further debt: capacity that no other request wanted does not
+/// count as being served ahead of others.
 void spend(double& credit, double work) {
   if (credit > 0.0) credit -= work;
 }
--- a/src/admission/minimum_share.h
+++ b/src/admission/minimum_share.h
@@ -1,10 +1,11 @@
 /// \file
-/// The part of a replica that one urgency is served before more urgent ones, whatever these ask
-/// for, kept as a credit: each request that asks adds a tenth of its work, each that is granted
-/// takes its own. So also a kind that asks seldom gets every tenth request, and all together cost
-/// the more urgent ones at most a tenth of the replica for each such kind.
+/// Minimum share of a replica that one urgency level gets ahead of more urgent levels, whatever
+/// their demand. It is kept as a credit: each request that arrives adds a tenth of its work, and
+/// each request that is granted subtracts its own. A level with rare requests therefore also gets
+/// every tenth request served, and each such level costs the more urgent ones at most a tenth of
+/// the replica.
 ///
-/// Work is in seconds of the whole replica.
+/// Work is measured in seconds of the whole replica.
 #pragma once
 
 #include "base/time.h"
@@ -13,19 +14,19 @@
 
 class MinimumShare {
  public:
-  /// A request that can be in time asked for room.
+  /// Records a request for capacity that can still be on time.
   void onArrival(double work, base::TimePoint now);
   void onGrant(double work, base::TimePoint now);
-  /// Whether a request of this work goes before more urgent ones now.
+  /// Whether a request with this amount of work precedes more urgent ones now.
   bool covers(double work, base::TimePoint now) const;
 
  private:
   double timeCredit(base::TimePoint now) const;
 
   base::TimePoint at_{};
-  /// A tenth of what was asked, less what was granted.
+  /// A tenth of the work requested, less the work granted.
   double demandCredit_ = 0.0;
-  /// A tenth of the time that passed, less what was granted: bounds the part of the replica.
+  /// A tenth of the elapsed time, less the work granted: bounds the share of the replica.
   double timeCredit_ = 0.0;
 };
 
--- a/src/admission/queue_entry.h
+++ b/src/admission/queue_entry.h
@@ -1,5 +1,5 @@
 /// \file
-/// A request that asks for room at one replica, and what is known of that room.
+/// A request that needs capacity of one replica, and the interface to the state of that capacity.
 #pragma once
 
 #include <chrono>
@@ -9,58 +9,61 @@
 
 namespace covewing::admission {
 
-/// What one request takes of a replica while it runs.
+/// Resources of a replica that one request uses while it runs.
 struct QueueCost {
-  /// Tokens of memory, growth of its output included.
+  /// Tokens of memory, including the growth by the request's output.
   std::uint32_t tokens = 0;
-  /// Tokens of the prompt to be read.
+  /// Tokens of the prompt that have to be prefilled.
   std::uint32_t prefillTokens = 0;
-  /// Expected time from its start to its end; zero: not known.
+  /// Expected time from the start of the request to its end; zero if unknown.
   base::Duration runTime{};
 };
 
-/// A request that asks for room. Times are on the home's clock.
+/// A request for capacity. Times refer to the clock of the replica's home node.
 struct QueueEntry {
-  /// Names the request at its home; unique.
+  /// Identifies the request at the home node; unique.
   std::uint64_t id = 0;
-  /// 0 is the most urgent.
+  /// Urgency level; 0 is the most urgent.
   std::uint32_t urgency = 0;
-  /// Hash of the tenant's name; 0: none.
+  /// Hash of the tenant's name; 0 if the request has no tenant.
   std::uint64_t tenant = 0;
-  /// When the request reached the system; equal for a request that came back after a refusal where
-  /// that is known.
+  /// When the request first reached the system. A retry after a refusal keeps the time of its first
+  /// attempt if that is known.
   base::TimePoint arrivedAt{};
-  /// The answer is in time if the request begins by then.
+  /// Soft deadline: the response is on time if the request starts by then.
   base::TimePoint softStartDeadline{};
-  /// Beginning after this is of no use to the caller.
+  /// Hard deadline: a start after this is of no use to the caller.
   base::TimePoint hardStartDeadline{};
   QueueCost cost;
-  /// Share of the tenant in shortage against other tenants of the same urgency; 0 counts as 1.
+  /// Relative share of the tenant against other tenants of the same urgency level in a shortage; 0
+  /// counts as 1.
   std::uint32_t weight = 1;
 };
 
-/// A request that asks this long after it reached the system does not ask for the first time.
+/// A request that arrives here later than this after it reached the system is not a first attempt.
 constexpr base::Duration kFirstAttemptWithin = std::chrono::milliseconds(250);
 
-/// Whether the request that asks at this time came back after a refusal, or asked elsewhere before.
+/// Whether a request that arrives at this time is a retry after a refusal, or was offered elsewhere
+/// before.
 inline bool isRetry(const QueueEntry& entry, base::TimePoint at) {
   return at - entry.arrivedAt >= kFirstAttemptWithin;
 }
 
-/// What the home knows of the replica's room now.
+/// Capacity of a replica, as known to its home node.
 class ReplicaCapacity {
  public:
   virtual ~ReplicaCapacity() = default;
-  /// Whether the replica can begin this request now, in time where `inTime` is asked for.
+  /// Whether the replica can start this request now; with `onTime`, whether it can start it before
+  /// its soft deadline.
   virtual bool fits(const QueueEntry& entry, bool onTime) const = 0;
-  /// Requests that the replica runs at once; 0: not known.
+  /// Maximum number of concurrent requests of the replica; 0 if unknown.
   virtual std::uint32_t slots() const = 0;
-  /// Requests that run or have been granted.
+  /// Number of requests that run or have been granted.
   virtual std::uint32_t slotsInUse() const = 0;
-  /// Memory for requests in tokens, 0: not known; and what running requests take of it.
+  /// Memory for requests in tokens (0 if unknown), and the part of it that running requests use.
   virtual std::uint64_t memory() const = 0;
   virtual std::uint64_t memoryInUse() const = 0;
-  /// How long a request runs here on average.
+  /// Average run time of a request on this replica.
   virtual base::Duration meanRunTime() const = 0;
 };
 
--- a/src/admission/quota_demand.h
+++ b/src/admission/quota_demand.h
@@ -1,8 +1,8 @@
 /// \file
-/// What a request asks of its tenant's limits.
+/// The demand of a request on its tenant's limits.
 ///
-/// Limits are counted in tokens of a unit that their source chooses: one for each request, or those
-/// of the prompt and the longest answer. Nothing here depends on the unit.
+/// Limits are counted in tokens. The configuration determines the unit: one token per request, or
+/// the tokens of the prompt and of the maximum output. Nothing here depends on the unit.
 #pragma once
 
 #include <cstdint>
@@ -11,24 +11,24 @@
 
 namespace covewing::admission {
 
-/// Limits of one tenant over all nodes together.
+/// Limits of one tenant, shared by all nodes.
 struct QuotaLimits {
-  /// Tokens a second; 0 means unlimited.
+  /// Tokens per second; 0 means unlimited.
   double ratePerSecond = 0;
-  /// Tokens that may come at once above the rate.
+  /// Tokens that may be used at once in excess of the rate.
   double burst = 0;
-  /// Requests in flight; 0 means unlimited.
+  /// Maximum number of requests in flight; 0 means unlimited.
   std::uint32_t concurrency = 0;
 
   bool any() const { return ratePerSecond > 0 || concurrency > 0; }
-  /// Tokens that the tenant may save up.
+  /// Maximum number of tokens that the tenant can accumulate.
   double bucketSize() const { return burst < 1.0 ? 1.0 : burst; }
 };
 
-/// One request's demand.
+/// The demand of one request.
 struct QuotaDemand {
   base::TenantId tenant;
-  /// Of the configuration that `limits` come from; the highest one that is known counts.
+  /// Revision of the configuration that `limits` are from; the highest known revision applies.
   base::Revision revision = 0;
   QuotaLimits limits;
   std::uint32_t tokens = 1;
--- a/src/admission/quota_ledger.cc
+++ b/src/admission/quota_ledger.cc
@@ -11,14 +11,14 @@
 
 namespace {
 
-/// Rounding slack of the bucket, in tokens.
+/// Rounding tolerance of the bucket, in tokens.
 constexpr double kTokenSlack = 1e-6;
 Duration timeToEarn(double tokens, double rate) {
   constexpr double kMicrosecondsPerSecond = 1e6;
   return Duration{static_cast<Duration::rep>(tokens / rate * kMicrosecondsPerSecond) + 1};
 }
 
-/// Promises that are kept at most; those beyond are told the same time.
+/// Maximum number of scheduled retries that are kept; further refusals all get the same time.
 constexpr std::size_t kMaximumScheduledRetries = 256;
 
 }  // namespace
@@ -85,7 +85,8 @@
     return;
   }
   if (request.tokensWanted == 0) return;
-  // What is larger than the bucket passes a full one, and those behind it wait for longer.
+  // A request larger than the bucket is granted by a full bucket, and the requests behind it wait
+  // longer.
   const double needed = std::max(1.0, static_cast<double>(request.tokensNeeded));
   const double enough = std::min(needed, account.bucketSize());
   if (account.tokens + kTokenSlack < enough) {
@@ -118,7 +119,8 @@
                              QuotaLeaseReply& reply) const {
   SlotLease& own = account.leases[holder.node];
   own.slots = request.slotsHeld;
-  // The holder counts from before it sent its ask, so it stops using the lease earlier.
+  // The holder counts the lease time from before it sent its request, so it stops using the lease
+  // earlier.
   own.expiresAt = now + options_.slotLease;
   const std::uint32_t limit = account.limits.concurrency;
   if (limit == 0) {
--- a/src/admission/quota_ledger.h
+++ b/src/admission/quota_ledger.h
@@ -1,14 +1,14 @@
 /// \file
-/// The home's side of tenant limits: one token bucket and the leased concurrency slots of each
-/// tenant that this node is the home of.
+/// The home node's side of tenant limits: a token bucket and the leased concurrency slots of each
+/// tenant that this node is the home node of.
 ///
-/// Between home changes at most `concurrency` slots are leased, and tokens leased within any time t
-/// are at most `burst + rate * t`, or what more the largest single request takes. A home that sees
-/// only a part of the fleet grants that part of the limits: the rest may be in use by nodes that it
-/// does not see. A node that becomes the home starts with the part of a full bucket that the
-/// options say and what has been earned since, and learns of slots in use from their holders'
-/// renewals, so for up to one slot lease after a home change up to twice the limit may be in
-/// flight.
+/// Between changes of the home node at most `concurrency` slots are leased, and the tokens leased
+/// within any time t are at most `burst + rate * t`, or the demand of the largest single request if
+/// that is more. A home node that sees only a part of the fleet grants only that part of the
+/// limits: the rest may be in use by nodes that it does not see. A node that becomes the home node
+/// starts with the configured fraction of a full bucket, plus the tokens earned since. The renewals
+/// of the lease holders inform it about the slots in use, so for up to one slot lease after a
+/// change of the home node up to twice the limit may be in flight.
 #pragma once
 
 #include <cstdint>
@@ -22,19 +22,19 @@
 
 namespace covewing::admission {
 
-/// One run of a node that leases.
+/// One incarnation of a node that holds leases.
 struct LeaseHolder {
   base::NodeId node;
   base::Incarnation incarnation = 0;
 };
 
-/// What a home may answer for.
+/// The part of a tenant's limits that a home node may grant.
 struct HomeAuthority {
-  /// Part of the limits that it grants, 0 to 1.
+  /// Fraction of the limits that it grants, 0 to 1.
   double share = 1.0;
-  /// Part of a full bucket that an account which is new here starts with, at `since`.
+  /// Fraction of a full bucket with which a new account starts at time `since`.
   double initialBucketShare = 1.0;
-  /// Before this another node may have been the home.
+  /// Before this time another node may have been the home node.
   base::TimePoint since{};
 };
 
@@ -44,12 +44,12 @@
 
   QuotaLeaseReply handle(const LeaseHolder& holder, const QuotaLeaseRequest& request,
                          const HomeAuthority& authority, base::TimePoint now);
-  /// Does nothing for a tenant without an account.
+  /// Has no effect for a tenant without an account.
   void applyCorrection(const QuotaCorrection& correction);
-  /// Forgets accounts that are as good as new.
+  /// Drops accounts that do not differ from new ones.
   void dropIdle(base::TimePoint now);
-  /// Forgets the accounts of tenants that have another home now: what they were granted there is
-  /// not known here.
+  /// Drops the accounts of tenants that have another home node now: this node has no record of what
+  /// is granted there.
   template <class HasOtherHome>
   void dropMoved(HasOtherHome hasOtherHome) {
     std::erase_if(accounts_, [&](const auto& entry) { return hasOtherHome(entry.first); });
@@ -63,7 +63,7 @@
     std::uint32_t slots = 0;
     base::TimePoint expiresAt;
   };
-  /// A refused request was told to come back then.
+  /// A refused request was given this time to retry.
   struct ScheduledRetry {
     base::TimePoint at;
     double tokens = 0;
@@ -71,9 +71,9 @@
   struct Account {
     base::Revision revision = 0;
     QuotaLimits limits;
-    /// Part of the limits granted here.
+    /// Fraction of the limits granted by this node.
     double share = 1.0;
-    /// Negative after work that was not asked for.
+    /// Tokens in the bucket; negative after charges for work that had no grant.
     double tokens = 0;
     base::TimePoint refilledAt;
     std::deque<ScheduledRetry> scheduledRetries;
@@ -88,7 +88,7 @@
                    base::TimePoint now);
   void grantTokens(Account& account, const QuotaLeaseRequest& request, base::TimePoint now,
                    QuotaLeaseReply& reply) const;
-  /// Says when the tokens are there.
+  /// Fills in when the tokens will be available.
   void scheduleRetry(Account& account, double needed, base::TimePoint now,
                      QuotaLeaseReply& reply) const;
   void grantSlots(Account& account, const LeaseHolder& holder, const QuotaLeaseRequest& request,
--- a/src/admission/quota_messages.cc
+++ b/src/admission/quota_messages.cc
@@ -16,9 +16,9 @@
 constexpr std::uint32_t kRequestFields = 12;
 constexpr std::uint32_t kReplyFields = 10;
 constexpr std::uint32_t kCorrectionFields = 4;
-/// Rates and bursts travel in thousandths of a token.
+/// Rates and bursts are encoded in thousandths of a token.
 constexpr double kScale = 1000.0;
-/// Highest rate or burst that a message carries, in tokens.
+/// Maximum rate or burst in a message, in tokens.
 constexpr double kMaximumTokens = 1e12;
 constexpr base::Duration kMaximumWait = std::chrono::hours(1);
 
--- a/src/admission/quota_messages.h
+++ b/src/admission/quota_messages.h
@@ -1,5 +1,5 @@
 /// \file
-/// Messages of the admission channel: leases of a tenant's limits.
+/// Messages of the admission channel: leasing of a tenant's limits.
 #pragma once
 
 #include <cstdint>
@@ -14,46 +14,48 @@
 
 namespace covewing::admission {
 
-/// A node asks a tenant's home for a share of its limits. It carries the limits as the asker has
-/// them in force; the home uses those of the highest revision that it has seen.
+/// Request of a node to a tenant's home node for a lease of its limits. It carries the limits that
+/// are in force at the sender; the home node uses those of the highest revision it has received.
 struct QuotaLeaseRequest {
   base::TenantId tenant;
   base::Revision revision = 0;
   QuotaLimits limits;
-  /// Grows with each ask of the sender's run; the home ignores older ones.
+  /// Increases with each lease request of the sender's incarnation; the home node ignores older
+  /// ones.
   std::uint64_t sequence = 0;
-  /// Fewer tokens than these are of no use: the first waiting request needs them.
+  /// Minimum number of tokens that is of use: the demand of the first waiting request.
   std::uint32_t tokensNeeded = 0;
-  /// Tokens that the sender could use, those needed included.
+  /// Number of tokens that the sender could use, including those needed.
   std::uint32_t tokensWanted = 0;
-  /// Concurrency slots that the sender holds from now on, without those wanted.
+  /// Concurrency slots that the sender holds from now on, excluding those wanted.
   std::uint32_t slotsHeld = 0;
   std::uint32_t slotsWanted = 0;
-  /// False where the sender only returns slots.
+  /// False if the sender only returns slots.
   bool replyWanted = true;
 };
 
-/// The home's answer.
+/// Reply of the home node: the lease granted, or a refusal.
 struct QuotaLeaseReply {
   base::TenantId tenant;
   std::uint64_t sequence = 0;
   std::uint32_t tokens = 0;
   /// Slots granted in addition to those held.
   std::uint32_t slots = 0;
-  /// The tokens needed are not there before this, where none was granted.
+  /// Earliest time after which the tokens needed can be available; set if none were granted.
   base::Duration tokensAvailableAfter{};
-  /// When the tokens needed are there behind what was refused before.
+  /// Time after which the tokens needed will be available, after those of requests that were
+  /// refused earlier.
   base::Duration retryAfter{};
-  /// Tokens left in the tenant's bucket; negative after work that had to be repeated.
+  /// Tokens left in the tenant's bucket; negative after charges for repeated work.
   std::int64_t balance = 0;
-  /// Slots are scarce: return idle ones at once.
+  /// Slots are scarce: holders must return idle ones immediately.
   bool contended = false;
-  /// The tenant is close to its limit.
+  /// The tenant is near its limit.
   bool nearLimit = false;
 };
 
-/// Tells the home of tokens that were granted and not used, or used without a grant. A lost
-/// correction costs the tenant, or grants it, these tokens.
+/// Informs the home node of tokens that were granted and not used, or used without a grant. A lost
+/// correction costs the tenant these tokens, or grants them to it.
 struct QuotaCorrection {
   base::TenantId tenant;
   std::uint32_t returned = 0;
@@ -65,7 +67,7 @@
 std::string encode(const QuotaLeaseRequest& request);
 std::string encode(const QuotaLeaseReply& reply);
 std::string encode(const QuotaCorrection& correction);
-/// Empty when the payload is malformed.
+/// Empty if the payload is malformed.
 std::optional<QuotaMessage> decodeQuotaMessage(std::string_view payload);
 
 }  // namespace covewing::admission
--- a/src/admission/quota_window.h
+++ b/src/admission/quota_window.h
@@ -1,12 +1,13 @@
 /// \file
-/// What operators mean by a tenant's limit, and the token bucket that keeps to it.
+/// Translates an operator's limit for a tenant into the parameters of a token bucket that keeps to
+/// it.
 ///
-/// Operators bound what a tenant uses in each window: at most (rate x window + burst) x
-/// (1 + overshoot) + slack, where overshoot and slack are their tolerance for a count that many
-/// nodes make together. A bucket of the stated rate and burst would refuse a tenant that stays
-/// within each window, since a window lets it use its burst again and again; a count of what was
-/// used in the window lets it use all at once, and a home that starts anew does not know when that
-/// was. So the bucket earns the burst over the window, and holds a part of it.
+/// Operators limit the usage of a tenant within each window: at most (rate x window + burst) x (1 +
+/// overshoot) + slack, where overshoot and slack are the tolerance for a count that many nodes keep
+/// together. A bucket with the stated rate and burst would refuse a tenant that stays within each
+/// window, since a window permits its burst again and again. A count of the usage within the window
+/// would permit all of it at once, and a newly started home node has no record of when that
+/// happened. The bucket therefore earns the burst over the window, and holds only a part of it.
 #pragma once
 
 #include <algorithm>
@@ -21,17 +22,18 @@
   base::Duration span = std::chrono::seconds(8);
   double overshoot = 0;
   double slack = 0;
-  /// Part of the tolerance that is granted. The rest covers nodes that do not see each other, and
-  /// requests that are held between their grant and their dispatch.
+  /// Fraction of the tolerance that is granted. The remainder covers nodes that do not see each
+  /// other, and requests that are held between their grant and their dispatch.
   double grantedToleranceShare = 0.3;
-  /// Part of the tolerance, or of the burst if that is more, that may be saved up.
+  /// Fractions of the tolerance and of the burst; the larger of the two amounts may accumulate in
+  /// the bucket.
   double bucketToleranceShare = 0.2;
   double bucketBurstShare = 0.25;
-  /// Of a burst of a second's worth or more, so much of a second's worth may be saved up: where the
-  /// tolerance is small, a tenant's single prompts would be larger than its bucket otherwise.
+  /// Of a burst of at least one second's worth of tokens, this many seconds' worth may accumulate:
+  /// if the tolerance is small, a single prompt of a tenant would otherwise exceed its bucket.
   double bucketSeconds = 0.8;
 
-  /// The bucket for a tenant's limit: in no window more passes than is allowed.
+  /// The bucket for a tenant's limit: no window admits more than the limit allows.
   QuotaLimits limitsFor(const config::TenantRate& rate) const {
     const double seconds = base::toSeconds(span);
     const double stated = rate.perSecond * seconds + rate.burst;
--- a/src/admission/replica_load.cc
+++ b/src/admission/replica_load.cc
@@ -7,11 +7,12 @@
 
 namespace {
 
-/// Time over which what is left for late service is measured: callers wait about as long.
+/// Time constant for the share that is left for late requests: callers wait about this long.
 constexpr base::Duration kLongTimeConstant = std::chrono::seconds(5);
-/// Most of the replica kept free for more urgent requests that are expected; half, as no request is
-/// refused while half of the places are free. Bursts with 100 ms to begin in: 0.906 of the urgent
-/// began in time when they first asked, 0.862 without.
+/// Maximum fraction of the replica that is reserved for expected requests of more urgent levels. It
+/// is a half because no request is refused while half of the slots are free. With bursts of urgent
+/// requests that had to start within 100 ms, 0.906 of them started on time at their first attempt,
+/// and 0.862 without a reserve.
 constexpr double kMaximumReservedShare = 0.5;
 
 std::int64_t boundedReserve(double expected, double all) {
@@ -70,8 +71,8 @@
 
 FutureCapacity ReplicaLoad::whenFree(const FreeCapacity& need, const LoadSnapshot& load) const {
   FutureCapacity future = runs_.whenFree(need, load.capacity.free(), load.now);
-  // The rest is held by runs that were not granted here (a home that started again knows none):
-  // taken to end after the usual time.
+  // The remaining capacity is held by runs that were not granted here, which a restarted home node
+  // has no record of. They are assumed to end after the average run time.
   if (future.spare.slots < 0 || future.spare.tokens < 0) {
     future.at = std::max(future.at, load.now + load.capacity.meanRunTime);
   }
--- a/src/admission/replica_load.h
+++ b/src/admission/replica_load.h
@@ -1,7 +1,8 @@
 /// \file
-/// The load of one replica as its home sees it: what is asked for by urgency, what was granted and
-/// is believed to run. From it follows the room kept for more urgent requests that are expected,
-/// the least share of each kind, and what is left for late service and for those who come back.
+/// Load of one replica as seen by its home node: the demand by urgency level, and the granted
+/// requests that are presumed to be running. The capacity reserved for expected requests of more
+/// urgent levels, the minimum share of each level, and the capacity left for late requests and for
+/// retries are derived from it.
 #pragma once
 
 #include <array>
@@ -17,25 +18,26 @@
 
 namespace covewing::admission {
 
-/// The load at one moment; the same for all entries of a queue at one decision.
+/// Load at one moment; the same for all entries of a queue within one decision.
 struct LoadSnapshot {
   LoadSnapshot(const ReplicaCapacity& source, base::TimePoint at) : capacity(source), now(at) {}
 
-  /// Least part of the replica that is reckoned with for an urgency: more urgent requests ask for
-  /// all of it only for moments.
+  /// Minimum share of the replica that is assumed to be available to an urgency level: more urgent
+  /// levels demand all of it only briefly.
   static constexpr double kMinimumAssumedShare = 0.1;
 
-  /// Where the figures of an urgency stand; those of late requests stand last.
+  /// Index of the values of an urgency level; those of late requests come last.
   static std::size_t indexOf(std::uint32_t urgency, bool late);
 
   CapacitySnapshot capacity;
   base::TimePoint now;
-  /// Kept free for more urgent requests that are expected.
+  /// Reserved for expected requests of more urgent levels.
   std::array<FreeCapacity, ArrivalRates::kUrgencyLevels + 1> reserve{};
-  /// Share of the replica that more urgent requests ask for, and that fresh ones of the urgency do.
+  /// Share of the replica demanded by more urgent levels, and by first attempts of the level
+  /// itself.
   std::array<double, ArrivalRates::kUrgencyLevels + 1> demandAbove{};
   std::array<double, ArrivalRates::kUrgencyLevels + 1> firstAttemptDemand{};
-  /// Share of the replica that requests in time have asked for over some seconds.
+  /// Share of the replica demanded over some seconds by requests that can be on time.
   double longTermDemand = 0.0;
 };
 
@@ -43,23 +45,25 @@
  public:
   explicit ReplicaLoad(base::Duration rateTimeConstant);
 
-  /// A request that can be in time asked for room; `returned`: not for the first time.
+  /// Records a request for capacity that can still be on time; `retried` if this is not its first
+  /// attempt.
   void onArrival(const QueueEntry& entry, bool retried, const LoadSnapshot& load);
   void onGrant(const QueueEntry& entry, const LoadSnapshot& load);
-  /// The replica ended or was emptied: nothing runs.
+  /// The replica ended or was emptied: nothing runs on it.
   void clearRuns() { runs_.clear(); }
-  /// Also forgets the runs that ended, by the number that the room tells.
+  /// Also drops the runs that ended, based on the number of slots that `capacity` reports as in
+  /// use.
   LoadSnapshot snapshot(const ReplicaCapacity& capacity, base::TimePoint now);
-  /// When `need` is free if nothing more is granted.
+  /// When `need` will be available if nothing more is granted.
   FutureCapacity whenFree(const FreeCapacity& need, const LoadSnapshot& load) const;
-  /// Whether the request goes before more urgent ones by the least share of its kind.
+  /// Whether the minimum share of its urgency level lets the request precede more urgent ones.
   bool withinMinimumShare(const QueueEntry& entry, const LoadSnapshot& load) const;
 
  private:
   ArrivalRates rates_;
-  /// Of requests that ask for the first time.
+  /// Rates of first attempts only.
   ArrivalRates firstAttemptRates_;
-  /// Over some seconds.
+  /// Rates averaged over some seconds.
   ArrivalRates longTermRates_;
   std::array<MinimumShare, ArrivalRates::kUrgencyLevels> minimumShares_;
   GrantedRuns runs_;
--- a/src/admission/retry_budget.h
+++ b/src/admission/retry_budget.h
@@ -1,6 +1,6 @@
 /// \file
-/// A node's budget of retries: a token bucket filled by requests, so that retries stay a bounded
-/// share of the load when many requests fail at once.
+/// Retry budget of a node: a token bucket filled by requests, which bounds the share of retries in
+/// the load when many requests fail at once.
 #pragma once
 
 #include "admission/admission_options.h"
@@ -10,12 +10,12 @@
 
 class RetryBudget {
  public:
-  /// Starts full.
+  /// The budget starts full.
   RetryBudget(const RetryBudgetOptions& options, base::TimePoint now);
 
   /// A request was admitted.
   void onRequest(base::TimePoint now);
-  /// Takes one retry; false when none is left.
+  /// Takes one retry; false if none is left.
   bool take(base::TimePoint now);
 
  private:
--- a/src/admission/retry_schedule.cc
+++ b/src/admission/retry_schedule.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Equal for equal ids, between 0 and 1.
+/// Maps an id to a fixed value between 0 and 1.
 double fractionOf(std::uint64_t id) {
   std::uint64_t mixed = id + 0x9e3779b97f4a7c15ULL;
   mixed = (mixed ^ (mixed >> 30U)) * 0xbf58476d1ce4e5b9ULL;
@@ -29,8 +29,9 @@
   const double work = load.capacity.workOf(entry.cost).replicaSeconds;
   const double shareLeftByUrgent =
       std::max(1.0 - load.demandAbove.at(index), LoadSnapshot::kMinimumAssumedShare);
-  // Those who come back get what fresh ones leave: otherwise they only push these out, and 0.85 of
-  // the urgent began in time when they first asked, in place of 0.98 (bursts).
+  // Retries only get the capacity that first attempts leave. Otherwise they would only displace
+  // first attempts: 0.85 of the urgent requests started on time at their first attempt instead of
+  // 0.98 (in bursts).
   const double availableShare = std::max(shareLeftByUrgent - load.firstAttemptDemand.at(index),
                                          LoadSnapshot::kMinimumAssumedShare);
   const base::Duration allowance = std::max(base::Duration(0), entry.softStartDeadline - queuedAt);
@@ -41,9 +42,10 @@
           .value_or(kMaximumDelay / 2 + part(kMaximumDelay / 2, fractionOf(entry.id)));
   const base::Duration timeToHardDeadline = entry.hardStartDeadline - load.now;
   if (delay <= timeToHardDeadline || isRetry(entry, queuedAt)) return delay;
-  // One that asked for the first time may try once more before its answer is of no use, at the rate
-  // at which room falls free: what is expected may change, and the caller loses nothing. Of the
-  // less urgent 0.95 were served in an overload of 1.3 times, 0.84 without.
+  // A request refused at its first attempt may be retried once more before its hard deadline, at
+  // the rate at which capacity becomes free: the forecast may change, and the caller loses nothing.
+  // In an overload of 1.3 times, 0.95 of the less urgent requests were served, and 0.84 without
+  // this.
   return reserveTime(
              finalRetries_, entry,
              {timeToHardDeadline / 2, timeToHardDeadline, fromSeconds(work / shareLeftByUrgent)},
--- a/src/admission/retry_schedule.h
+++ b/src/admission/retry_schedule.h
@@ -1,6 +1,6 @@
 /// \file
-/// When refused requests may come back: one after the other at the rate at which room falls free
-/// for their urgency, so that they do not come back together.
+/// Schedules the retries of refused requests: one after the other at the rate at which capacity
+/// becomes free for their urgency level, so that they do not arrive together.
 #pragma once
 
 #include <array>
@@ -16,31 +16,31 @@
 
 class RetrySchedule {
  public:
-  /// The longest time named: callers wait some seconds, and a shortage is looked at anew by then.
+  /// Maximum delay: callers wait some seconds, and a shortage is assessed again by then.
   static constexpr base::Duration kMaximumDelay = std::chrono::seconds(10);
 
-  /// The time after which this request, refused now, may come back. It asked at `since`, with the
-  /// work ahead of it in seconds of the whole replica.
+  /// Time after which this request, refused now, should be retried. It was queued at `queuedAt`;
+  /// `workAhead` is the work ahead of it in seconds of the whole replica.
   base::Duration retryAfter(const QueueEntry& entry, base::TimePoint queuedAt, double workAhead,
                             const LoadSnapshot& load);
 
  private:
-  /// The next free time to come back, by urgency.
+  /// Time of the next free retry, by urgency level.
   using NextTimes = std::array<base::TimePoint, ArrivalRates::kUrgencyLevels>;
   struct Window {
     base::Duration earliest{};
     base::Duration latest{};
-    /// How long the room takes to fall free for the request.
+    /// Time it takes until capacity for the request becomes free.
     base::Duration interval{};
   };
 
-  /// `interval` after the one before it, moved within the interval by a hash of the id; nothing
-  /// where that is past the latest.
+  /// Reserves a time `interval` after the previous one, shifted within the interval by a hash of
+  /// the id; empty if that is later than `window.latest`.
   static std::optional<base::Duration> reserveTime(NextTimes& nextTimes, const QueueEntry& entry,
                                                    const Window& window, base::TimePoint now);
 
   NextTimes nextRetries_{};
-  /// Of those whose time to come back would be past their use.
+  /// Times for requests whose regular retry would come after their hard deadline.
   NextTimes finalRetries_{};
 };
 
--- a/src/admission/retry_window.cc
+++ b/src/admission/retry_window.cc
@@ -16,7 +16,7 @@
 RetryWindow::Slot& RetryWindow::slotAt(base::TimePoint now) {
   const auto number = slotNumber(now);
   if (slots_.empty() || slots_.back().number != number) {
-    // The requests of the window before count for one that begins now.
+    // The requests of the preceding window count for a window that begins now.
     dropBefore(number - 2 * slotsOfWindow());
     slots_.push_back({number, 0, 0});
   }
@@ -66,7 +66,7 @@
 bool RetryWindow::withinBound(std::uint32_t more, base::TimePoint now) const {
   const auto latest = use(now);
   if (latest.sent + more > latest.allowed) return false;
-  // Each other window that holds this moment begins within the last one.
+  // Every other window that contains this moment begins within the last one.
   const auto current = slotNumber(now);
   const auto oldest = current - slotsOfWindow();
   std::uint32_t sent = more;
@@ -79,16 +79,17 @@
 }
 
 double RetryWindow::allowance(double requests, base::TimePoint now) const {
-  // The run before a restart may have used this node's part of the slack within the same window.
+  // The incarnation before a restart may have used this node's part of the slack within the same
+  // window.
   const double slack = now < slackAvailableFrom_ ? 0 : options_.slack;
   const double share = slack / static_cast<double>(std::max<std::size_t>(nodes_(), 1));
   return options_.safety * (options_.ratio * requests + share);
 }
 
 double RetryWindow::requestsFor(SlotNumber begin) const {
-  // The mean of three windows, at all nodes and all their runs alike: none counts its requests
-  // twice where a node starts again or callers move to another one. What counts is at most the
-  // fullest of the three.
+  // The mean of three windows, computed alike by all nodes and in all their incarnations: no
+  // request is counted twice if a node restarts or callers move to another node. The result is at
+  // most the largest of the three.
   const auto span = slotsOfWindow();
   const auto half = span / 2;
   const auto before = requestsWithin(begin - span, begin);
--- a/src/admission/retry_window.h
+++ b/src/admission/retry_window.h
@@ -1,13 +1,13 @@
 /// \file
-/// A bound on the retries that all nodes together send to a service within a sliding window: a
-/// share of the requests plus some slack. Each node keeps to the share of its own requests and to
-/// an equal part of the slack, so that the sum keeps to the bound without any messages.
+/// Limits the retries that all nodes together send to a service within a sliding window: a share of
+/// the requests plus some slack. Each node keeps to the share of its own requests and to an equal
+/// part of the slack, so that the sum keeps to the bound without any messages.
 ///
 /// A retry is reserved when it is decided on and counts when it is sent, which may be seconds
-/// later: what waits for a replica reaches the service in the window of its dispatch.
+/// later: a request that waits for a replica reaches the service in the window of its dispatch.
 ///
-/// A node that has just started has no part of the slack until it has run for a whole window: its
-/// former run may have used that part.
+/// A newly started node has no part of the slack until it has run for a whole window, because its
+/// previous incarnation may have used that part.
 #pragma once
 
 #include <cstdint>
@@ -25,18 +25,18 @@
 
 struct RetryWindowOptions {
   base::Duration window = std::chrono::seconds(10);
-  /// Retries allowed for each request of the window.
+  /// Retries allowed per request of the window.
   double ratio = 0.2;
-  /// Retries of all nodes together allowed besides.
+  /// Additional retries allowed, for all nodes together.
   double slack = 0;
-  /// Part of the allowance that is used, so that late arrivals do not break the bound.
+  /// Fraction of the allowance that is used, so that late arrivals do not break the bound.
   double safety = 0.85;
 };
 
-/// The number of nodes that share the slack.
+/// Returns the number of nodes that share the slack.
 using RetryNodeCount = std::function<std::size_t()>;
 
-/// How much of a node's allowance for the window that ends now is used.
+/// Usage of a node's allowance for the window that ends now.
 struct RetryUse {
   std::uint32_t sent = 0;
   std::uint32_t reserved = 0;
@@ -46,7 +46,7 @@
 /// The retries to one service.
 class RetryWindow {
  public:
-  /// Names a short span of time.
+  /// Number of a short time slot.
   using SlotNumber = std::int64_t;
 
   RetryWindow(const RetryWindowOptions& options, base::TimePoint nodeStartedAt,
@@ -56,19 +56,20 @@
         nodes_(std::move(nodes)) {}
 
   void onRequest(base::TimePoint now) { ++slotAt(now).requests; }
-  /// Sets one retry aside; false when the allowance is used up.
+  /// Reserves one retry; false if the allowance is used up.
   bool reserve(base::TimePoint now);
-  /// A reserved retry is not sent.
+  /// Returns the reservation of a retry that is not sent.
   void release() { --reserved_; }
-  /// Counts a reserved retry as sent now. Empty, with the reservation unchanged, when requests that
-  /// allowed it have left the window meanwhile.
+  /// Counts a reserved retry as sent now. Returns nothing and keeps the reservation if the requests
+  /// that allowed the retry have left the window in the meantime.
   std::optional<SlotNumber> send(base::TimePoint now);
-  /// A retry that was counted in the slot never reached a replica: it is reserved again.
+  /// A retry that was counted in the slot was not delivered to a replica: it becomes reserved
+  /// again.
   void undoSend(SlotNumber slot);
   RetryUse use(base::TimePoint now) const;
 
  private:
-  /// Counts of one short span.
+  /// Counts of one time slot.
   struct Slot {
     SlotNumber number = 0;
     std::uint32_t requests = 0;
@@ -77,13 +78,13 @@
 
   Slot& slotAt(base::TimePoint now);
   void dropBefore(SlotNumber oldest);
-  /// Whether so many retries more keep to the bound in each window that ends now or later.
+  /// Whether this many additional retries keep to the bound in each window that ends now or later.
   bool withinBound(std::uint32_t more, base::TimePoint now) const;
   double allowance(double requests, base::TimePoint now) const;
-  /// Requests that count for the window that begins with the slot: the mean of its own, those of
-  /// the window before, and those of the one half a window before.
+  /// Requests that count for the window beginning with the slot: the mean of its own requests,
+  /// those of the window before it, and those of the window that begins half a window earlier.
   double requestsFor(SlotNumber begin) const;
-  /// Requests of the slots from `begin` up to before `end`.
+  /// Number of requests in the slots from `begin` up to, but not including, `end`.
   std::uint32_t requestsWithin(SlotNumber begin, SlotNumber end) const;
   SlotNumber slotsOfWindow() const;
 
@@ -94,8 +95,8 @@
   std::uint32_t reserved_ = 0;
 };
 
-/// One retry from its reservation until it is sent, or given back by the destructor. The window
-/// must outlive it.
+/// One retry from its reservation until it is sent, or returned by the destructor. The window must
+/// outlive it.
 class RetryReservation {
  public:
   explicit RetryReservation(RetryWindow& window) : window_(&window) {}
@@ -105,15 +106,15 @@
   RetryReservation(const RetryReservation&) = delete;
   RetryReservation& operator=(const RetryReservation&) = delete;
 
-  /// False when the retry no longer keeps to the bound and must not be sent.
+  /// False if the retry no longer keeps to the bound and must not be sent.
   bool send(base::TimePoint now);
-  /// What was sent last never reached a replica: the next one is sent in its place.
+  /// The last retry sent was not delivered to a replica: the next one replaces it.
   void onNotDelivered();
 
  private:
   /// Null after a move.
   RetryWindow* window_;
-  /// Where the retry is counted; empty while it is reserved.
+  /// Slot that the retry is counted in; empty while it is reserved.
   std::optional<RetryWindow::SlotNumber> sentSlot_;
 };
 
@@ -124,7 +125,7 @@
       : options_(options), nodeStartedAt_(nodeStartedAt), nodes_(std::move(nodes)) {}
 
   void onRequest(const std::string& service, base::TimePoint now);
-  /// Empty when the service's allowance is used up.
+  /// Empty if the allowance of the service is used up.
   std::optional<RetryReservation> reserve(const std::string& service, base::TimePoint now);
   RetryUse use(const std::string& service, base::TimePoint now);
 
--- a/src/admission/tenant_home.h
+++ b/src/admission/tenant_home.h
@@ -1,5 +1,5 @@
 /// \file
-/// The node that keeps a tenant's limits.
+/// Selection of a tenant's home node, which keeps the tenant's limits.
 #pragma once
 
 #include <functional>
@@ -9,11 +9,11 @@
 
 namespace covewing::admission {
 
-/// Says that a node is not to be taken, as one that does not answer.
+/// Whether a node must not be selected, for example because it is unresponsive.
 using ExcludeNode = std::function<bool(base::NodeId)>;
 
-/// The home of a tenant by rendezvous hashing over the live, not draining members; this node itself
-/// where it sees no other. Equal on all nodes with equal views that pass over none.
+/// The home node of a tenant by rendezvous hashing over the live members that are not draining;
+/// this node itself if it sees no other. Nodes with the same view that exclude none agree on it.
 const membership::Member& tenantHome(base::TenantId tenant,
                                      const membership::MemberDirectory& directory,
                                      const ExcludeNode& excluded = {});
--- a/src/admission/tenant_quotas.cc
+++ b/src/admission/tenant_quotas.cc
@@ -14,12 +14,14 @@
 
 namespace {
 
-/// Time over which own demand is averaged.
+/// Half-life of the average of the node's own demand, in seconds.
 constexpr double kDemandSeconds = 1.0;
 constexpr double kMicrosecondsPerSecond = 1e6;
-/// Advice where a concurrency limit refuses: nobody knows when a request ends.
+/// Recommended retry delay after a refusal by a concurrency limit: the end of a request is not
+/// predictable.
 constexpr Duration kSlotRetryAfter = std::chrono::seconds(1);
-/// Homes in line that are asked before a node grants its local share.
+/// Maximum number of home nodes in rendezvous order that are queried before a node grants from its
+/// local share.
 constexpr std::uint32_t kMaximumHomesTried = 2;
 
 Duration seconds(double count) {
@@ -43,7 +45,7 @@
 TenantQuotas::Share& TenantQuotas::shareOf(const QuotaDemand& demand) {
   const auto [found, created] = shares_.try_emplace(demand.tenant);
   Share& share = found->second;
-  // A node that has just started has saved up nothing: another run may have used its share.
+  // A newly started node has accumulated nothing: its previous incarnation may have used its share.
   if (created) share.localRefilledAt = justStarted() ? environment_.clock.now() : startedAt_;
   if (demand.revision >= share.revision) {
     share.revision = demand.revision;
@@ -69,10 +71,10 @@
       tenant, directory,
       anyUnresponsive ? ExcludeNode{[this](base::NodeId node) { return unresponsive(node); }}
                       : ExcludeNode{});
-  // A new home may answer where the old one did not.
+  // A new home node may respond where the previous one did not.
   if (home.id != share.home && directory.version() != share.homeVersion) share.localShareUntil = {};
   share.home = home.id;
-  // What was chosen without the silent ones is chosen again once they may answer.
+  // A choice that skipped unresponsive nodes is repeated, since they may respond again.
   share.homeVersion = anyUnresponsive ? 0 : directory.version();
   return home;
 }
@@ -94,7 +96,8 @@
   HomeAuthority authority;
   authority.share =
       std::min(1.0, live / std::max(1.0, known) * (1 + options_.partialViewTolerance));
-  // Another node is the home by this node's view: the asker could not reach it, others may.
+  // Another node is the home node in this node's view: the requester could not reach it, but other
+  // nodes may.
   const bool acting = tenantHome(tenant, directory).id != directory.self().id;
   if (acting) authority.share *= options_.actingHomeShare;
   authority.initialBucketShare = justStarted() ? 0.0 : options_.initialBucketShare;
@@ -125,7 +128,7 @@
 void TenantQuotas::expireLeases(Share& share) const {
   const TimePoint now = environment_.clock.now();
   if (share.tokensExpireAt < now) share.tokens = 0;
-  // Requests in flight keep their slots; only unused ones lapse.
+  // Requests in flight keep their slots; only unused slots expire.
   if (share.slotsExpireAt < now) share.slots = std::min(share.slots, share.inUse);
 }
 
@@ -154,7 +157,8 @@
 
 QuotaVerdict TenantQuotas::cachedRefusal(const Share& share) {
   const Duration earliest = share.refusal.until - environment_.clock.now();
-  // Spread up to what the home promised, so that those refused here do not come back together.
+  // Spread up to the retry delay given by the home node, so that requests refused here are not
+  // retried together.
   const double spread = base::toSeconds(share.refusal.retryAfter) * environment_.random.unit();
   return {QuotaOutcome::kRateLimited,   std::max(earliest, seconds(spread)),
           QuotaDecider::kCachedRefusal, true,
@@ -273,7 +277,7 @@
   }
   updateMembership();
   if (const auto* reply = std::get_if<QuotaLeaseReply>(&*message)) {
-    // A late answer, too, shows that the home is there.
+    // Even a late reply shows that the home node is responsive.
     unresponsiveUntil_.erase(sender.node);
     onReply(*reply);
     return;
@@ -294,7 +298,7 @@
 
 void TenantQuotas::onReply(const QuotaLeaseReply& reply) {
   const auto found = shares_.find(reply.tenant);
-  // Late, repeated and foreign answers carry a sequence that nobody waits for.
+  // Late, duplicate and foreign replies carry a sequence number that no request waits for.
   if (found == shares_.end() || reply.sequence == 0 ||
       found->second.pendingSequence != reply.sequence) {
     return;
@@ -314,7 +318,8 @@
   expireLeases(share);
   serveWaiters(share);
   if (share.waiters.empty()) return;
-  // Read after its lease, as after a sleep: the home may have lent as much to others meanwhile.
+  // The reply is read after its lease expired, for example because the machine was suspended: the
+  // home node may have granted as much to other nodes in the meantime.
   if (late) {
     requestLease(reply.tenant, share, true);
     return;
@@ -341,7 +346,7 @@
   const std::uint32_t refusedTokens = share.waiters.front().tokens;
   share.refusal = {now + std::min(reply.tokensAvailableAfter, options_.refusalCacheTime),
                    refusedTokens, reply.retryAfter, reply.balance};
-  // Smaller requests behind it may still pass.
+  // Smaller requests behind it may still be granted.
   std::deque<Waiter> refused;
   std::deque<Waiter> left;
   for (Waiter& waiter : share.waiters)
@@ -367,7 +372,8 @@
 
 bool TenantQuotas::takeFromLocalShare(Share& share, std::uint32_t tokens, TimePoint now) {
   const auto nodes = static_cast<double>(assumedNodeCount());
-  // While other nodes are seen, a home that this node misses may still grant the whole to them.
+  // While other nodes are visible, a home node that this node cannot reach may still grant them the
+  // whole limit.
   const double part = (isolated() ? 1.0 : options_.localShareFactor) / nodes;
   const double rate = share.limits.ratePerSecond * part;
   const double size = share.limits.bucketSize() * part;
@@ -379,7 +385,8 @@
     share.localTokens -= tokens;
     return true;
   }
-  // What was saved is staked whole: on average no more is granted than the share.
+  // The accumulated amount is spent in any case, and the request is granted with the probability
+  // `saved / tokens`: on average no more than the share is granted.
   share.localTokens = 0;
   return environment_.random.unit() * tokens < saved;
 }
@@ -394,7 +401,7 @@
         QuotaOutcome::kConcurrencyLimited, kSlotRetryAfter, QuotaDecider::kLocalShare, true, 0, {}};
   }
   if (share.limits.ratePerSecond > 0 && !takeFromLocalShare(share, tokens, now)) {
-    // Another node may see the home: the caller need not wait for this node's share.
+    // Another node may reach the home node: the caller need not wait for this node's share.
     const double whole = tokens / share.limits.ratePerSecond;
     return {QuotaOutcome::kRateLimited,
             std::max(seconds(whole), options_.requestTimeout),
--- a/src/admission/tenant_quotas.h
+++ b/src/admission/tenant_quotas.h
@@ -1,18 +1,19 @@
 /// \file
-/// Tenant limits that hold over all nodes together, without a central counter. Each tenant has a
-/// home node that leases rate tokens and concurrency slots to the nodes that serve it.
+/// Tenant limits that hold across all nodes without a central counter. Each tenant has a home node,
+/// which leases rate tokens and concurrency slots to the nodes that serve the tenant.
 ///
-/// A node uses its leases without asking. Where they do not suffice it asks the home, and requests
-/// wait for the answer. A home that does not answer is passed over for a while, and the next
-/// in line, which grants a part of the limits, is asked in its place. Where that one does not
-/// answer either, or no other node is seen, the node grants its local share: the limits divided by
-/// the nodes known lately. Shares smaller than a request are granted by chance, so that all nodes'
-/// grants together keep to the limits and no request is too large to be served.
+/// A node uses its leases without further messages. If they do not suffice, it sends a lease
+/// request to the home node, and its requests wait for the reply. An unresponsive home node is
+/// skipped for a while, and the next node in rendezvous order, which grants a part of the limits,
+/// is queried instead. If that one does not respond either, or no other node is visible, the node
+/// grants from its local share: the limits divided by the number of recently known nodes. A local
+/// share smaller than a request is granted with a matching probability, so that the grants of all
+/// nodes together keep to the limits and no request is too large to be served.
 ///
-/// Overshoot: a home grants no more than the part of the limits that belongs to the nodes it sees,
-/// so the parts of a divided fleet sum up to the whole. What comes on top, within any span: half a
-/// bucket for each change of the home, and while some nodes still wait for a home to be declared
-/// dead, their local shares.
+/// Overshoot: a home node grants no more than the part of the limits that belongs to the nodes it
+/// sees, so the parts of a partitioned fleet add up to the whole. The following may come on top
+/// within any period: half a bucket for each change of the home node, and the local shares of the
+/// nodes that still wait for a home node to be declared dead.
 #pragma once
 
 #include <cstdint>
@@ -37,49 +38,50 @@
 
 enum class QuotaOutcome : std::uint8_t { kGranted, kRateLimited, kConcurrencyLimited };
 
-/// Who decided about a request.
+/// Origin of the decision about a request.
 enum class QuotaDecider : std::uint8_t { kLease, kHome, kCachedRefusal, kLocalShare };
 
 struct QuotaVerdict {
   QuotaOutcome outcome = QuotaOutcome::kGranted;
-  /// When to come back, with a refusal.
+  /// Recommended time until a retry, for a refusal.
   base::Duration retryAfter{};
   QuotaDecider decider = QuotaDecider::kLease;
-  /// Granted to a tenant that is close to its limit.
+  /// The request was granted, and its tenant is near its limit.
   bool nearLimit = false;
-  /// Tokens left when a home refused; the home's name.
+  /// For a refusal by a home node: tokens left in the bucket, and the name of the home node.
   std::int64_t balance = 0;
   std::string home;
 };
 
-/// Counts since the start, for metrics and for the share of control traffic.
+/// Counters since the start, for metrics and for measuring the share of control traffic.
 struct QuotaCounts {
   std::uint64_t leaseRequests = 0;
   std::uint64_t replies = 0;
-  /// Messages that return slots or correct what was granted.
+  /// Messages that return slots or correct earlier grants.
   std::uint64_t corrections = 0;
   /// Requests granted from the local share.
   std::uint64_t localGrants = 0;
-  /// Homes that were passed over because they did not answer.
+  /// Home nodes that were skipped because they were unresponsive.
   std::uint64_t unresponsiveHomes = 0;
   std::uint64_t malformed = 0;
 };
 
-/// All must outlive the quotas and share their thread.
+/// All members must outlive the quotas and share their thread.
 struct QuotaEnvironment {
   base::Clock& clock;
   base::TimerService& timers;
   base::RandomSource& random;
   membership::MemberDirectory& directory;
   base::PeerTransport& transport;
-  /// The nodes that may hold a share: more than are seen while some are cut off.
+  /// Number of nodes that may hold a share of the limits: more than are visible while some are
+  /// partitioned.
   std::function<std::size_t()> knownNodes;
 };
 
 class TenantQuotas {
  public:
   using Callback = std::function<void(const QuotaVerdict&)>;
-  /// Identifies a request that waits for its home; chosen by the caller of `acquire`, unique.
+  /// Identifies a request that waits for its home node; chosen by the caller of `acquire`, unique.
   using WaitId = std::uint64_t;
 
   TenantQuotas(const QuotaOptions& options, QuotaEnvironment environment);
@@ -87,16 +89,16 @@
   TenantQuotas(const TenantQuotas&) = delete;
   TenantQuotas& operator=(const TenantQuotas&) = delete;
 
-  /// A number that no other request has, for callers without one of their own.
+  /// An id that no other request has, for callers without ids of their own.
   WaitId newWaitId() { return ++lastWaitId_; }
-  /// Takes one request's share of its tenant's limits. `callback` is called exactly once, now or
-  /// later, unless `cancel` comes first.
+  /// Acquires the demand of one request from its tenant's limits. `callback` is called exactly
+  /// once, now or later, unless `cancel` is called first.
   void acquire(WaitId id, const QuotaDemand& demand, Callback callback);
-  /// Forgets a request that still waits.
+  /// Drops a request that is still waiting.
   void cancel(WaitId id, base::TenantId tenant);
-  /// Gives back a granted request's slot, and `unused` of its tokens.
+  /// Returns the slot of a granted request, and `unused` of its tokens.
   void release(base::TenantId tenant, std::uint32_t unused);
-  /// Counts work of a granted request that was not asked for: a repeated attempt.
+  /// Charges work of a granted request that had no grant: a repeated attempt.
   void charge(base::TenantId tenant, std::uint32_t tokens);
   void onPeerMessage(const base::PeerIdentity& sender, std::string_view payload);
   const QuotaCounts& counts() const { return counts_; }
@@ -107,14 +109,15 @@
     std::uint32_t tokens;
     Callback callback;
   };
-  /// A refusal by the home that holds for all requests as large, until then.
+  /// A refusal by the home node that applies to all requests of at least `tokens` tokens up to
+  /// `until`.
   struct CachedRefusal {
     base::TimePoint until;
     std::uint32_t tokens = 0;
     base::Duration retryAfter{};
     std::int64_t balance = 0;
   };
-  /// What this node holds of one tenant's limits.
+  /// The leases of one tenant's limits that this node holds.
   struct Share {
     base::Revision revision = 0;
     QuotaLimits limits;
@@ -125,20 +128,20 @@
     std::uint32_t inUse = 0;
     bool contended = false;
     bool nearLimit = false;
-    /// Own demand, tokens a second, decayed.
+    /// Own demand in tokens per second, with exponential decay.
     double demand = 0;
     base::TimePoint demandAt;
     std::deque<Waiter> waiters;
-    /// Outstanding ask; 0 if none.
+    /// Sequence number of the lease request in flight; 0 if none.
     std::uint64_t pendingSequence = 0;
     base::TimePoint requestedAt;
     std::uint32_t retries = 0;
-    /// Homes that were silent since the last answer.
+    /// Number of home nodes that were unresponsive since the last reply.
     std::uint32_t unresponsiveHomes = 0;
     base::NodeId home;
     std::uint64_t homeVersion = 0;
     CachedRefusal refusal;
-    /// No home answers: the local share applies until then.
+    /// No home node responds: the local share applies until then.
     base::TimePoint localShareUntil;
     double localTokens = 0;
     base::TimePoint localRefilledAt;
@@ -147,21 +150,22 @@
   Share& shareOf(const QuotaDemand& demand);
   const membership::Member& homeOf(base::TenantId tenant, Share& share);
   bool unresponsive(base::NodeId node) const;
-  /// Notices changes of the membership, which may have made this node a home or ended that.
+  /// Handles membership changes, which may have made this node a home node or ended that role.
   void updateMembership();
   HomeAuthority authorityFor(base::TenantId tenant) const;
   bool justStarted() const;
-  /// The nodes that may hold a share of the limits.
+  /// Number of nodes that may hold a share of the limits.
   std::size_t assumedNodeCount() const;
-  /// No other node is seen, though there may be others.
+  /// No other node is visible, although others may exist.
   bool isolated() const;
-  /// Whether `home` may answer for the tenant's limits: any other node, and this one where it is
-  /// not just the next in line of its own accord.
+  /// Whether `home` may decide on the tenant's limits: any other node may; this node may only if it
+  /// is not isolated and is the home node by its full view, not merely the next in line after
+  /// skipping others.
   bool mayDecide(base::TenantId tenant, const membership::Member& home) const;
   void expireLeases(Share& share) const;
   void recordDemand(Share& share, std::uint32_t tokens) const;
   bool takeFromLease(Share& share, std::uint32_t tokens) const;
-  /// Answers waiters as far as the share goes.
+  /// Grants waiting requests as far as the leases suffice.
   void serveWaiters(Share& share);
   void requestLease(base::TenantId tenant, Share& share, bool replyWanted);
   void sendRequest(base::TenantId tenant, Share& share, bool replyWanted);
@@ -170,14 +174,14 @@
   void onRefusalReply(base::TenantId tenant, Share& share, const QuotaLeaseReply& reply);
   QuotaVerdict cachedRefusal(const Share& share);
   std::string homeName(const Share& share) const;
-  /// The home did not answer: asks the next in line, or goes on alone.
+  /// The home node did not respond: queries the next in line, or decides locally.
   void onUnresponsiveHome(base::TenantId tenant, Share& share);
-  /// Decides by the local share while no home answers.
+  /// Decides all waiting requests by the local share, which applies while no home node responds.
   void decideWaitersLocally(Share& share);
   QuotaVerdict decideLocally(Share& share, std::uint32_t tokens);
   bool takeFromLocalShare(Share& share, std::uint32_t tokens, base::TimePoint now);
   void scheduleReview();
-  /// Repeats and gives up asks, renews and returns slots, forgets idle shares.
+  /// Retries or abandons lease requests, renews and returns slots, drops idle shares.
   void review();
   bool reviewShare(base::TenantId tenant, Share& share);
 
@@ -185,7 +189,7 @@
   QuotaEnvironment environment_;
   QuotaLedger ledger_;
   std::map<base::TenantId, Share> shares_;
-  /// Homes that did not answer, and until when they are passed over.
+  /// Unresponsive home nodes, and until when they are skipped.
   std::map<base::NodeId, base::TimePoint> unresponsiveUntil_;
   base::TimePoint startedAt_;
   std::uint64_t membershipVersion_ = 0;
--- a/src/admission/tenant_shares.cc
+++ b/src/admission/tenant_shares.cc
@@ -7,14 +7,15 @@
 
 namespace {
 
-/// Time constant in which use is forgotten: shortages last some seconds.
+/// Time constant of the decay of usage: shortages last some seconds.
 constexpr double kTimeConstantSeconds = 2.0;
-/// Seconds of the whole replica within which tenants count as equal, so that the time left decides
-/// among tenants that ask for their usual: about one request of 24 slots and a second.
+/// Seconds of the whole replica within which tenants count as equal, so that the due time decides
+/// among tenants with their usual demand. It is about one request that holds one of 24 slots for a
+/// second.
 constexpr double kUsageStep = 0.04;
-/// Tenants kept; beyond that the ones with the least use are forgotten.
+/// Maximum number of tenants that are tracked; beyond that, those with the least usage are dropped.
 constexpr std::size_t kMaximumTenants = 1024;
-/// Use below this counts as forgotten.
+/// Usage below this counts as none.
 constexpr double kNegligibleUsage = kUsageStep / 8;
 
 }  // namespace
--- a/src/admission/tenant_shares.h
+++ b/src/admission/tenant_shares.h
@@ -1,9 +1,10 @@
 /// \file
-/// What each tenant got of one replica lately, by urgency. In shortage the tenant that had least of
-/// its share goes first, so that a tenant that asks for several times its usual makes itself wait.
+/// Recent usage of one replica by each tenant, by urgency level. In a shortage, the tenant that has
+/// used the least of its share is served first, so that a tenant whose demand is several times its
+/// usual one delays only itself.
 ///
-/// Use is forgotten exponentially within seconds: a tenant is not made to pay for what it took
-/// while there was room for all.
+/// Usage decays exponentially within seconds: a tenant is not penalized for what it used while
+/// there was capacity for all.
 #pragma once
 
 #include <cstddef>
@@ -17,12 +18,13 @@
 
 class TenantShares {
  public:
-  /// The tenant got work in seconds of the whole replica. A weight of 0 counts as 1.
+  /// The tenant was granted this much work, in seconds of the whole replica. A weight of 0 counts
+  /// as 1.
   void onGrant(std::uint32_t urgency, std::uint64_t tenant, std::uint32_t weight,
                double replicaSeconds, base::TimePoint now);
-  /// What the tenant had by its weight, in steps within which tenants count as equal.
+  /// The tenant's usage relative to its weight, in steps within which tenants count as equal.
   std::int64_t usageSteps(std::uint32_t urgency, std::uint64_t tenant, base::TimePoint now) const;
-  /// Tenants that are kept; bounded.
+  /// Number of tenants that are tracked; bounded.
   std::size_t size() const { return usages_.size(); }
 
  private:
@@ -39,7 +41,7 @@
   };
 
   static double decayed(const Usage& usage, base::TimePoint now);
-  /// Drops tenants whose use is forgotten, and the one with the least use where that is not enough.
+  /// Drops tenants with negligible usage; if that is not enough, also the one with the least usage.
   void evict(base::TimePoint now);
 
   std::map<Key, Usage> usages_;
