--- a/src/quarantine/crash_evidence.cc
+++ b/src/quarantine/crash_evidence.cc
@@ -83,7 +83,8 @@
   std::optional<Culprit> found;
   for (const auto& [request, crashes] : all) {
     if (crashes.size() < options_.culpritCrashThreshold || !separable(all, request)) continue;
-    // Equal nodes choose equally: the order of the map is none.
+    // Nodes with equal evidence must choose the same request; the iteration order of the map is
+    // undefined.
     const bool better = !found || crashes.size() > found->crashes ||
                         (crashes.size() == found->crashes && request < found->request);
     if (better) found = Culprit{request, crashes.size()};
--- a/src/quarantine/crash_evidence.h
+++ b/src/quarantine/crash_evidence.h
@@ -1,11 +1,13 @@
 /// \file
-/// Finds the request that makes replicas crash among all that ran beside it.
+/// Identifies the request that crashes replicas among all requests that were running at the same
+/// time.
 ///
-/// A crash tells little: every request that ran at the replica is suspected alike. What crashes
-/// each replica that begins it was at all of its crashes and has never been served; what ran beside
-/// it was at one, seldom at two. So a request is a culprit when three crashes have no other
-/// explanation, unless it has been served, and unless another suspect was at the same ones: then
-/// the next crash tells them apart. The crashes of a culprit count against nobody else.
+/// A single crash proves little: every request that was running at the replica is equally suspect.
+/// A request that crashes each replica that starts it was running at all of its crashes and has
+/// never been served; a request that ran beside it was present at one of them, seldom at two. A
+/// request is therefore the culprit if three crashes have no other explanation, unless it has been
+/// served, and unless another suspect was present at the same crashes: the next crash distinguishes
+/// those. The crashes of a culprit count against no other request.
 #pragma once
 
 #include <cstddef>
@@ -22,23 +24,24 @@
 using Fingerprints = std::vector<base::RequestFingerprint>;
 
 struct CrashEvidenceOptions {
-  /// Runs that broke off by chance at the same replicas make two crashes in common likely in a wave
-  /// of them, and three hardly (129 runs at eleven crashed replicas: eight requests twice, none
-  /// of the innocent ones three times).
+  /// In a wave of crashes, it is likely that innocent requests that were interrupted at the same
+  /// replicas by chance have two crashes in common, but hardly three. With 129 executions at eleven
+  /// crashed replicas, eight innocent requests were present twice, and none three times.
   std::size_t culpritCrashThreshold = 3;
-  /// Suspects that were at the same crashes are held for culprits together from this number on.
+  /// From this number of crashes on, suspects that were present at the same crashes are all treated
+  /// as culprits.
   std::size_t inseparableCrashThreshold = 5;
-  /// Crashes longer ago count no more.
+  /// Older crashes no longer count.
   base::Duration retention = std::chrono::minutes(10);
-  /// Crashes that are remembered; the oldest give way.
+  /// Maximum number of crashes kept; the oldest are dropped.
   std::size_t maximumCrashes = 256;
-  /// Runs that are remembered of one crash: more than replicas run at once.
+  /// Maximum number of requests kept per crash: more than a replica runs concurrently.
   std::size_t maximumRunsPerCrash = 1024;
 };
 
 struct Culprit {
   base::RequestFingerprint request;
-  /// Replicas that ended under it.
+  /// Number of replicas that crashed while running it.
   std::size_t crashes = 0;
 };
 
@@ -46,28 +49,29 @@
  public:
   explicit CrashEvidence(CrashEvidenceOptions options = {}) : options_(options) {}
 
-  /// Takes runs that ended with a replica. Each node reports its own, and may repeat them.
+  /// Records requests that were running at a replica when it crashed. Each node reports its own
+  /// requests and may repeat the report.
   void onReplicaCrash(base::EngineId replica, const Fingerprints& runs, base::TimePoint now);
-  /// A run of the request came to its end: earlier crashes count no more against it.
+  /// The request completed: earlier crashes no longer count against it.
   void onServed(base::RequestFingerprint request, base::TimePoint now);
-  /// The request is known as a culprit: its crashes, past ones and those before `until`, are
-  /// explained.
+  /// The request is a known culprit: the crashes at which it was present, recorded or to come
+  /// before `until`, are explained.
   void onQuarantined(base::RequestFingerprint request, base::TimePoint until);
 
   /// The replicas whose crashes count against the request.
   std::vector<base::EngineId> crashesAgainst(base::RequestFingerprint request) const;
-  /// The request that explains the most crashes without explanation; empty when none is proved.
+  /// The request that explains the most unexplained crashes; empty if none is proved.
   std::optional<Culprit> findCulprit(base::TimePoint now);
 
  private:
   struct Crash {
     base::EngineId replica;
-    /// When it was first reported.
+    /// Time of the first report.
     base::TimePoint at{};
     Fingerprints runs;
     bool explained = false;
   };
-  /// Crashes that count against each suspect, as places in `crashes_`, ascending.
+  /// Crashes that count against each suspect, as ascending indices into `crashes_`.
   using CrashesBySuspect = std::unordered_map<base::RequestFingerprint, std::vector<std::size_t>>;
 
   Crash& crashOf(base::EngineId replica, base::TimePoint now);
@@ -79,7 +83,7 @@
   CrashEvidenceOptions options_;
   std::deque<Crash> crashes_;
   std::unordered_map<base::RequestFingerprint, base::TimePoint> servedAt_;
-  /// Until when each known culprit explains crashes.
+  /// Until when each known culprit explains further crashes.
   std::unordered_map<base::RequestFingerprint, base::TimePoint> culprits_;
 };
 
--- a/src/quarantine/quarantine_messages.cc
+++ b/src/quarantine/quarantine_messages.cc
@@ -16,7 +16,8 @@
 constexpr std::uint32_t kSuspectedFields = 4;
 constexpr std::uint32_t kServedFields = 2;
 constexpr std::uint32_t kEntryFields = 5;
-/// Identifiers in one message: no replica runs more requests of one node at once.
+/// Maximum number of identifiers in one message: no replica runs more requests of one node
+/// concurrently.
 constexpr std::uint32_t kMaximumIdentifiers = 1024;
 
 template <class Identifier>
@@ -43,7 +44,7 @@
 }
 
 base::Duration readTime(base::Reader& reader) {
-  // Far beyond the life of any table service, and safe to reckon with.
+  // Far beyond the lifetime of any table service, and safe in arithmetic.
   constexpr std::uint64_t kLatestMilliseconds = 1ULL << 48U;
   return std::chrono::milliseconds(std::min(reader.unsignedInteger(), kLatestMilliseconds));
 }
--- a/src/quarantine/quarantine_messages.h
+++ b/src/quarantine/quarantine_messages.h
@@ -1,5 +1,6 @@
 /// \file
-/// Messages of the quarantine channel, and the entry that gossip and the table service carry.
+/// Messages of the quarantine channel, and the entry stored in gossip records and in the table
+/// service.
 #pragma once
 
 #include <cstdint>
@@ -14,39 +15,40 @@
 
 namespace covewing::quarantine {
 
-/// To the homes of the runs' requests: runs of the sender that ended with a replica.
+/// Sent to the home nodes of the requests: requests of the sender that were running at a replica
+/// when it crashed.
 struct CrashReport {
   base::EngineId replica;
   Fingerprints runs;
 };
 
-/// From a home to all, also as a gossip record and as a row of the table service: more than one
-/// crash counts against a request.
+/// Sent by a home node to all nodes, and also stored as a gossip record and as a row of the table
+/// service: more than one crash counts against the request.
 struct RequestSuspected {
   base::RequestFingerprint request;
-  /// Empty in a record where it was served since.
+  /// Replicas whose crashes count; empty in a record if the request was served since.
   std::vector<base::EngineId> replicas;
-  /// By the table service's clock; zero where that is not known.
+  /// By the clock of the table service; zero if that is unknown.
   base::Duration announcedAt{};
 };
 
-/// To the homes of a request, and from them to all where it was suspected: a run of it came to its
-/// end.
+/// Sent to the home nodes of a request, and by them to all nodes if it was suspected: the request
+/// completed.
 struct RequestServed {
   base::RequestFingerprint request;
 };
 
-/// From a home to all: a decision on one request.
+/// Sent by a home node to all nodes: a verdict on one request.
 struct QuarantineEntry {
   base::RequestFingerprint request;
-  /// Replicas that had ended under it.
+  /// Number of replicas that crashed while running it.
   std::uint64_t crashes = 0;
-  /// By the table service's clock.
+  /// By the clock of the table service.
   base::Duration decidedAt{};
-  /// The request was served after all, and may be sent again.
+  /// The request was served after all and may be sent again.
   bool lifted = false;
 
-  /// Grows with each decision on the request, so that all nodes keep the latest.
+  /// Increases with each verdict on the request, so that all nodes keep the latest one.
   std::uint64_t version() const;
 };
 
@@ -58,7 +60,7 @@
 std::string encode(const RequestServed& message);
 /// Also the value of an entry in gossip and in the table service.
 std::string encode(const QuarantineEntry& entry);
-/// Empty when the payload is malformed.
+/// Empty if the payload is malformed.
 std::optional<QuarantineMessage> decodeQuarantineMessage(std::string_view payload);
 
 /// Key of an entry in the table service and in gossip.
@@ -67,10 +69,10 @@
 /// Key of a suspect in the table service and in gossip.
 std::string suspectKeyOf(base::RequestFingerprint request);
 inline constexpr std::string_view kSuspectKeyPrefix = "quarantine-suspect/";
-/// Keys of all rows in the table service begin with this.
+/// Common prefix of the keys of all rows in the table service.
 inline constexpr std::string_view kQuarantineRowsPrefix = "quarantine";
 
-/// Empty when the value is malformed.
+/// Empty if the value is malformed.
 std::optional<QuarantineEntry> decodeQuarantineEntry(std::string_view value);
 
 }  // namespace covewing::quarantine
--- a/src/quarantine/quarantine_rows.cc
+++ b/src/quarantine/quarantine_rows.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Rows read at once: more than are quarantined within the lifetime of an entry.
+/// Maximum number of rows read at once: more than are quarantined within the lifetime of an entry.
 constexpr std::size_t kMaximumRows = 4096;
 constexpr base::Duration kInitialRetryDelay = std::chrono::milliseconds(100);
 constexpr base::Duration kMaximumRetryDelay = std::chrono::seconds(5);
@@ -18,7 +18,7 @@
 
 struct QuarantineRows::Write {
   QuarantineEntry entry;
-  /// Revision of the row that is replaced; 0: none.
+  /// Revision of the row that is replaced; 0 if there is none.
   base::Revision expected = 0;
   int attempts = 0;
 };
@@ -55,7 +55,7 @@
       evidence.suspects.push_back(std::get<RequestSuspected>(*message));
     } else {
       log_.write(base::Event::kMessageRejected,
-                 {{"what", "quarantine row"}, {"row", row.key}, {"why", "it is malformed"}});
+                 {{"what", "quarantine row"}, {"row", row.key}, {"why", "malformed"}});
     }
   }
   return evidence;
@@ -68,8 +68,9 @@
 void QuarantineRows::step(const std::shared_ptr<Write>& write) {
   const auto key = keyOf(write->entry.request);
   if (++write->attempts > kWriteAttempts) {
-    log_.write(base::Event::kPlatformUnavailable,
-               {{"what", "quarantine row"}, {"row", key}, {"why", "it could not be written"}});
+    log_.write(
+        base::Event::kPlatformUnavailable,
+        {{"what", "quarantine row"}, {"row", key}, {"why", "not written after the last attempt"}});
     return;
   }
   clients::TableTransaction transaction;
@@ -117,8 +118,9 @@
   auto& write = suspectWrites_.at(suspect);
   const auto key = suspectKeyOf(suspect);
   if (++write.attempts > kWriteAttempts) {
-    log_.write(base::Event::kPlatformUnavailable,
-               {{"what", "row of a suspect"}, {"row", key}, {"why", "it could not be written"}});
+    log_.write(
+        base::Event::kPlatformUnavailable,
+        {{"what", "suspect row"}, {"row", key}, {"why", "not written after the last attempt"}});
     suspectWrites_.erase(suspect);
     return;
   }
--- a/src/quarantine/quarantine_rows.h
+++ b/src/quarantine/quarantine_rows.h
@@ -1,6 +1,6 @@
 /// \file
-/// Quarantine entries and suspects in the table service, so that they outlast a restart of all
-/// nodes.
+/// Stores quarantine entries and suspects in the table service, so that they survive a restart of
+/// all nodes.
 #pragma once
 
 #include <functional>
@@ -18,7 +18,7 @@
 
 namespace covewing::quarantine {
 
-/// What the rows hold.
+/// Decoded contents of the rows.
 struct StoredEvidence {
   std::vector<QuarantineEntry> entries;
   std::vector<RequestSuspected> suspects;
@@ -28,30 +28,30 @@
  public:
   using Loaded = std::function<void(const StoredEvidence&)>;
 
-  /// All must outlive the rows.
+  /// All arguments must outlive the object.
   QuarantineRows(clients::TableClient& table, base::TimerService& timers,
                  base::RandomSource& random, base::EventLog& log)
       : table_(table), timers_(timers), random_(random), log_(log) {}
 
-  /// Reads all rows; repeats until the service answers.
+  /// Reads all rows; retries until the service responds.
   void load(Loaded loaded);
-  /// Keeps an entry unless a later one is kept, or removes the row of one that was lifted. Repeated
-  /// a few times while the service does not answer; whoever reads the rows later notices what is
-  /// missing.
+  /// Stores an entry unless the row has a later one, or removes the row of a lifted entry. Retried
+  /// a limited number of times while the service is unavailable; a node that reads the rows later
+  /// restores what is missing.
   void write(const QuarantineEntry& entry);
-  /// Keeps a suspect in place of what is kept of it. Repeated as above.
+  /// Stores a suspect, replacing its previous row. Retried as above.
   void write(const RequestSuspected& suspected);
   /// Removes the row of a suspect.
   void removeSuspect(base::RequestFingerprint request);
 
  private:
   struct Write;
-  /// What the row of a suspect shall be; its writes follow each other, so that none undoes a later
-  /// one.
+  /// Pending state of a suspect's row. The writes of a row are serialized, so that none overwrites
+  /// a later one.
   struct SuspectWrite {
-    /// Empty: removed.
+    /// Empty if the row is to be removed.
     std::optional<std::string> value;
-    /// What the commit that is under way writes differs from the value by now.
+    /// The value changed after the commit in flight was sent.
     bool changed = false;
     int attempts = 0;
   };
@@ -69,9 +69,9 @@
   base::RandomSource& random_;
   base::EventLog& log_;
   int loadAttempts_ = 0;
-  /// Rows of suspects that are being written.
+  /// Suspects whose rows are being written.
   std::unordered_map<base::RequestFingerprint, SuspectWrite> suspectWrites_;
-  /// Outlived by callbacks that must no longer reach this object.
+  /// Lets callbacks detect that this object was destroyed.
   std::shared_ptr<bool> lifetime_ = std::make_shared<bool>(true);
 };
 
--- a/src/quarantine/request_quarantine.cc
+++ b/src/quarantine/request_quarantine.cc
@@ -43,7 +43,7 @@
 void RequestQuarantine::onRecord(const membership::GossipRecord& record) {
   const auto message = decodeQuarantineMessage(record.value);
   if (message && std::holds_alternative<QuarantineEntry>(*message)) {
-    apply(std::get<QuarantineEntry>(*message), "another node");
+    apply(std::get<QuarantineEntry>(*message), "gossip");
   } else if (message && std::holds_alternative<RequestSuspected>(*message)) {
     handle(std::get<RequestSuspected>(*message));
   } else {
@@ -118,7 +118,8 @@
 }
 
 void RequestQuarantine::announce(base::RequestFingerprint request) {
-  // Repeated after the request was served, it would count against it anew where it was missed.
+  // If the announcement were repeated after the request was served, it would count against the
+  // request again at nodes that missed that.
   const auto suspected = currentSuspicion(request);
   if (suspected.replicas.size() < 2) return;
   sendToAll(encode(suspected));
@@ -140,7 +141,8 @@
   const auto before = evidence_.crashesAgainst(suspected.request).size();
   addSuspicion(suspected);
   const auto after = evidence_.crashesAgainst(suspected.request).size();
-  // The other home may tell of a crash before the node does that saw it.
+  // The announcement of the other home node may arrive before the report of the node that observed
+  // the crash.
   if (after > before && after > 1) storeSuspect(suspected.request);
 }
 
@@ -186,7 +188,8 @@
 
 void RequestQuarantine::decide() {
   while (const auto culprit = evidence_.findCulprit(environment_.clock.now())) {
-    // Its homes decide, and what they decide shows what else is left unexplained.
+    // The home nodes of the culprit decide; their verdict determines which crashes remain
+    // unexplained.
     if (!isHomeOf(culprit->request)) return;
     quarantine(*culprit);
   }
@@ -200,20 +203,20 @@
 void RequestQuarantine::quarantine(const Culprit& culprit) {
   const QuarantineEntry entry{culprit.request, culprit.crashes,
                               environment_.serviceClock().value_or(base::Duration::zero()), false};
-  // The crashes are explained even where there is no room for one more.
+  // The crashes are explained even if the quarantine has no capacity for another entry.
   evidence_.onQuarantined(culprit.request, environment_.clock.now() + options_.lifetime);
-  if (!apply(entry, "crashes seen")) return;
+  if (!apply(entry, "evidence of crashes")) return;
   broadcast(entry);
   rows_.write(entry);
 }
 
 void RequestQuarantine::lift(base::RequestFingerprint request) {
   auto entry = verdicts_.at(request).entry;
-  // Later than the verdict, whatever the clocks of the two nodes say.
+  // Later than the verdict, regardless of clock differences between the two nodes.
   entry.decidedAt =
       std::max(environment_.serviceClock().value_or(entry.decidedAt), entry.decidedAt);
   entry.lifted = true;
-  if (!apply(entry, "a run that came to its end")) return;
+  if (!apply(entry, "the run reached its end")) return;
   broadcast(entry);
   rows_.write(entry);
 }
@@ -235,7 +238,7 @@
     evidence_.onQuarantined(entry.request, now + options_.lifetime - age);
     removeQuarantinedSuspect(entry.request);
   }
-  // Both homes decide, a few milliseconds apart.
+  // Both home nodes decide, a few milliseconds apart.
   if (refusedBefore == entry.lifted) {
     environment_.log.write(
         entry.lifted ? base::Event::kQuarantineLifted : base::Event::kRequestQuarantined,
@@ -250,7 +253,7 @@
 }
 
 void RequestQuarantine::broadcast(const QuarantineEntry& entry) {
-  // Gossip takes a second or more in a fleet of hundreds.
+  // Gossip takes a second or more in a fleet of hundreds of nodes.
   sendRepeatedly([this, entry] { sendToAll(encode(entry)); });
   publish(entry);
 }
@@ -296,7 +299,7 @@
   for (const auto& [request, verdict] : verdicts_) {
     const auto row = std::ranges::find(stored.entries, request, &QuarantineEntry::request);
     const bool wanted = find(request).has_value();
-    // A row of a request that may be sent again would stop it after a restart.
+    // The row of a request that may be sent again would block it after a restart.
     const bool missing = wanted && row == stored.entries.end();
     const bool left = verdict.entry.lifted && row != stored.entries.end();
     if (missing || left) rows_.write(verdict.entry);
@@ -318,8 +321,9 @@
   const bool room =
       suspectRows_.contains(request) || suspectRows_.size() < options_.maximumSuspectRows;
   if (!room) return;
-  // Where all nodes are killed before a verdict, nobody else knows of these crashes: a request
-  // ended four replicas more, and was refused 5.3 s after its third instead of within 1 s.
+  // If all nodes are killed before the verdict, no other record of these crashes exists. Without
+  // the row, such a request crashed four more replicas and was refused 5.3 s after its third crash
+  // instead of within 1 s.
   rows_.write(currentSuspicion(request));
   scheduleRowRemoval(request, base::Duration::zero());
 }
@@ -343,7 +347,7 @@
 
 void RequestQuarantine::removeQuarantinedSuspect(base::RequestFingerprint request) {
   if (suspectRows_.erase(request) == 0 || !writesRowsOf(request)) return;
-  // Its homes write the verdict now: the row before it goes once that is there.
+  // Its home nodes write the verdict now; the suspect's row is removed once that is stored.
   environment_.timers.schedule(options_.secondResendDelay,
                                [this, request, alive = std::weak_ptr(lifetime_)] {
                                  if (!alive.expired() && find(request))
@@ -413,7 +417,7 @@
       [this](const auto& known) {
         using Message = std::decay_t<decltype(known)>;
         if constexpr (std::is_same_v<Message, QuarantineEntry>) {
-          apply(known, "its home");
+          apply(known, "home node");
         } else {
           handle(known);
         }
--- a/src/quarantine/request_quarantine.h
+++ b/src/quarantine/request_quarantine.h
@@ -1,17 +1,18 @@
 /// \file
-/// Keeps requests that crash the replicas that run them away from further replicas.
+/// Prevents requests that crash the replicas running them from being sent to further replicas.
 ///
-/// A caller sends such a request again as a new one, to any node, so no node can judge by what it
-/// saw itself. Each request has two homes among the nodes. They are told of its runs that ended
-/// with a replica (ReplicaCrashDetector), and tell all nodes where more than one crash counts
-/// against it. So every home judges by the same evidence (CrashEvidence), of which there is little:
-/// most requests were at one crash. A node at which a suspect came to its end objects; without an
-/// objection the homes quarantine the culprit, and every node refuses it before it is sent.
+/// A caller repeats such a request as a new one, at any node, so no node can judge by its own
+/// observations. Each request therefore has two home nodes. All nodes report to them its executions
+/// that ended in a replica crash (ReplicaCrashDetector), and the home nodes announce to all nodes
+/// when more than one crash counts against it. Every home node thus judges by the same evidence
+/// (CrashEvidence). There is little of it, since most requests were present at a single crash. A
+/// node at which the suspect completed sends an objection. Without one the home nodes quarantine
+/// the culprit, and every node refuses it before it is sent.
 ///
-/// Messages may be lost and go a few times. Suspects and decisions spread as gossip records
-/// besides, which repair what a node that was cut off or has just started has missed; both are kept
-/// in the table service for a restart of all nodes. A decision is lifted when a run of the
-/// request comes to its end after all, and lapses.
+/// Messages may be lost and are sent several times. In addition, suspects and verdicts spread as
+/// gossip records, which inform nodes that were partitioned or have just started; and both are
+/// stored in the table service to survive a restart of all nodes. A verdict is lifted if the
+/// request completes after all, and it expires.
 #pragma once
 
 #include <deque>
@@ -36,29 +37,32 @@
 
 struct RequestQuarantineOptions {
   CrashEvidenceOptions evidence;
-  /// From the proof against a request to its quarantine; others object within a round trip.
+  /// Time from the proof against a request to its quarantine; objections arrive within a round
+  /// trip.
   base::Duration objectionPeriod = std::chrono::milliseconds(300);
-  /// How long a quarantined request is refused. New weights or software may run it, and a wrong
-  /// verdict must not last; three crashes an hour are borne.
+  /// Time for which a quarantined request is refused. New weights or software may be able to run
+  /// it, and a wrong verdict must not last; three crashes an hour are acceptable.
   base::Duration lifetime = std::chrono::hours(1);
-  /// Messages are sent again after each of these.
+  /// Messages are sent again after each of these delays.
   base::Duration firstResendDelay = std::chrono::milliseconds(150);
   base::Duration secondResendDelay = std::chrono::milliseconds(600);
-  /// How often it is looked whether homes have changed, while there is evidence of this node's own.
+  /// Interval of the check for changed home nodes, while this node has evidence of its own.
   base::Duration homeCheckPeriod = std::chrono::seconds(1);
-  /// Own reports that are kept for homes to come; the oldest give way.
+  /// Maximum number of own reports kept for future home nodes; the oldest are dropped.
   std::size_t maximumReports = 256;
-  /// A suspect at more crashes than these is not announced again: the homes know enough.
+  /// A suspect with more crashes than this is not announced again: the home nodes have enough
+  /// evidence.
   std::size_t maximumAnnouncedCrashes = 8;
-  /// Between a home's comparisons with the table service, while anything is quarantined.
+  /// Interval at which a home node compares its verdicts with the table service, while any request
+  /// is quarantined.
   base::Duration comparisonPeriod = std::chrono::seconds(30);
-  /// Suspects of which this node keeps a row; beyond that none is added.
+  /// Maximum number of suspects whose rows this node writes; further ones are not stored.
   std::size_t maximumSuspectRows = 256;
-  /// Requests in quarantine; beyond that none is added.
+  /// Maximum number of quarantined requests; further ones are not added.
   std::size_t maximumQuarantined = 1024;
 };
 
-/// All must outlive the quarantine and share its thread.
+/// All members must outlive the quarantine and share its thread.
 struct RequestQuarantineEnvironment {
   base::Clock& clock;
   base::TimerService& timers;
@@ -68,11 +72,11 @@
   const membership::MemberDirectory& members;
   membership::RecordDissemination& records;
   clients::TableClient& table;
-  /// The table service's clock as this node knows it; empty before the first answer.
+  /// The clock of the table service as known to this node; empty before the first response.
   std::function<std::optional<base::Duration>()> serviceClock;
 };
 
-/// Why and for how long a request is refused.
+/// Why a request is refused, and for how long.
 struct QuarantineStatus {
   std::uint64_t crashes = 0;
   base::Duration remaining{};
@@ -85,17 +89,18 @@
   RequestQuarantine(const RequestQuarantine&) = delete;
   RequestQuarantine& operator=(const RequestQuarantine&) = delete;
 
-  /// Learns the verdicts of others.
+  /// Subscribes to the verdicts of other nodes and loads the stored ones.
   void start();
-  /// Empty when the request may be sent.
+  /// Empty if the request may be sent.
   std::optional<QuarantineStatus> find(base::RequestFingerprint request) const;
-  /// Runs of this node ended with a replica.
+  /// A replica crashed while it was running these requests of this node.
   void onReplicaCrash(base::EngineId replica, const Fingerprints& runs);
-  /// A run of this node came to its end.
+  /// A request of this node completed.
   void onServed(base::RequestFingerprint request);
-  /// Requests that are refused now.
+  /// Number of requests that are refused now.
   std::size_t size() const;
-  /// The table service came back from a copy: as a home, writes again what its rows may lack.
+  /// The table service was restored from an older backup: if this node is a home node, it writes
+  /// the rows that may be missing again.
   void onStoreReturned();
 
   void onPeerMessage(const base::PeerIdentity& sender, std::string_view payload) override;
@@ -103,69 +108,69 @@
  private:
   struct Verdict {
     QuarantineEntry entry;
-    /// When it lapses, by this node's clock.
+    /// When it expires, by this node's clock.
     base::TimePoint until{};
   };
 
-  /// Runs of this node that ended with a replica.
+  /// A report of this node, kept for future home nodes.
   struct SentReport {
     CrashReport report;
     base::TimePoint at{};
   };
 
-  /// Sends each home those of the runs that are its own.
+  /// Sends each home node the part of the report that concerns its requests.
   void sendReport(const CrashReport& report);
-  /// Reports to the homes again when members came or went: a home that died took what it knew with
-  /// it, and without its evidence a culprit would need three more crashes.
+  /// Repeats the reports if the membership changed: the evidence of a home node that died is lost,
+  /// and without it a culprit would need three more crashes.
   void resendToNewHomes();
   void scheduleHomeCheck();
-  /// As a home: runs of any node ended with a replica.
+  /// As a home node: requests of any node were running at a replica when it crashed.
   void handle(const CrashReport& report);
   void handle(const RequestSuspected& suspected);
   void handle(const RequestServed& served);
-  /// Counts the crashes against the request, unless the suspicion is old.
+  /// Counts the crashes against the request, unless the suspicion is too old.
   void addSuspicion(const RequestSuspected& suspected);
-  /// Tells all which crashes count against the request.
+  /// Announces to all nodes which crashes count against the request.
   void announce(base::RequestFingerprint request);
   RequestSuspected currentSuspicion(base::RequestFingerprint request) const;
   void publish(const RequestSuspected& suspected);
   void onRecord(const membership::GossipRecord& record);
   void object(base::RequestFingerprint request);
-  /// Decides after the time for objections.
+  /// Schedules the decision at the end of the objection period.
   void scheduleVerdict();
   void decide();
   void quarantine(const Culprit& culprit);
   void lift(base::RequestFingerprint request);
-  /// Takes an entry from wherever; false when a later one is known.
+  /// Applies an entry from any source; false if a later one is known.
   bool apply(const QuarantineEntry& entry, std::string_view source);
-  /// Tells all nodes, and gossip.
+  /// Sends the entry to all nodes and publishes it through gossip.
   void broadcast(const QuarantineEntry& entry);
   void publish(const QuarantineEntry& entry);
   void scheduleComparison();
   void compareWithRows();
   void mergeRows(const StoredEvidence& stored);
-  /// As the home that keeps the rows of a suspect: writes what counts against it now.
+  /// If this node writes the rows of the suspect: stores what counts against it now.
   void storeSuspect(base::RequestFingerprint request);
-  /// Takes the row of a suspect for this node's to remove once it is as old as evidence gets.
+  /// Makes this node remove the suspect's row once it is older than the retention of evidence.
   void scheduleRowRemoval(base::RequestFingerprint request, base::Duration age);
   /// Nothing counts against the request any more.
   void removeSuspect(base::RequestFingerprint request);
-  /// The verdict on the request says all that its row as a suspect did.
+  /// The verdict on the request supersedes its row as a suspect.
   void removeQuarantinedSuspect(base::RequestFingerprint request);
 
-  /// The two nodes that judge a request, as this node sees the members; one where it is alone.
+  /// The two home nodes of a request, as this node sees the members; one if the node is alone.
   std::vector<base::Endpoint> homesOf(base::RequestFingerprint request) const;
   bool isHomeOf(base::RequestFingerprint request) const;
-  /// Of the two homes, the one that writes rows of a suspect.
+  /// Whether this node is the one of the two home nodes that writes the suspect's row.
   bool writesRowsOf(base::RequestFingerprint request) const;
   void sendToHomes(base::RequestFingerprint request, const std::string& payload);
-  /// To another node, or as if from another one to this node.
+  /// Sends to another node, or delivers to this node as if the message came from another one.
   void send(const base::Endpoint& destination, const std::string& payload);
-  /// To all other nodes.
+  /// Sends to all other nodes.
   void sendToAll(const std::string& payload);
-  /// Runs now and after each pause.
+  /// Calls `send` now and after each resend delay.
   void sendRepeatedly(const std::function<void()>& send);
-  /// Time since a moment by the table service's clock; zero where that clock is not known.
+  /// Time elapsed since `moment` by the clock of the table service; zero if that clock is unknown.
   base::Duration ageOf(base::Duration moment) const;
 
   RequestQuarantineOptions options_;
@@ -174,15 +179,15 @@
   ServedRequests served_;
   QuarantineRows rows_;
   std::unordered_map<base::RequestFingerprint, Verdict> verdicts_;
-  /// Until when the rows of suspects count that this node keeps.
+  /// Expiry times of the suspects whose rows this node writes.
   std::unordered_map<base::RequestFingerprint, base::TimePoint> suspectRows_;
   std::deque<SentReport> reports_;
-  /// The members that the reports were sent to.
+  /// Membership version at which the reports were last sent.
   std::uint64_t reportedMembersVersion_ = 0;
   base::TimerId verdictTimer_ = 0;
   base::TimerId homeCheckTimer_ = 0;
   base::TimerId comparisonTimer_ = 0;
-  /// Outlived by callbacks that must no longer reach this object.
+  /// Lets callbacks detect that this object was destroyed.
   std::shared_ptr<bool> lifetime_ = std::make_shared<bool>(true);
 };
 
--- a/src/quarantine/served_requests.h
+++ b/src/quarantine/served_requests.h
@@ -1,5 +1,5 @@
 /// \file
-/// The requests that a node has served lately, to object where one of them is suspected.
+/// Requests that a node served recently, kept for objections if one of them becomes a suspect.
 #pragma once
 
 #include <cstddef>
@@ -17,10 +17,10 @@
   bool contains(base::RequestFingerprint request, base::TimePoint now) const;
 
  private:
-  /// A request that many send is served many times a minute; one that began to crash replicas only
-  /// now, under new software or weights, is found this much later.
+  /// A popular request is served many times a minute. If it starts to crash replicas under new
+  /// software or weights, it is found this much later.
   static constexpr base::Duration kRetention = std::chrono::seconds(60);
-  /// 60 s of 11 requests a second, what a node serves at the planned size, ten times over.
+  /// 60 s at 11 requests a second, which is the load of a node at the planned size, ten times over.
   static constexpr std::size_t kMaximumEntries = 8192;
 
   struct Served {
