--- a/tests/admission/admission_load_test.cc
+++ b/tests/admission/admission_load_test.cc
@@ -1,5 +1,5 @@
-/// Loads that brought the shortage, each under four orders of service: what callers get is printed
-/// (`--log_level=message`) and compared.
+/// Load patterns that caused shortages, each simulated with four schedulers. The results for the
+/// callers are printed (`--log_level=message`) and compared.
 
 #include <array>
 #include <boost/test/unit_test.hpp>
@@ -22,7 +22,7 @@
 
 using Rate = std::function<double(Duration)>;
 
-/// Short requests of the most urgent kind; `load` is the share of a whole replica.
+/// Short requests of the most urgent level; `load` is the share of a whole replica.
 Stream shortRequests(const Rate& load, std::uint64_t tenant = 1) {
   const double work = 0.6 / kReplicaSlots;
   return {0,
@@ -33,7 +33,7 @@
           seconds(15),
           [load, work](Duration at) { return load(at) / work; }};
 }
-/// Long requests of the least urgent kind: 9,200 tokens.
+/// Long requests of the least urgent level: 9,200 tokens.
 Stream longRequests(const Rate& load, std::uint64_t tenant = 2) {
   const double work = 1.5 * 9200 / kReplicaMemory;
   return {2,
@@ -61,13 +61,13 @@
 
 using Step = std::function<void(Duration, VirtualReplica&, std::size_t)>;
 
-/// What callers got in all seeds together.
+/// Results for the callers, summed over all seeds.
 struct Outcome {
   std::map<std::uint32_t, CallerStatistics> byUrgency;
   std::map<std::uint64_t, CallerStatistics> byTenant;
-  /// Most that came back within a tenth of a second.
+  /// Maximum number of retries within a tenth of a second.
   int maximumRetriesTogether = 0;
-  /// Requests of the most urgent kind, and of the least urgent.
+  /// Requests of the most urgent level, and of the least urgent one.
   const CallerStatistics& mostUrgent() const { return byUrgency.at(0); }
   const CallerStatistics& lessUrgent() const { return byUrgency.at(2); }
 };
@@ -76,14 +76,14 @@
            const CallerStatistics& results) {
   std::ostringstream line;
   line.precision(3);
-  line << load << ", " << kNames.at(scheduler) << ", " << kind << ": asked " << results.requests
-       << ", in time at first " << results.firstAttemptShare() << ", or on return "
+  line << load << ", " << kNames.at(scheduler) << ", " << kind << ": requests " << results.requests
+       << ", on time at first attempt " << results.firstAttemptShare() << ", or after a retry "
        << results.onTimeShare() << ", served " << results.servedShare() << ", refusals "
-       << results.refusals << ", again " << results.repeatedRefusals;
+       << results.refusals << ", repeated refusals " << results.repeatedRefusals;
   BOOST_TEST_MESSAGE(line.str());
 }
 
-/// Plays the load; 8 s more let what waits end.
+/// Simulates the load, and 8 s more so that waiting requests end.
 Outcome simulate(SchedulerKind scheduler, const std::vector<Stream>& streams, Duration length,
                  const Step& step = {}) {
   Outcome outcome;
@@ -103,7 +103,7 @@
   return outcome;
 }
 
-/// The same under each order.
+/// Simulates the same load with each scheduler.
 std::vector<Outcome> compare(const std::string& load, const std::vector<Stream>& streams,
                              Duration length, const Step& step = {}) {
   std::vector<Outcome> outcomes;
@@ -120,8 +120,8 @@
   return [end, rate](Duration at) { return at < end ? rate(at) : 0.0; };
 }
 
-/// The kept order against the others: the urgent begin in time when they first ask at least as
-/// often as under each other order but for `within`.
+/// Compares the admission queue with the other schedulers: urgent requests start on time at their
+/// first attempt at least as often, apart from `within`.
 void checkUrgent(const std::vector<Outcome>& results, double within) {
   const CallerStatistics& queueResult = results.at(kAdmissionQueue).mostUrgent();
   for (const SchedulerKind scheduler : {kPolling, kFifo, kUrgency}) {
@@ -131,12 +131,13 @@
     }
   }
 }
-/// The more urgent are in time at least as often as the less urgent, first or on return.
+/// More urgent requests are on time at least as often as less urgent ones, at the first attempt and
+/// including retries.
 void checkNoInversion(const Outcome& results) {
   BOOST_TEST(results.mostUrgent().firstAttemptShare() >= results.lessUrgent().firstAttemptShare());
   BOOST_TEST(results.mostUrgent().onTimeShare() >= results.lessUrgent().onTimeShare());
 }
-/// Few of those that were told when to come back are refused again.
+/// Few of the requests that received a time to retry are refused again.
 void checkRefusedAgain(const CallerStatistics& queueResult, const CallerStatistics& polling) {
   BOOST_TEST(queueResult.refusals <= polling.refusals);
   BOOST_TEST(queueResult.repeatedRefusals * 3 <= polling.repeatedRefusals);
@@ -153,7 +154,8 @@
   checkUrgent(results, 0.0);
   checkNoInversion(results.at(kAdmissionQueue));
   checkRefusedAgain(results.at(kAdmissionQueue).lessUrgent(), results.at(kPolling).lessUrgent());
-  // The room is enough for the urgent: none of them loses, and the less urgent have the rest.
+  // The capacity suffices for the urgent requests: none of them loses, and the less urgent ones get
+  // the rest.
   BOOST_TEST(results.at(kAdmissionQueue).mostUrgent().firstAttemptShare() >= 0.99);
   BOOST_TEST(results.at(kAdmissionQueue).lessUrgent().firstAttemptShare() >=
              results.at(kPolling).lessUrgent().firstAttemptShare());
@@ -162,8 +164,9 @@
   BOOST_TEST(results.at(kAdmissionQueue).lessUrgent().servedShare() >= 0.9);
 }
 
-/// The bound for the less urgent: they are served a tenth of what they ask, also while the most
-/// urgent alone ask for more than there is; and that costs the urgent no more than that.
+/// The guarantee for less urgent levels: they are served a tenth of their demand even while the
+/// demand of the most urgent level alone exceeds the capacity, and that costs the most urgent level
+/// no more than this.
 BOOST_AUTO_TEST_CASE(LessUrgentDoNotStarve) {
   const auto results = compare("urgent alone 1.3",
                                {shortRequests(until(seconds(20), constantRate(1.3))),
@@ -174,8 +177,8 @@
   BOOST_TEST(results.at(kAdmissionQueue).lessUrgent().servedShare() >= 0.09);
   BOOST_TEST(results.at(kAdmissionQueue).lessUrgent().servedShare() >
              results.at(kUrgency).lessUrgent().servedShare());
-  // A twentieth of the replica goes to the less urgent, the rest of it to the urgent: 0.73 of them
-  // at the most while the load lasts.
+  // A twentieth of the replica goes to the less urgent requests and the remainder to the urgent
+  // ones: at most 0.73 of the urgent ones are served while the load lasts.
   BOOST_TEST(results.at(kAdmissionQueue).mostUrgent().firstAttemptShare() >= 0.6);
   BOOST_TEST(results.at(kAdmissionQueue).mostUrgent().onTimeShare() >= 0.95);
   checkRefusedAgain(results.at(kAdmissionQueue).mostUrgent(), results.at(kPolling).mostUrgent());
@@ -216,8 +219,8 @@
     }
     return streams;
   };
-  // Of the other tenants' requests, those in time when they first asked; first as usual, then with
-  // the one tenant at five times.
+  // Share of the other tenants' requests that were on time at their first attempt: first with the
+  // usual load, then with the one tenant at five times its usual load.
   std::array<std::array<double, 2>, kSchedulers.size()> onTime{};
   for (const SchedulerKind scheduler : kSchedulers) {
     for (const double first : {0.09, 0.45}) {
@@ -226,7 +229,7 @@
       for (const auto& [tenant, results] : outcome.byTenant) {
         if (tenant != 1) others += results;
       }
-      const std::string load = first > 0.1 ? "tenant at five times" : "tenants as usual";
+      const std::string load = first > 0.1 ? "tenant at five times its load" : "usual load";
       print(load, scheduler, "others", others);
       print(load, scheduler, "this tenant", outcome.byTenant.at(1));
       onTime.at(scheduler).at(first > 0.1 ? 1 : 0) = others.firstAttemptShare();
@@ -248,7 +251,7 @@
   const auto results =
       compare("all at once", {shortRequests(until(seconds(14), load))}, seconds(14));
   for (const SchedulerKind scheduler : kSchedulers) {
-    BOOST_TEST_MESSAGE(kNames.at(scheduler) << ": most that came back in 0.1 s: "
+    BOOST_TEST_MESSAGE(kNames.at(scheduler) << ": most retries in 0.1 s: "
                                             << results.at(scheduler).maximumRetriesTogether);
   }
   checkUrgent(results, 0.0);
@@ -256,12 +259,12 @@
   BOOST_TEST(results.at(kAdmissionQueue).mostUrgent().servedShare() >= 0.99);
   BOOST_TEST(results.at(kAdmissionQueue).mostUrgent().repeatedRefusals * 100 <=
              results.at(kAdmissionQueue).mostUrgent().refusals);
-  // Some four begin in a tenth of a second.
+  // Some four requests start within a tenth of a second.
   BOOST_TEST(results.at(kAdmissionQueue).maximumRetriesTogether <= 10);
 }
 
 BOOST_AUTO_TEST_CASE(CapacityRestoredAtOnce) {
-  // Longest times in all seeds from the return of the capacity, at 14 s.
+  // Maximum times over all seeds, measured from the restoration of the capacity at 14 s.
   Duration empty{};
   Duration filled{};
   bool wasEmpty = false;
@@ -279,7 +282,7 @@
     wasFilled = wasFilled || replica.slotsInUse() >= 0.9 * replica.slots() ||
                 static_cast<double>(replica.memoryInUse()) >= 0.9 * kReplicaMemory;
   };
-  // Load that the whole replica bears, and load that fills it.
+  // A load that the whole replica can serve, and a load that fills it.
   for (const double load : {0.8, 1.2}) {
     std::vector<Outcome> results;
     for (const SchedulerKind scheduler : kSchedulers) {
@@ -288,7 +291,7 @@
                                  {shortRequests(until(seconds(20), constantRate(load * 0.55))),
                                   longRequests(until(seconds(20), constantRate(load * 0.45)))},
                                  seconds(20), step));
-      const std::string name = "capacity back, load " + std::to_string(load).substr(0, 3);
+      const std::string name = "capacity restored, load " + std::to_string(load).substr(0, 3);
       print(name, scheduler, "urgent", results.back().mostUrgent());
       print(name, scheduler, "other", results.back().lessUrgent());
       BOOST_TEST_MESSAGE("queue empty after " << base::toMilliseconds(empty) << " ms, filled after "
--- a/tests/admission/admission_queue_test.cc
+++ b/tests/admission/admission_queue_test.cc
@@ -17,8 +17,8 @@
 
 namespace {
 
-/// A queue with its replica; runs last a second, requests may wait 2 s for a start in time and 4 s
-/// for one of use.
+/// A queue with its replica. Runs last one second; the soft deadline of a request is after 2 s, its
+/// hard deadline after 4 s.
 struct Fixture {
   explicit Fixture(std::uint32_t slots = 2, std::uint64_t memory = 10000,
                    AdmissionQueueOptions options = {})
@@ -35,7 +35,7 @@
     if (offer.verdict == QueueVerdict::kGranted) replica.start(entry, now);
     return offer;
   }
-  /// Fills all slots with runs of a second by another tenant, not known to the queue.
+  /// Fills all slots with one-second runs of another tenant that the queue did not grant.
   void fill() {
     while (replica.slotsInUse() < replica.slots()) replica.start(entry(0, 0, 0, 0), now);
   }
@@ -154,7 +154,7 @@
 
 BOOST_AUTO_TEST_CASE(CapacityIsReservedForExpectedMoreUrgentRequests) {
   Fixture fixture(8, 0);
-  // Four urgent requests a second that run a second hold some four slots.
+  // Four urgent requests per second that each run for a second use about four slots.
   std::uint64_t id = 0;
   for (int step = 0; step < 12; ++step) {
     fixture.pass(milliseconds(250));
@@ -224,7 +224,7 @@
   BOOST_TEST((fixture.offer(longRun).verdict == QueueVerdict::kGranted));
 }
 
-/// Room is free, but the replica has too much to read to begin a long prompt in time.
+/// A replica with free capacity, but too much to prefill to start a long prompt on time.
 struct ReadingReplica : VirtualReplica {
   bool fits(const QueueEntry& entry, bool /*onTime*/) const override {
     return entry.cost.prefillTokens < 1000;
@@ -244,7 +244,7 @@
   fixture.now += milliseconds(200);
   BOOST_TEST((verdict(fixture.entry(3, 0, 1, 500)) == QueueVerdict::kQueued));
   BOOST_TEST((verdict(fixture.entry(4, 0, 1, 100)) == QueueVerdict::kGranted));
-  // Once it is late it holds back nobody.
+  // Once it is late it blocks no other request.
   fixture.now += seconds(1);
   BOOST_TEST(fixture.queue.next(replica, fixture.now).has_value());
 }
@@ -268,7 +268,7 @@
     last = fixture.offer(fixture.entry(++id));
   } while (last.verdict == QueueVerdict::kQueued && id < 100);
   BOOST_TEST((last.verdict == QueueVerdict::kRefused));
-  // Two slots and runs of a second: four begin within two seconds.
+  // With two slots and runs of a second, four requests start within two seconds.
   BOOST_TEST(id >= 3U);
   BOOST_TEST(id <= 6U);
   BOOST_TEST(last.wait.count() > 0);
@@ -284,7 +284,7 @@
     if (offer.verdict == QueueVerdict::kRefused) times.insert(offer.wait);
   }
   BOOST_REQUIRE(times.size() >= 12U);
-  // Two begin in a second: no second lets back more than some twice as many.
+  // Two requests start per second: no second has more than about twice as many retries.
   for (const Duration from : times) {
     const auto together =
         std::distance(times.lower_bound(from), times.upper_bound(from + milliseconds(999)));
@@ -312,7 +312,7 @@
 
 BOOST_AUTO_TEST_CASE(NoRequestIsRefusedWhileHalfOfTheSlotsAreFree) {
   Fixture fixture(8, 10000);
-  // Memory is full with half of the slots free.
+  // The memory is full while half of the slots are free.
   for (std::uint64_t id = 1; id <= 4; ++id) fixture.offer(fixture.entry(id, 0, 1, 2500));
   for (std::uint64_t id = 5; id <= 60; ++id) {
     BOOST_TEST((fixture.offer(fixture.entry(id, 2, 1, 2500)).verdict == QueueVerdict::kQueued));
@@ -339,7 +339,7 @@
     fixture.pass(milliseconds(250));
     fixture.offer(fixture.entry(++id, 0, 1, 900));
   }
-  // All that runs ends early, within the time in which more are expected.
+  // All runs end early, within the time in which more urgent requests are expected.
   fixture.replica.endRuns(fixture.now + seconds(2));
   BOOST_TEST(fixture.replica.slotsInUse() == 0U);
   BOOST_TEST((fixture.offer(fixture.entry(++id, 2, 1, 8000)).verdict == QueueVerdict::kGranted));
@@ -371,7 +371,7 @@
 
 BOOST_AUTO_TEST_CASE(RunsUnknownToTheHomeNodeHoldBackNoSmallRequest) {
   Fixture fixture(24, 10000);
-  // A home that started again: what runs was granted before.
+  // A restarted home node: the running requests were granted before.
   for (int run = 0; run < 16; ++run)
     fixture.replica.start(fixture.entry(0, 0, 1, 500), fixture.now);
   BOOST_TEST((fixture.offer(fixture.entry(1, 0, 1, 6000)).verdict == QueueVerdict::kQueued));
@@ -383,7 +383,8 @@
   BOOST_TEST((fixture.offer(longRun).verdict == QueueVerdict::kQueued));
 }
 
-/// Urgent ones ask for all of the room; one less urgent request asks every second and a half.
+/// Urgent requests demand the whole capacity; one less urgent request arrives every second and a
+/// half.
 BOOST_AUTO_TEST_CASE(RareUrgencyLevelDoesNotStarve) {
   Fixture fixture(4, 0);
   std::uint64_t id = 0;
@@ -563,8 +564,8 @@
   }
 }
 
-/// Random calls: each request ends once, as granted, refused, withdrawn or cleared; the bound on
-/// entries and the room hold.
+/// Random calls: each request ends exactly once, as granted, refused, withdrawn or cleared. The
+/// limits on entries and capacity hold.
 BOOST_AUTO_TEST_CASE(EachRequestEndsOnce) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     base::SeededRandom random(seed);
--- a/tests/admission/admission_service_test.cc
+++ b/tests/admission/admission_service_test.cc
@@ -21,7 +21,7 @@
   for (int sample = 0; sample < 20; ++sample) service.onExpectedFirstToken(priority, expected);
 }
 
-/// Fixed targets, so that the tests do not depend on the shipped ones.
+/// Fixed targets that make the tests independent of the default ones.
 AdmissionOptions withTargets() {
   AdmissionOptions options;
   options.capacity.target = {milliseconds(4000), milliseconds(2000), milliseconds(2000),
@@ -128,7 +128,7 @@
   BOOST_TEST(urgent.admitted());
   urgent.ticket.reset();
   lower.ticket.reset();
-  // A lower one may still run through another node.
+  // A request of a lower class may still be running through another node.
   load(service, PriorityClass::kUrgent, seconds(60));
   Call soon = call(service, tenantNamed("a"), PriorityClass::kUrgent);
   for (int step = 0; step < 30; ++step) {
@@ -192,7 +192,8 @@
   std::vector<Call> slow;
   for (int index = 0; index < 8; ++index) slow.push_back(call(service, tenantNamed("a")));
   cluster.time().advance(milliseconds(2050));
-  // Nothing was heard of the engines for long: the first call goes through as a probe.
+  // There was no observation of the engines for a long time: the first call goes through as a
+  // probe.
   const Call probe = call(service, tenantNamed("a"));
   const Call held = call(service, tenantNamed("a"));
   cluster.time().advance(milliseconds(1));
@@ -200,7 +201,7 @@
   BOOST_TEST(!held.answered());
   for (Call& one : slow) one.ticket->onFirstToken();
   slow.clear();
-  // The slow ones are forgotten a second later, and the probe was quick.
+  // The slow requests are dropped from the statistics a second later, and the probe was fast.
   probe.ticket->onFirstToken();
   cluster.time().advance(milliseconds(1001));
   BOOST_TEST(held.answered());
@@ -240,7 +241,7 @@
   AdmissionWindow window({.initial = 20, .minimum = 4, .shrinkFactor = 0.5});
   const base::TimePoint start{seconds(10)};
   window.onWaited(seconds(2), seconds(1), 20, start);
-  // Admitted before the first step down.
+  // Admitted before the first reduction.
   window.onWaited(seconds(2), seconds(1), 20, start + milliseconds(100));
   BOOST_TEST(window.size() == 10.0);
   window.onWaited(seconds(2), seconds(1), 20, start + seconds(3));
--- a/tests/admission/fake_cluster.h
+++ b/tests/admission/fake_cluster.h
@@ -1,5 +1,5 @@
 /// \file
-/// Nodes' admission on one virtual clock, with a small network between them.
+/// Admission services of several nodes on one virtual clock, connected by a simulated network.
 #pragma once
 
 #include <algorithm>
@@ -14,7 +14,7 @@
 
 namespace covewing::admission {
 
-/// Clock and timers of all nodes.
+/// Clock and timers shared by all nodes.
 class FakeTime final : public base::Clock, public base::TimerService {
  public:
   base::TimePoint now() const override { return now_; }
@@ -36,7 +36,7 @@
     }
     now_ = end;
   }
-  /// Moves the clock while nothing runs, as when the machine is suspended.
+  /// Advances the clock without running timers, as if the machine were suspended.
   void pause(base::Duration duration) { now_ += duration; }
 
  private:
@@ -69,7 +69,7 @@
   std::uint64_t version_ = 0;
 };
 
-/// Several nodes' admission services, one millisecond apart.
+/// Admission services of several nodes; a message between them takes one millisecond.
 class FakeCluster {
  public:
   explicit FakeCluster(std::size_t nodes, AdmissionOptions options = {}) : options_(options) {
@@ -90,7 +90,7 @@
 
   FakeTime& time() { return time_; }
   AdmissionService& service(std::size_t node) { return *nodes_[node]->service; }
-  /// Cuts a node off from all others, or heals it. Views of the membership do not change.
+  /// Partitions a node from all others, or ends its partition. Membership views do not change.
   void setPartitioned(std::size_t node, bool partitioned) {
     partitioned ? (void)partitioned_.insert(node) : (void)partitioned_.erase(node);
   }
@@ -141,7 +141,7 @@
   std::size_t bytes_ = 0;
 };
 
-/// One request and what became of it.
+/// A request and the decision on it.
 struct Call {
   std::unique_ptr<AdmissionTicket> ticket;
   std::shared_ptr<std::vector<AdmissionVerdict>> verdicts =
--- a/tests/admission/load_simulation.h
+++ b/tests/admission/load_simulation.h
@@ -1,5 +1,6 @@
 /// \file
-/// Plays a load against one virtual replica under an order of service, and counts what callers get.
+/// Simulates a load on one virtual replica with a given scheduler, and counts the results for
+/// callers.
 #pragma once
 
 #include <algorithm>
@@ -17,7 +18,7 @@
 
 namespace covewing::admission {
 
-/// An order of service as the callers of one replica see it; by default the queue under test.
+/// The scheduler of one replica as seen by its callers; by default the queue under test.
 class Scheduler {
  public:
   virtual ~Scheduler() = default;
@@ -38,8 +39,8 @@
   AdmissionQueue queue_;
 };
 
-/// Orders without a decision: each request polls by itself and gives up after a part of its own
-/// target, first come first served, or by urgency alone.
+/// Schedulers for comparison. Polling: each request polls on its own and is abandoned after a part
+/// of its own target. Others: first come, first served; by urgency alone.
 class BaselineScheduler : public Scheduler {
  public:
   enum class Kind : std::uint8_t { kPolling, kFifo, kUrgency };
@@ -100,23 +101,23 @@
   base::SeededRandom random_{7};
 };
 
-/// Requests of one kind and tenant.
+/// Requests of one urgency level and tenant.
 struct Stream {
   std::uint32_t urgency = 0;
   std::uint64_t tenant = 1;
   std::uint32_t tokens = 0;
   base::Duration run{};
-  /// From the arrival to the latest start in time, and to the latest of use.
+  /// Time from the arrival to the soft deadline, and to the hard deadline.
   base::Duration allowance{};
   base::Duration useful{};
-  /// Requests a second at a time since the start.
+  /// Requests per second as a function of the time since the start.
   std::function<double(base::Duration)> rate;
 };
 
-/// What callers of one kind or tenant got.
+/// Results for the callers of one urgency level or tenant.
 struct CallerStatistics {
   int requests = 0;
-  /// Began in time when they first asked, or after they came back.
+  /// Requests that started on time at their first attempt, and after a retry.
   int onTime = 0;
   int onTimeAfterRetry = 0;
   int late = 0;
@@ -147,7 +148,7 @@
                  std::uint64_t seed)
       : scheduler_(std::move(scheduler)), streams_(std::move(streams)), random_(seed) {}
 
-  /// Called at each step, before anything else.
+  /// Called at the beginning of each step.
   std::function<void(base::Duration, VirtualReplica&, std::size_t queued)> onStep;
 
   void run(base::Duration length) {
@@ -167,7 +168,7 @@
   }
   const CallerStatistics& resultsForUrgency(std::uint32_t urgency) { return byUrgency_[urgency]; }
   const CallerStatistics& resultsForTenant(std::uint64_t tenant) { return byTenant_[tenant]; }
-  /// Most requests that came back within a tenth of a second.
+  /// Maximum number of retries within a tenth of a second.
   int maximumRetriesTogether() const {
     int most = 0;
     for (const auto& [at, count] : retriesAt_) most = std::max(most, count);
--- a/tests/admission/quota_fleet.h
+++ b/tests/admission/quota_fleet.h
@@ -1,6 +1,6 @@
 /// \file
-/// Many nodes' tenant quotas on one virtual clock, with a network that can be cut, nodes that
-/// restart, and a history of what was granted.
+/// Tenant quotas of many nodes on one virtual clock, with network partitions, restarts of nodes,
+/// and a history of what was granted.
 #pragma once
 
 #include <algorithm>
@@ -17,7 +17,7 @@
 
 class QuotaFleet {
  public:
-  /// One request that was granted.
+  /// A granted request.
   struct Granted {
     base::TimePoint at;
     std::uint32_t tokens = 0;
@@ -64,7 +64,7 @@
     return result;
   }
 
-  /// Nodes of different groups do not reach each other. Views follow with `refreshViews`.
+  /// Nodes of different groups do not reach each other. Call `refreshViews` to update the views.
   void setGroup(std::size_t node, std::size_t group) { nodes_[node]->group = group; }
   void kill(std::size_t node) {
     nodes_[node]->up = false;
@@ -75,9 +75,9 @@
     ++nodes_[node]->member.incarnation;
     nodes_[node]->start();
   }
-  /// A frozen node neither answers nor asks; what was sent to it is lost.
+  /// A frozen node neither sends nor receives; messages to it are lost.
   void freeze(std::size_t node, bool frozen) { nodes_[node]->frozen = frozen; }
-  /// Each node sees those that are up in its own group.
+  /// Each node sees the running nodes of its own group.
   void refreshViews() {
     for (auto& node : nodes_) {
       std::vector<membership::Member> seen;
@@ -87,7 +87,7 @@
       node->directory.set(node->member, std::move(seen));
     }
   }
-  /// Each node sees itself alone, as right after its start.
+  /// Each node sees only itself, as immediately after its start.
   void isolateViews() {
     for (auto& node : nodes_) node->directory.set(node->member, {node->member});
   }
@@ -100,7 +100,7 @@
     return 0;
   }
 
-  /// The most that was granted within any span of this length.
+  /// Maximum number of tokens granted within any period of this length.
   double maximumInWindow(base::Duration span) const {
     double worst = 0;
     double sum = 0;
--- a/tests/admission/quota_fleet_test.cc
+++ b/tests/admission/quota_fleet_test.cc
@@ -1,5 +1,5 @@
-// Limits in tokens over a large fleet: what passes, what is refused and until when, and the bound
-// on every window while homes fail, nodes lose each other and all restart.
+// Token limits in a large fleet: what is granted, what is refused and until when, and the bound on
+// every window while home nodes fail, nodes are partitioned, and all nodes restart.
 #include "admission/quota_fleet.h"
 
 #include <boost/test/unit_test.hpp>
@@ -18,7 +18,7 @@
 constexpr std::uint32_t kLongPrompt = 9'200;
 constexpr std::uint32_t kShortPrompt = 875;
 
-/// The options of nodes that relay.
+/// Options of relaying nodes.
 QuotaOptions relayOptions() {
   QuotaOptions options;
   options.tokenBatch = {};
@@ -47,7 +47,7 @@
   return rate;
 }
 
-/// The most that a tenant with this rate may use in a window.
+/// Maximum usage of a tenant with this rate within a window.
 double allowed(const config::TenantRate& rate) {
   const auto window = statedWindow();
   return (rate.perSecond * base::toSeconds(window.span) + rate.burst) * (1 + window.overshoot) +
@@ -59,7 +59,7 @@
   return {base::tenantIdOf(name), 1, statedWindow().limitsFor(rate), tokens};
 }
 
-/// Sends a tenant's requests, long and short by turns, to random nodes at about this rate.
+/// Sends a tenant's long and short requests to random nodes at about this rate.
 struct Traffic {
   QuotaFleet& fleet;
   config::TenantRate rate;
@@ -109,7 +109,7 @@
     Traffic traffic{fleet, rate, 0.6 * rate.perSecond};
     traffic.run(seconds(20));
     BOOST_TEST(traffic.refused() == 0U);
-    // A question and its answer, but for the requests that come to the home itself.
+    // A lease request and its reply, except for requests that arrive at the home node itself.
     BOOST_TEST(fleet.messages() <= 2 * traffic.results.size());
   }
 }
@@ -293,7 +293,8 @@
   Traffic traffic{fleet, rate, 7 * rate.perSecond};
   const std::size_t home = fleet.homeOf(base::tenantIdOf("tenant"));
   traffic.run(seconds(2));
-  // Half of the nodes lose the home for as long as it takes to declare a node dead.
+  // Half of the nodes lose contact with the home node for as long as it takes to declare a node
+  // dead.
   for (std::size_t node = 0; node < kNodes; ++node)
     fleet.setGroup(node, node != home && node % 2 == 0 ? 1 : 0);
   traffic.run(milliseconds(1500));
@@ -337,7 +338,7 @@
     Traffic traffic{fleet, rate, (1 + 6 * random.unit()) * rate.perSecond,
                     base::SeededRandom{seed}};
     for (int fault = 0; fault < 3; ++fault) {
-      // Two faults fall into one window at most.
+      // At most two faults fall into one window.
       traffic.run(milliseconds(2'500 + random.below(3'000)));
       const std::size_t node = random.below(kSmallFleet);
       const std::uint64_t kind = random.below(4);
--- a/tests/admission/retry_window_test.cc
+++ b/tests/admission/retry_window_test.cc
@@ -14,26 +14,26 @@
 
 namespace {
 
-/// More than a window before the tests begin.
+/// More than one window before the tests begin.
 constexpr base::TimePoint kLongAgo{seconds(50)};
 
 RetryNodeCount nodes(std::size_t count) {
   return [count] { return count; };
 }
 
-/// Reserves a retry and sends it at once.
+/// Reserves a retry and sends it immediately.
 bool take(RetryWindows& windows, const std::string& service, base::TimePoint now) {
   auto retry = windows.reserve(service, now);
   return retry && retry->send(now);
 }
 
-/// Of ascending times.
+/// Counts the entries of ascending `times` within the span.
 std::int64_t countWithin(const std::vector<base::TimePoint>& times, base::TimePoint begin,
                          base::Duration span) {
   return std::ranges::lower_bound(times, begin + span) - std::ranges::lower_bound(times, begin);
 }
 
-/// Nodes that send retries to one service, some long after these were reserved.
+/// Nodes that send retries to one service, some of them long after their reservation.
 struct RetryingNodes {
   static constexpr std::size_t kNodes = 7;
   static constexpr double kRatio = 0.2;
@@ -51,7 +51,8 @@
   explicit RetryingNodes(std::uint64_t seed, base::Duration timeOfStep = milliseconds(10))
       : random(seed), stepTime(timeOfStep) {}
 
-  /// A few seconds with a load of their own. Retries wait up to `wait` and are sent when it ends.
+  /// Simulates a few seconds with a given load. Retries wait until `wait` after the beginning and
+  /// are then sent.
   void run(base::Duration span, std::size_t requestsAStep, base::Duration wait) {
     const auto end = now + span;
     const auto waitEnds = now + wait;
@@ -78,7 +79,7 @@
     std::erase_if(node.waiting, [this](const Waiting& waiting) { return waiting.until <= now; });
   }
 
-  /// Each node starts again with this chance: what it counted is lost, what waited there is gone.
+  /// Restarts each node with this probability: its counts and waiting retries are lost.
   void restartRandomNodes(std::size_t percent) {
     for (Node& node : fleet) {
       if (random.below(100) >= percent) continue;
@@ -87,7 +88,8 @@
     }
   }
 
-  /// Retries sent within a window, for each that the bound allows there: the most of all windows.
+  /// Maximum over all windows of the retries sent within the window, relative to the number allowed
+  /// there.
   double maximumUsage() const {
     constexpr base::Duration kWindow = seconds(10);
     double fullest = 0;
@@ -103,7 +105,7 @@
 
   base::SeededRandom random;
   base::Duration stepTime;
-  /// Each request wants a retry.
+  /// Whether each request needs a retry.
   bool failing = true;
   base::TimePoint now{seconds(100)};
   std::vector<Node> fleet{kNodes};
@@ -130,7 +132,8 @@
   const auto almost = startedAt + milliseconds(9900);
   RetryWindows windows({seconds(10), 0.2, 10, 1.0}, startedAt, nodes(1));
   BOOST_TEST(!take(windows, "s", almost));
-  // Those of the latest half of a window count by a third for the one that began ten seconds ago.
+  // Requests of the latest half of a window count by a third for the window that began ten seconds
+  // ago.
   for (int count = 0; count < 15; ++count) windows.onRequest("s", almost);
   BOOST_TEST(take(windows, "s", almost));
   BOOST_TEST(!take(windows, "s", almost));
@@ -162,14 +165,14 @@
     return std::ranges::count_if(times, [&](auto at) { return at <= end && at > end - span; });
   };
   for (const auto end : retries) {
-    // Requests may count in a window that began a little earlier.
+    // Requests may count in a window that began slightly earlier.
     const auto allowed = 0.2 * static_cast<double>(within(requests, end, milliseconds(10250))) + 3;
     BOOST_TEST(static_cast<double>(within(retries, end, seconds(10))) <= allowed);
   }
 }
 
-// Retries were counted when they were taken from the budget. With waits of up to 6 s a window held
-// up to 1.376 times what the bound allows; counted when they are sent, it is 0.862.
+// When retries were counted at their reservation and waited up to 6 s, a window contained up to
+// 1.376 times the number allowed. Counted when they are sent, it is 0.862 times.
 BOOST_AUTO_TEST_CASE(NoWindowExceedsTheBoundIfRetriesWaitBeforeTheyAreSent) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     RetryingNodes fleet{seed};
@@ -182,9 +185,10 @@
   }
 }
 
-// A node that started again had its whole part of the slack anew, though its former run had used it
-// within the same window. All nodes were killed at 8 s, 13 s and 17 s while replicas refused most
-// requests: 242 retries reached a service within 10 s, where 227 were allowed for 863 requests.
+// A restarted node must not get its whole part of the slack again, since its previous incarnation
+// may have used it within the same window. With all nodes killed at 8 s, 13 s and 17 s while
+// replicas refused most requests, 242 retries reached a service within 10 s, where 227 were allowed
+// for 863 requests.
 BOOST_AUTO_TEST_CASE(NoWindowExceedsTheBoundIfNodesRestart) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     RetryingNodes fleet{seed, milliseconds(100)};
@@ -198,8 +202,9 @@
   }
 }
 
-// A node that was killed a second after its requests had begun to fail had used the allowance of
-// its last ten seconds; its next run had that of its own requests besides, within the same window.
+// A node that is killed a second after its requests began to fail has used the allowance of its
+// last ten seconds; its next incarnation must not add the allowance of its own requests within the
+// same window.
 BOOST_AUTO_TEST_CASE(NoWindowExceedsTheBoundIfNodesAreKilledSoonAfterFailuresBegin) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     RetryingNodes nodes{seed, milliseconds(50)};
--- a/tests/admission/tenant_quotas_test.cc
+++ b/tests/admission/tenant_quotas_test.cc
@@ -1,5 +1,5 @@
-// Tenant limits over several nodes: what holds in steady state, and the bounds while a home cannot
-// be reached.
+// Tenant limits across several nodes: steady state, and the bounds while a home node is
+// unreachable.
 #include "admission/tenant_quotas.h"
 
 #include <rapidcheck/boost_test.h>
@@ -46,7 +46,7 @@
       BOOST_TEST((one.code() == ResultCode::kConcurrencyLimited));
     }
   }
-  // Renewed over several lease times, the slots stay taken.
+  // Renewed over several lease times, the slots stay in use.
   cluster.time().advance(seconds(10));
   const Call late = call(cluster.service(0), tenant);
   cluster.time().advance(milliseconds(20));
@@ -87,12 +87,12 @@
     admitted += admittedOf(calls);
   }
   BOOST_TEST(admitted <= 10U + 50U * kSeconds);
-  // Leases that expire unused may waste a little, not much.
+  // Leases that expire unused may waste a little, but not much.
   BOOST_TEST(admitted >= 45U * kSeconds);
 }
 
-// What the home lent is of the time at which it was asked for: after the end of the lease it may
-// have granted as much anew.
+// A grant counts from the time of its request: after the end of the lease the home node may have
+// granted the same amount again.
 BOOST_AUTO_TEST_CASE(GrantReadAfterItsLeaseExpiredInASuspensionIsNotUsed) {
   FakeCluster cluster(2);
   const auto tenant = tenantNamed("large");
@@ -102,13 +102,13 @@
   tenant->holdTime = seconds(60);
   std::vector<Call> calls;
   for (std::size_t node = 0; node < 2; ++node) calls.push_back(call(cluster.service(node), tenant));
-  // The question is at the home now, and the answer on its way back.
+  // The request has reached the home node, and the reply is in flight.
   cluster.time().advance(milliseconds(1));
   BOOST_TEST(admittedOf(calls) == 1U);
   cluster.time().pause(seconds(10));
   cluster.time().advance({});
   BOOST_TEST(admittedOf(calls) == 1U);
-  // The request that waited for it is asked for anew.
+  // A new lease is requested for the waiting request.
   cluster.time().advance(milliseconds(100));
   BOOST_TEST(admittedOf(calls) == 2U);
 }
@@ -157,7 +157,7 @@
     cluster.time().advance(milliseconds(100));
   }
   const std::size_t admitted = admittedOf(calls);
-  // The home itself leases up to the whole limit, the others take their shares.
+  // The home node itself leases up to the whole limit; the others use their local shares.
   BOOST_TEST(admitted >= kLimit);
   BOOST_TEST(admitted <= 2 * kLimit);
   for (const Call& one : calls) BOOST_TEST(one.answered());
--- a/tests/admission/virtual_replica.h
+++ b/tests/admission/virtual_replica.h
@@ -1,5 +1,5 @@
 /// \file
-/// A replica for tests of queues: slots, memory, run times; virtual time.
+/// Simulated replica for queue tests, with slots, memory and run times, in virtual time.
 #pragma once
 
 #include <algorithm>
--- a/tests/quarantine/crash_evidence_test.cc
+++ b/tests/quarantine/crash_evidence_test.cc
@@ -1,4 +1,4 @@
-// Which request makes replicas crash, among those that ran beside it.
+// Identification of the request that crashes replicas among those that run at the same time.
 #include "quarantine/crash_evidence.h"
 
 #include <boost/test/unit_test.hpp>
@@ -14,7 +14,7 @@
 namespace {
 
 struct EvidenceFixture {
-  /// A replica that was not reported before ends under the runs.
+  /// Reports a crash of a new replica that was running the requests.
   void crash(const std::vector<std::uint64_t>& runs) { report(++replicas, runs); }
   void report(std::uint64_t replica, const std::vector<std::uint64_t>& runs) {
     Fingerprints fingerprints;
@@ -57,7 +57,7 @@
   BOOST_TEST(culprit() == 1U);
 }
 
-// Requests that two nodes send at once and that both fail come again together.
+// Requests that two nodes send together and that both fail are also retried together.
 BOOST_AUTO_TEST_CASE(SuspectsAtTheSameCrashesWaitForTheNextOne) {
   for (int count = 0; count < 3; ++count) crash({1, 2});
   BOOST_TEST(culprit() == 0U);
@@ -78,7 +78,7 @@
   evidence.onServed({1}, now);
   BOOST_TEST(culprit() == 0U);
   BOOST_TEST(evidence.crashesAgainst({1}).empty());
-  // A node that reports late, or again, does not bring it back.
+  // A late or repeated report does not restore the evidence.
   report(2, {1});
   BOOST_TEST(culprit() == 0U);
   now += seconds(1);
@@ -86,7 +86,7 @@
   BOOST_TEST(culprit() == 1U);
 }
 
-// A popular request is at every crash, and hides the culprit unless it counts as served.
+// A popular request is present at every crash, and hides the culprit unless it counts as served.
 BOOST_AUTO_TEST_CASE(ServedRequestDoesNotHideTheCulprit) {
   for (int count = 0; count < 3; ++count) crash({1, 9});
   evidence.onServed({9}, now);
@@ -129,8 +129,8 @@
   BOOST_TEST(evidence.crashesAgainst({5000}).empty());
 }
 
-// Waves of crashes among many requests, some of which come again after a crash: the culprit is
-// found, and nobody else.
+// Waves of crashes among many requests, some of which are retried after a crash: the culprit is
+// identified, and no other request.
 BOOST_AUTO_TEST_CASE(OnlyTheCulpritIsFoundInRandomWaves) {
   constexpr std::uint64_t kCulprit = 1;
   constexpr std::uint64_t kSeeds = 500;
@@ -143,7 +143,7 @@
     bool found = false;
     for (std::uint64_t replica = 1; replica <= 8 && !found; ++replica) {
       Fingerprints runs{{kCulprit}};
-      // What broke off is tried again once, and lands on one of twelve replicas.
+      // Interrupted requests are retried once, each at one of twelve replicas.
       for (const auto run : retried) {
         if (random.below(12) == 0) runs.push_back(run);
       }
--- a/tests/quarantine/quarantine_messages_test.cc
+++ b/tests/quarantine/quarantine_messages_test.cc
@@ -1,4 +1,4 @@
-// Messages and entries of the quarantine.
+// Encoding and decoding of the messages and entries of the quarantine.
 #include "quarantine/quarantine_messages.h"
 
 #include <boost/test/unit_test.hpp>
--- a/tests/quarantine/request_quarantine_test.cc
+++ b/tests/quarantine/request_quarantine_test.cc
@@ -1,4 +1,5 @@
-// Several nodes find and refuse a request that crashes replicas, under loss, cuts and restarts.
+// Several nodes identify and refuse a request that crashes replicas, under loss, partitions and
+// restarts.
 #include "quarantine/request_quarantine.h"
 
 #include <boost/test/unit_test.hpp>
@@ -23,7 +24,7 @@
 constexpr base::RequestFingerprint kCrashing{1};
 constexpr base::RequestFingerprint kPopular{2};
 
-/// The members of a fleet, the same for all of them.
+/// The members of a fleet; all nodes have the same view.
 struct MemberList {
   explicit MemberList(std::size_t count) {
     for (std::size_t index = 0; index < count; ++index) {
@@ -45,7 +46,7 @@
   std::uint64_t version = 1;
 };
 
-/// The list as one of the members sees it.
+/// The list as seen by one of the members.
 class ListedMembers final : public membership::MemberDirectory {
  public:
   ListedMembers(const MemberList& list, std::size_t self) : list_(list), self_(self) {}
@@ -70,7 +71,7 @@
   }
 
   RequestQuarantine& at(std::size_t node) { return nodes_[node]->quarantine; }
-  /// A node starts again and keeps nothing.
+  /// Restarts a node with an empty state.
   void restart(std::size_t index) {
     for (auto& node : nodes_) node->records.disconnect(nodes_[index]->records);
     nodes_[index] = makeNode(index);
@@ -80,7 +81,7 @@
     at(index).start();
     time.advance(milliseconds(10));
   }
-  /// All nodes start again at once; what gossip knew is gone.
+  /// Restarts all nodes at once; the gossip records are lost.
   void restartAll() {
     for (std::size_t left = 0; left < nodes_.size(); ++left) {
       for (std::size_t right = 0; right < nodes_.size(); ++right)
@@ -91,7 +92,7 @@
     for (auto& node : nodes_) node->quarantine.start();
     time.advance(milliseconds(10));
   }
-  /// A replica ends under runs of one node.
+  /// A new replica crashes while it runs these requests of one node.
   void crash(std::size_t node, const Fingerprints& runs) {
     at(node).onReplicaCrash({++replicas}, runs);
   }
@@ -107,15 +108,15 @@
   base::SeededRandom random{1};
   test_support::RecordingLog log;
   test_support::MemoryTableService table{time, time, "own"};
-  /// Part of the messages that are lost.
+  /// Fraction of the messages that are lost.
   double loss = 0;
-  /// Nodes that no message reaches and whose messages reach nobody.
+  /// Partitioned nodes: they neither receive messages nor reach other nodes.
   std::set<std::size_t> partitioned;
   std::uint64_t replicas = 0;
   std::size_t messages = 0;
 
  private:
-  /// Carries messages to other nodes in half a millisecond.
+  /// Delivers messages to other nodes after half a millisecond.
   class Peers final : public base::PeerTransport {
    public:
     Peers(QuarantineFleet& fleet, std::size_t self) : fleet_(fleet), self_(self) {}
@@ -193,8 +194,8 @@
   }
 }
 
-// Both homes of a request are killed between its crashes, with all that they knew of it. With the
-// first reports alone, the culprit would need three more.
+// Both home nodes of a request are killed between its crashes, and their evidence is lost. If only
+// the first reports counted, the culprit would need three more crashes.
 BOOST_AUTO_TEST_CASE(EvidenceSurvivesTheNodesThatHeldIt) {
   constexpr std::size_t kNodes = 6;
   for (std::size_t first = 0; first < kNodes; ++first) {
@@ -204,7 +205,7 @@
       while (reporter == first || reporter == second) ++reporter;
       for (int count = 0; count < 2; ++count) fleet.crash(reporter, {kCrashing, {10}});
       fleet.time.advance(seconds(1));
-      // The two are dead before anybody else has heard of the third crash, and held dead later.
+      // The two die before any node receives the third report, and are declared dead later.
       fleet.partitioned = {first, second};
       fleet.crash(reporter, {kCrashing});
       fleet.time.advance(seconds(2));
@@ -219,8 +220,8 @@
   }
 }
 
-// All nodes are restarted in turn between the second crash of a request and its third: at the end
-// no node is left that was told of the first two by those that saw them.
+// All nodes are restarted in turn between the second and the third crash of a request: in the end
+// no node is left that received the first two reports from the nodes that observed the crashes.
 BOOST_AUTO_TEST_CASE(EvidenceSurvivesARollingRestartOfAllNodes) {
   QuarantineFleet fleet(4);
   for (int count = 0; count < 2; ++count) fleet.crash(0, {kCrashing});
@@ -234,13 +235,9 @@
   BOOST_TEST(fleet.refusingNodes(kCrashing) == 4U);
 }
 
-// All nodes were killed 0.2 s after the third end of a request, before its verdict. None of them
-// knew of the three any more, so that it ended four replicas more, and was refused 5.3 s after the
-// third end:
-//
-//     43.990 s  node-5  event=6009 name=ReplicaEndedUnderRuns runs="c921e94b01294ee5"   (the third)
-//     49.222 s  node-3  event=5008 name=RequestQuarantined fingerprint="c921e94b01294ee5"
-//     crashes="4"
+// All nodes are killed 0.2 s after the third crash of a request, before its verdict. Without stored
+// evidence none of them had a record of the three crashes, so that the request crashed four more
+// replicas and was refused 5.3 s after the third crash.
 BOOST_AUTO_TEST_CASE(EvidenceSurvivesASimultaneousRestartOfAllNodes) {
   QuarantineFleet fleet(6);
   for (std::size_t node = 0; node < 3; ++node) fleet.crash(node, {kCrashing, {100 + node}});
@@ -279,7 +276,7 @@
   BOOST_TEST(fleet.suspectRows() == 0U);
 }
 
-// A row that nobody removed, since its homes had been killed, counts no more and goes.
+// A row whose home nodes were killed before they removed it no longer counts and is removed.
 BOOST_AUTO_TEST_CASE(ExpiredRowsOfSuspectsAreRemovedByStartingNodes) {
   QuarantineFleet fleet(3);
   for (int count = 0; count < 2; ++count) fleet.crash(0, {kCrashing});
@@ -295,7 +292,7 @@
   BOOST_TEST(fleet.suspectRows() == 0U);
 }
 
-// Each write costs the table service a call; what ran beside two crashes is told of once.
+// Each write costs a call to the table service; requests present at two crashes are announced once.
 BOOST_AUTO_TEST_CASE(SuspectsAreStoredByOneOfTheirHomes) {
   QuarantineFleet fleet(40);
   const auto before = fleet.table.commits;
@@ -316,7 +313,8 @@
   BOOST_TEST(fleet.refusingNodes(kPopular) == 0U);
 }
 
-// What many send is in flight at every replica; when three lose power together, all of it ends.
+// A popular request is in flight at every replica; if three replicas lose power together, all of
+// its executions end.
 BOOST_AUTO_TEST_CASE(PopularRequestIsNotRefusedWhenSeveralReplicasCrashAtOnce) {
   QuarantineFleet fleet(4);
   fleet.at(3).onServed(kPopular);
@@ -343,7 +341,7 @@
   fleet.partitioned = {2};
   for (int count = 0; count < 3; ++count) fleet.crash(0, {kCrashing});
   fleet.time.advance(seconds(1));
-  // Gossip repairs what the node has missed.
+  // Gossip delivers what the node has missed.
   BOOST_TEST(fleet.refusingNodes(kCrashing) == 3U);
 }
 
@@ -355,7 +353,7 @@
   QuarantineFleet restarted(3);
   restarted.table.put("own", keyOf(kCrashing),
                       fleet.table.ownRows(std::string{kQuarantineKeyPrefix}).front().value);
-  // The service's clock went on; a third node starts later and reads the row.
+  // The service's clock has advanced; a node that starts later reads the row.
   restarted.time.advance(seconds(60));
   for (std::size_t node = 0; node < 3; ++node) restarted.at(node).start();
   restarted.time.advance(seconds(1));
@@ -398,14 +396,14 @@
   fleet.crash(0, {kCrashing});
   fleet.time.advance(minutes(1));
   BOOST_TEST(fleet.refusingNodes(kCrashing) == 3U);
-  // The row is that of the new verdict: a node that starts now does not take it for a lapsed one.
+  // The row is the one of the new verdict: a node that starts now does not treat it as expired.
   const auto row = fleet.table.ownRows(std::string{kQuarantineKeyPrefix}).front();
   BOOST_TEST(
       (fleet.table.serviceTime() - decodeQuarantineEntry(row.value)->decidedAt < minutes(2)));
 }
 
-// The table service comes back from a copy without the rows: where all nodes start again before one
-// of them has looked, the request would end three replicas more.
+// The table service is restored from a backup without the rows: if all nodes restarted before one
+// of them compared its verdicts, the request would crash three more replicas.
 BOOST_AUTO_TEST_CASE(RowsLostByTheTableServiceAreRewritten) {
   QuarantineFleet fleet(3);
   const auto copy = fleet.table.copy();
@@ -424,7 +422,8 @@
   BOOST_TEST(fleet.refusingNodes(kCrashing) == 3U);
 }
 
-// Told to all nodes, each crash of a zone would cost 299 messages a run, three times over.
+// If all nodes were informed, each crash of a zone would cost 299 messages per request, three times
+// over.
 BOOST_AUTO_TEST_CASE(CrashesOfManyReplicasCostFewMessagesInALargeFleet) {
   QuarantineFleet fleet(300);
   fleet.time.advance(minutes(5));
@@ -439,7 +438,7 @@
   }
   fleet.time.advance(seconds(5));
   BOOST_TEST_MESSAGE(fleet.messages << " messages");
-  // Two homes, three times.
+  // Two home nodes, three times.
   BOOST_TEST(fleet.messages <= kReplicas * kRuns * 6);
   BOOST_TEST(fleet.log.count(base::Event::kRequestQuarantined) == 0U);
 }
@@ -452,11 +451,12 @@
   fleet.time.advance(seconds(2));
   BOOST_TEST(fleet.rows() == 1U);
   BOOST_TEST_MESSAGE(fleet.messages << " messages");
-  // Two homes each tell all of two more crashes and of the verdict, three times each.
+  // Two home nodes each inform all nodes of two more crashes and of the verdict, three times each.
   BOOST_TEST(fleet.messages <= std::size_t{2} * 3 * 3 * 299 + 18);
 }
 
-// A request that many send is at hundreds of crashes at once, and at most nodes was served lately.
+// A popular request is present at hundreds of simultaneous crashes, and was recently served by most
+// nodes.
 BOOST_AUTO_TEST_CASE(PopularRequestAtManyCrashesCostsBoundedMessages) {
   QuarantineFleet fleet(300);
   for (std::size_t node = 0; node < 300; ++node) fleet.at(node).onServed(kPopular);
