--- a/src/quarantine/quarantine_rows.cc
+++ b/src/quarantine/quarantine_rows.cc
@@ -7,10 +7,10 @@
 
 namespace {
 
-/// Rows read at once: more than are quarantined within the lifetime of an entry.
-constexpr std::size_t kMostRows = 4096;
-constexpr base::Duration kFirstPause = std::chrono::milliseconds(100);
-constexpr base::Duration kLongestPause = std::chrono::seconds(5);
+/// Maximum number of rows read at once: more than are quarantined within the lifetime of an entry.
+constexpr std::size_t kMaximumRows = 4096;
+constexpr base::Duration kInitialRetryDelay = std::chrono::milliseconds(100);
+constexpr base::Duration kMaximumRetryDelay = std::chrono::seconds(5);
 constexpr double kJitter = 0.5;
 constexpr int kWriteAttempts = 10;
 
@@ -18,35 +18,35 @@
 
 struct QuarantineRows::Write {
   QuarantineEntry entry;
-  /// Revision of the row that is replaced; 0: none.
+  /// Revision of the row that is replaced; 0 if there is none.
   base::Revision expected = 0;
   int attempts = 0;
 };
 
-base::Duration QuarantineRows::pause(int attempts) {
-  auto pause = kFirstPause;
-  for (int attempt = 1; attempt < attempts && pause < kLongestPause; ++attempt) pause *= 2;
-  return random_.jittered(std::min(pause, kLongestPause), kJitter);
+base::Duration QuarantineRows::retryDelay(int attempts) {
+  auto delay = kInitialRetryDelay;
+  for (int attempt = 1; attempt < attempts && delay < kMaximumRetryDelay; ++attempt) delay *= 2;
+  return random_.jittered(std::min(delay, kMaximumRetryDelay), kJitter);
 }
 
 void QuarantineRows::load(Loaded loaded) {
-  table_.scan(std::string{kQuarantineRowsPrefix}, 0, kMostRows,
+  table_.scan(std::string{kQuarantineRowsPrefix}, 0, kMaximumRows,
               [this, loaded = std::move(loaded),
                alive = std::weak_ptr(lifetime_)](const clients::TableReply& reply) {
                 if (alive.expired()) return;
                 if (reply.status != clients::TableStatus::kOk) {
-                  timers_.schedule(pause(++loads_), [this, loaded, alive] {
+                  timers_.schedule(retryDelay(++loadAttempts_), [this, loaded, alive] {
                     if (!alive.expired()) load(loaded);
                   });
                   return;
                 }
-                loads_ = 0;
-                loaded(evidenceIn(reply));
+                loadAttempts_ = 0;
+                loaded(decodeRows(reply));
               });
 }
 
-KeptEvidence QuarantineRows::evidenceIn(const clients::TableReply& reply) {
-  KeptEvidence evidence;
+StoredEvidence QuarantineRows::decodeRows(const clients::TableReply& reply) {
+  StoredEvidence evidence;
   for (const auto& row : reply.rows) {
     const auto message = decodeQuarantineMessage(row.value);
     if (message && std::holds_alternative<QuarantineEntry>(*message)) {
@@ -55,7 +55,7 @@
       evidence.suspects.push_back(std::get<RequestSuspected>(*message));
     } else {
       log_.write(base::Event::kMessageRejected,
-                 {{"what", "quarantine row"}, {"row", row.key}, {"why", "it is malformed"}});
+                 {{"what", "quarantine row"}, {"row", row.key}, {"why", "malformed"}});
     }
   }
   return evidence;
@@ -68,8 +68,9 @@
 void QuarantineRows::step(const std::shared_ptr<Write>& write) {
   const auto key = keyOf(write->entry.request);
   if (++write->attempts > kWriteAttempts) {
-    log_.write(base::Event::kPlatformUnavailable,
-               {{"what", "quarantine row"}, {"row", key}, {"why", "it could not be written"}});
+    log_.write(
+        base::Event::kPlatformUnavailable,
+        {{"what", "quarantine row"}, {"row", key}, {"why", "not written after the last attempt"}});
     return;
   }
   clients::TableTransaction transaction;
@@ -89,11 +90,11 @@
                                const clients::TableReply& reply) {
   if (reply.status == clients::TableStatus::kOk) return;
   if (reply.status == clients::TableStatus::kConflict) {
-    const auto kept = evidenceIn(reply).entries;
-    if (!kept.empty() && kept.front().version() >= write->entry.version()) return;
+    const auto stored = decodeRows(reply).entries;
+    if (!stored.empty() && stored.front().version() >= write->entry.version()) return;
     write->expected = reply.rows.empty() ? 0 : reply.rows.front().revision;
   }
-  timers_.schedule(pause(write->attempts), [this, write, alive = std::weak_ptr(lifetime_)] {
+  timers_.schedule(retryDelay(write->attempts), [this, write, alive = std::weak_ptr(lifetime_)] {
     if (!alive.expired()) step(write);
   });
 }
@@ -102,7 +103,7 @@
   write(suspected.request, encode(suspected));
 }
 
-void QuarantineRows::forgetSuspect(base::RequestFingerprint request) {
+void QuarantineRows::removeSuspect(base::RequestFingerprint request) {
   write(request, std::nullopt);
 }
 
@@ -117,8 +118,9 @@
   auto& write = suspectWrites_.at(suspect);
   const auto key = suspectKeyOf(suspect);
   if (++write.attempts > kWriteAttempts) {
-    log_.write(base::Event::kPlatformUnavailable,
-               {{"what", "row of a suspect"}, {"row", key}, {"why", "it could not be written"}});
+    log_.write(
+        base::Event::kPlatformUnavailable,
+        {{"what", "suspect row"}, {"row", key}, {"why", "not written after the last attempt"}});
     suspectWrites_.erase(suspect);
     return;
   }
@@ -142,7 +144,7 @@
     }
     return;
   }
-  timers_.schedule(pause(write.attempts), [this, suspect, alive = std::weak_ptr(lifetime_)] {
+  timers_.schedule(retryDelay(write.attempts), [this, suspect, alive = std::weak_ptr(lifetime_)] {
     if (!alive.expired()) step(suspect);
   });
 }
--- a/tests/admission/quota_fleet.h
+++ b/tests/admission/quota_fleet.h
@@ -1,6 +1,6 @@
 /// \file
-/// Many nodes' tenant quotas on one virtual clock, with a network that can be cut, nodes that
-/// restart, and a history of what was granted.
+/// Tenant quotas of many nodes on one virtual clock, with network partitions, restarts of nodes,
+/// and a history of what was granted.
 #pragma once
 
 #include <algorithm>
@@ -17,23 +17,23 @@
 
 class QuotaFleet {
  public:
-  /// One request that was granted.
+  /// A granted request.
   struct Granted {
     base::TimePoint at;
     std::uint32_t tokens = 0;
   };
-  struct Answer {
-    bool answered = false;
+  struct AcquireResult {
+    bool decided = false;
     QuotaVerdict verdict;
     base::TimePoint at;
 
-    bool granted() const { return answered && verdict.outcome == QuotaOutcome::kGranted; }
+    bool granted() const { return decided && verdict.outcome == QuotaOutcome::kGranted; }
   };
-  using AnswerPtr = std::shared_ptr<Answer>;
+  using AcquireResultPtr = std::shared_ptr<AcquireResult>;
 
   static constexpr base::Duration kDelay = std::chrono::milliseconds(1);
 
-  QuotaFleet(std::size_t count, QuotaOptions options) : options_(options), known_(count) {
+  QuotaFleet(std::size_t count, QuotaOptions options) : options_(options), knownNodes_(count) {
     for (std::size_t index = 0; index < count; ++index) {
       membership::Member member;
       member.name = "node-" + std::to_string(index);
@@ -52,19 +52,19 @@
   const std::vector<Granted>& history() const { return history_; }
   std::size_t messages() const { return messages_; }
 
-  AnswerPtr acquire(std::size_t node, const QuotaDemand& demand) {
-    auto answer = std::make_shared<Answer>();
-    if (!nodes_[node]->up) return answer;
+  AcquireResultPtr acquire(std::size_t node, const QuotaDemand& demand) {
+    auto result = std::make_shared<AcquireResult>();
+    if (!nodes_[node]->up) return result;
     auto& quotas = *nodes_[node]->quotas;
     quotas.acquire(quotas.newWaitId(), demand,
-                   [this, answer, tokens = demand.tokens](const QuotaVerdict& verdict) {
-                     *answer = {true, verdict, time_.now()};
-                     if (answer->granted()) history_.push_back({time_.now(), tokens});
+                   [this, result, tokens = demand.tokens](const QuotaVerdict& verdict) {
+                     *result = {true, verdict, time_.now()};
+                     if (result->granted()) history_.push_back({time_.now(), tokens});
                    });
-    return answer;
+    return result;
   }
 
-  /// Nodes of different groups do not reach each other. Views follow with `refreshViews`.
+  /// Nodes of different groups do not reach each other. Call `refreshViews` to update the views.
   void setGroup(std::size_t node, std::size_t group) { nodes_[node]->group = group; }
   void kill(std::size_t node) {
     nodes_[node]->up = false;
@@ -75,9 +75,9 @@
     ++nodes_[node]->member.incarnation;
     nodes_[node]->start();
   }
-  /// A frozen node neither answers nor asks; what was sent to it is lost.
+  /// A frozen node neither sends nor receives; messages to it are lost.
   void freeze(std::size_t node, bool frozen) { nodes_[node]->frozen = frozen; }
-  /// Each node sees those that are up in its own group.
+  /// Each node sees the running nodes of its own group.
   void refreshViews() {
     for (auto& node : nodes_) {
       std::vector<membership::Member> seen;
@@ -87,11 +87,11 @@
       node->directory.set(node->member, std::move(seen));
     }
   }
-  /// Each node sees itself alone, as right after its start.
-  void seeNobody() {
+  /// Each node sees only itself, as immediately after its start.
+  void isolateViews() {
     for (auto& node : nodes_) node->directory.set(node->member, {node->member});
   }
-  void setKnown(std::size_t count) { known_ = count; }
+  void setKnownNodes(std::size_t count) { knownNodes_ = count; }
   std::size_t homeOf(base::TenantId tenant) const {
     const auto& home = tenantHome(tenant, nodes_.front()->directory);
     for (const auto& node : nodes_) {
@@ -100,8 +100,8 @@
     return 0;
   }
 
-  /// The most that was granted within any span of this length.
-  double worstWindow(base::Duration span) const {
+  /// Maximum number of tokens granted within any period of this length.
+  double maximumInWindow(base::Duration span) const {
     double worst = 0;
     double sum = 0;
     std::size_t first = 0;
@@ -121,7 +121,7 @@
     void start() {
       quotas = std::make_unique<TenantQuotas>(
           fleet.options_, QuotaEnvironment{fleet.time_, fleet.time_, random, directory, *this,
-                                           [this] { return fleet.known_; }});
+                                           [this] { return fleet.knownNodes_; }});
     }
     void send(const base::Endpoint& destination, base::Channel /*channel*/,
               std::string payload) override {
@@ -159,7 +159,7 @@
   FakeTime time_;
   std::vector<std::unique_ptr<Node>> nodes_;
   std::vector<Granted> history_;
-  std::size_t known_;
+  std::size_t knownNodes_;
   std::size_t messages_ = 0;
 };
 
--- a/tests/quarantine/crash_evidence_test.cc
+++ b/tests/quarantine/crash_evidence_test.cc
@@ -1,4 +1,4 @@
-// Which request makes replicas crash, among those that ran beside it.
+// Identification of the request that crashes replicas among those that run at the same time.
 #include "quarantine/crash_evidence.h"
 
 #include <boost/test/unit_test.hpp>
@@ -14,7 +14,7 @@
 namespace {
 
 struct EvidenceFixture {
-  /// A replica that was not reported before ends under the runs.
+  /// Reports a crash of a new replica that was running the requests.
   void crash(const std::vector<std::uint64_t>& runs) { report(++replicas, runs); }
   void report(std::uint64_t replica, const std::vector<std::uint64_t>& runs) {
     Fingerprints fingerprints;
@@ -49,7 +49,7 @@
   BOOST_TEST(culprit() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(NodesReportTheRunsOfOneCrashApart) {
+BOOST_AUTO_TEST_CASE(NodesReportTheirRequestsOfOneCrashSeparately) {
   for (const std::uint64_t replica : {1U, 2U, 3U}) {
     report(replica, {100 + replica});
     report(replica, {1});
@@ -57,7 +57,7 @@
   BOOST_TEST(culprit() == 1U);
 }
 
-// Requests that two nodes send at once and that both fail come again together.
+// Requests that two nodes send together and that both fail are also retried together.
 BOOST_AUTO_TEST_CASE(SuspectsAtTheSameCrashesWaitForTheNextOne) {
   for (int count = 0; count < 3; ++count) crash({1, 2});
   BOOST_TEST(culprit() == 0U);
@@ -68,7 +68,7 @@
   BOOST_TEST(evidence.crashesAgainst({2}).empty());
 }
 
-BOOST_AUTO_TEST_CASE(SuspectsThatStayTogetherAreBothHeldForTheCulprit) {
+BOOST_AUTO_TEST_CASE(InseparableSuspectsAreBothTreatedAsCulprits) {
   for (int count = 0; count < 5; ++count) crash({1, 2});
   BOOST_TEST(culprit() == 1U);
 }
@@ -78,7 +78,7 @@
   evidence.onServed({1}, now);
   BOOST_TEST(culprit() == 0U);
   BOOST_TEST(evidence.crashesAgainst({1}).empty());
-  // A node that reports late, or again, does not bring it back.
+  // A late or repeated report does not restore the evidence.
   report(2, {1});
   BOOST_TEST(culprit() == 0U);
   now += seconds(1);
@@ -86,14 +86,14 @@
   BOOST_TEST(culprit() == 1U);
 }
 
-// A popular request is at every crash, and hides the culprit unless it counts as served.
+// A popular request is present at every crash, and hides the culprit unless it counts as served.
 BOOST_AUTO_TEST_CASE(ServedRequestDoesNotHideTheCulprit) {
   for (int count = 0; count < 3; ++count) crash({1, 9});
   evidence.onServed({9}, now);
   BOOST_TEST(culprit() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(CrashesOfAKnownCulpritCountAgainstNobodyElse) {
+BOOST_AUTO_TEST_CASE(CrashesOfAKnownCulpritCountAgainstNoOtherRequest) {
   for (int count = 0; count < 3; ++count) crash({1, 10});
   crash({1});
   evidence.onQuarantined({1}, now + minutes(60));
@@ -112,7 +112,7 @@
   BOOST_TEST(culprit() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(CrashesLongAgoCountNoMore) {
+BOOST_AUTO_TEST_CASE(OldCrashesNoLongerCount) {
   crash({1});
   crash({1});
   now += minutes(11);
@@ -129,8 +129,8 @@
   BOOST_TEST(evidence.crashesAgainst({5000}).empty());
 }
 
-// Waves of crashes among many requests, some of which come again after a crash: the culprit is
-// found, and nobody else.
+// Waves of crashes among many requests, some of which are retried after a crash: the culprit is
+// identified, and no other request.
 BOOST_AUTO_TEST_CASE(OnlyTheCulpritIsFoundInRandomWaves) {
   constexpr std::uint64_t kCulprit = 1;
   constexpr std::uint64_t kSeeds = 500;
@@ -138,19 +138,19 @@
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     base::SeededRandom random(seed);
     CrashEvidence wave;
-    Fingerprints comingAgain;
+    Fingerprints retried;
     std::uint64_t fresh = 1000;
     bool found = false;
     for (std::uint64_t replica = 1; replica <= 8 && !found; ++replica) {
       Fingerprints runs{{kCulprit}};
-      // What broke off is tried again once, and lands on one of twelve replicas.
-      for (const auto run : comingAgain) {
+      // Interrupted requests are retried once, each at one of twelve replicas.
+      for (const auto run : retried) {
         if (random.below(12) == 0) runs.push_back(run);
       }
-      comingAgain.clear();
-      const auto beside = 3 + random.below(20);
-      for (std::uint64_t count = 0; count < beside; ++count) runs.push_back({++fresh});
-      comingAgain.assign(runs.begin() + 1, runs.end());
+      retried.clear();
+      const auto concurrent = 3 + random.below(20);
+      for (std::uint64_t count = 0; count < concurrent; ++count) runs.push_back({++fresh});
+      retried.assign(runs.begin() + 1, runs.end());
       wave.onReplicaCrash({replica}, runs, base::TimePoint{seconds(replica)});
       while (const auto culprit = wave.findCulprit(base::TimePoint{seconds(replica)})) {
         wave.onQuarantined(culprit->request, base::TimePoint{seconds(1000)});
