--- a/src/request/attempt_rules.h
+++ b/src/request/attempt_rules.h
@@ -16,13 +16,13 @@
   /// Running the request twice does no harm.
   bool repeatable = true;
   /// Part of the answer has reached the caller, so that another attempt is a resume.
-  bool answerStarted = false;
+  bool responseStarted = false;
   /// The template lets a broken stream go on from another engine.
   bool resumeAllowed = true;
 };
 
 /// True where the promises allow another attempt; budgets are counted elsewhere.
-bool mayTryAgain(const AttemptFailure& attempt);
+bool mayRetry(const AttemptFailure& attempt);
 
 /// Delay before attempt number `attempt` (2 for the first retry): doubles each time, with jitter.
 base::Duration retryDelay(std::uint32_t attempt, base::RandomSource& random);
--- a/src/request/claim.cc
+++ b/src/request/claim.cc
@@ -29,7 +29,7 @@
   return fmt::format("{:016x}{:016x} {}", firstNonce, secondNonce, request.value);
 }
 
-std::string_view requestOfClaim(std::string_view value) {
+std::string_view requestIdOfClaim(std::string_view value) {
   return value.substr(std::min(value.size(), value.find(' ') + 1));
 }
 
--- a/src/request/claim.h
+++ b/src/request/claim.h
@@ -40,7 +40,7 @@
 using ClaimCallback = std::function<void(ClaimResult)>;
 
 /// A claim to be made.
-struct ClaimOrder {
+struct ClaimSpec {
   /// Key of the row (claimRowKey).
   std::string key;
   /// Value of the row, unique to this claim: it shows who created the row.
@@ -57,6 +57,6 @@
 std::string claimRowValue(std::uint64_t firstNonce, std::uint64_t secondNonce,
                           const base::RequestId& request);
 /// The request that a claim's value names.
-std::string_view requestOfClaim(std::string_view value);
+std::string_view requestIdOfClaim(std::string_view value);
 
 }  // namespace covewing::request
--- a/src/request/claim_committer.cc
+++ b/src/request/claim_committer.cc
@@ -14,8 +14,8 @@
 
 namespace {
 
-constexpr double kPauseJitter = 0.5;
-constexpr std::uint32_t kMostDoublings = 6;
+constexpr double kBackOffJitter = 0.5;
+constexpr std::uint32_t kMaximumDoublings = 6;
 
 const TableRow* findRow(const std::vector<TableRow>& rows, const std::string& key) {
   const auto found = std::ranges::find(rows, key, &TableRow::key);
@@ -34,7 +34,7 @@
   /// The time limit passed before the claim was settled.
   bool abandoned = false;
   /// Read-backs since it was abandoned.
-  std::uint32_t abandonedRounds = 0;
+  std::uint32_t readBacksSinceAbandoned = 0;
 };
 
 ClaimCommitter::ClaimCommitter(clients::TableClient& table, base::Clock& clock,
@@ -45,20 +45,20 @@
       timers_(timers),
       random_(random),
       options_(options),
-      pace_(options.transactionsPerSecond, options.transactionBurst, clock.now()),
-      pause_(timers) {}
+      rateLimit_(options.transactionsPerSecond, options.transactionBurst, clock.now()),
+      backOffTimer_(timers) {}
 
 ClaimCommitter::~ClaimCommitter() = default;
 
-void ClaimCommitter::claim(ClaimOrder order, base::Duration limit, ClaimCallback callback) {
+void ClaimCommitter::claim(ClaimSpec spec, base::Duration limit, ClaimCallback callback) {
   ++counters_.claims;
   const auto pending = std::make_shared<Pending>();
-  pending->key = std::move(order.key);
-  pending->value = std::move(order.value);
-  pending->uncertain = order.uncertain;
+  pending->key = std::move(spec.key);
+  pending->value = std::move(spec.value);
+  pending->uncertain = spec.uncertain;
   pending->callback = std::move(callback);
   const std::weak_ptr<Pending> weak = pending;
-  pending->limitTimer = afterPause(limit, [this, weak] {
+  pending->limitTimer = scheduleGuarded(limit, [this, weak] {
     if (const PendingPtr locked = weak.lock()) onTimeLimit(locked);
   });
   waiting_.push_back(pending);
@@ -66,8 +66,8 @@
 }
 
 void ClaimCommitter::sendWaiting() {
-  while (!pause_.running() && transactions_ < options_.maximumTransactions) {
-    if (waiting_.empty() || !takePace()) return;
+  while (!backOffTimer_.running() && transactions_ < options_.maximumTransactions) {
+    if (waiting_.empty() || !takeRateToken()) return;
     Batch batch = takeBatch();
     if (batch.empty()) return;
     const auto firstAbandoned = std::stable_partition(
@@ -80,33 +80,33 @@
   }
 }
 
-void ClaimCommitter::answer(const PendingPtr& pending, ClaimResult result) {
+void ClaimCommitter::resolve(const PendingPtr& pending, ClaimResult result) {
   timers_.cancel(pending->limitTimer);
-  const ClaimCallback answered = std::exchange(pending->callback, nullptr);
-  if (answered != nullptr) answered(std::move(result));
+  const ClaimCallback callback = std::exchange(pending->callback, nullptr);
+  if (callback != nullptr) callback(std::move(result));
 }
 
-bool ClaimCommitter::takePace() {
+bool ClaimCommitter::takeRateToken() {
   if (options_.transactionsPerSecond <= 0) return true;
-  const base::Duration wait = pace_.take(clock_.now());
+  const base::Duration wait = rateLimit_.take(clock_.now());
   if (wait == base::Duration::zero()) return true;
-  pause_.start(wait, [this] { sendWaiting(); });
+  backOffTimer_.start(wait, [this] { sendWaiting(); });
   return false;
 }
 
 ClaimCommitter::Batch ClaimCommitter::takeBatch() {
   Batch batch;
-  std::deque<PendingPtr> left;
+  std::deque<PendingPtr> remaining;
   for (PendingPtr& pending : waiting_) {
     if (pending->abandoned && !pending->uncertain) continue;
     const bool full = batch.size() >= options_.maximumBatch;
     if (full || !keysInFlight_.insert(pending->key).second) {
-      left.push_back(std::move(pending));
+      remaining.push_back(std::move(pending));
     } else {
       batch.push_back(std::move(pending));
     }
   }
-  waiting_ = std::move(left);
+  waiting_ = std::move(remaining);
   return batch;
 }
 
@@ -129,16 +129,16 @@
 void ClaimCommitter::onCommitted(const Batch& batch, const TableReply& reply) {
   switch (reply.status) {
     case TableStatus::kOk:
-      refusalsInARow_ = 0;
+      consecutiveRejections_ = 0;
       for (const PendingPtr& pending : batch) settleOwned(pending, reply.revision);
       return;
     case TableStatus::kConflict:
-      refusalsInARow_ = 0;
+      consecutiveRejections_ = 0;
       onConflict(batch, reply.rows);
       return;
     case TableStatus::kRateLimited:
     case TableStatus::kUnavailable:
-      waitAgain(batch, true);
+      requeue(batch, true);
       return;
     case TableStatus::kUnknown:
       for (const PendingPtr& pending : batch) pending->uncertain = true;
@@ -150,8 +150,8 @@
 void ClaimCommitter::onConflict(const Batch& batch, const std::vector<TableRow>& rows) {
   const Batch others = settleFromRows(batch, rows);
   // Without a settled claim the conflict is unexplained: pause instead of asking again at once.
-  const bool noProgress = others.size() == batch.size();
-  waitAgain(others, noProgress);
+  const bool unexplained = others.size() == batch.size();
+  requeue(others, unexplained);
 }
 
 void ClaimCommitter::readBack(Batch batch) {
@@ -169,22 +169,22 @@
 
 void ClaimCommitter::onReadBack(const Batch& batch, const TableReply& reply) {
   if (reply.status == TableStatus::kOk) {
-    refusalsInARow_ = 0;
-    waitAgain(settleFromRows(batch, reply.rows), false);
+    consecutiveRejections_ = 0;
+    requeue(settleFromRows(batch, reply.rows), false);
     return;
   }
-  Batch left;
+  Batch remaining;
   for (const PendingPtr& pending : batch) {
-    const bool given =
-        pending->abandoned && ++pending->abandonedRounds > options_.maximumReleaseAttempts;
-    if (given) {
-      forget(pending);
+    const bool exhausted =
+        pending->abandoned && ++pending->readBacksSinceAbandoned > options_.maximumReleaseAttempts;
+    if (exhausted) {
+      unlockKey(pending);
     } else {
-      left.push_back(pending);
+      remaining.push_back(pending);
     }
   }
-  if (left.empty()) return;
-  afterPause(nextPause(), [this, left = std::move(left)] { readBack(left); });
+  if (remaining.empty()) return;
+  scheduleGuarded(nextBackOff(), [this, remaining = std::move(remaining)] { readBack(remaining); });
 }
 
 ClaimCommitter::Batch ClaimCommitter::settleFromRows(const Batch& batch,
@@ -204,45 +204,45 @@
 }
 
 void ClaimCommitter::settleOwned(const PendingPtr& pending, base::Revision revision) {
-  forget(pending);
+  unlockKey(pending);
   Claim claim{pending->key, revision};
   if (pending->abandoned) {
     if (options_.releaseAbandoned) release(std::move(claim));
     return;
   }
-  answer(pending, {ClaimStatus::kOwned, std::move(claim), {}});
+  resolve(pending, {ClaimStatus::kOwned, std::move(claim), {}});
 }
 
 void ClaimCommitter::settleDuplicate(const PendingPtr& pending, const TableRow& row) {
-  forget(pending);
+  unlockKey(pending);
   if (pending->abandoned) return;
   ++counters_.duplicates;
   base::Reason reason{base::ResultCode::kDuplicateRequest,
-                      fmt::format("claimed before by request {}", requestOfClaim(row.value))};
-  answer(pending, {ClaimStatus::kDuplicate, {}, std::move(reason)});
+                      fmt::format("claimed before by request {}", requestIdOfClaim(row.value))};
+  resolve(pending, {ClaimStatus::kDuplicate, {}, std::move(reason)});
 }
 
 void ClaimCommitter::onTimeLimit(const PendingPtr& pending) {
   ++counters_.unavailable;
   pending->abandoned = true;
-  answer(pending, {ClaimStatus::kUnavailable,
-                   {},
-                   {base::ResultCode::kClaimUnavailable, "the table service did not answer"}});
+  resolve(pending, {ClaimStatus::kUnavailable,
+                    {},
+                    {base::ResultCode::kClaimUnavailable, "the table service did not answer"}});
 }
 
-void ClaimCommitter::waitAgain(const Batch& batch, bool pause) {
+void ClaimCommitter::requeue(const Batch& batch, bool backOff) {
   if (batch.empty()) return;
   for (const PendingPtr& pending : batch) {
-    forget(pending);
+    unlockKey(pending);
     // An abandoned claim is not written again. A lost commit of it may still land later: that row
     // only keeps its key refused until the claim's retention ends.
     if (!pending->abandoned) waiting_.push_back(pending);
   }
-  if (!pause || pause_.running()) return;
-  pause_.start(nextPause(), [this] { sendWaiting(); });
+  if (!backOff || backOffTimer_.running()) return;
+  backOffTimer_.start(nextBackOff(), [this] { sendWaiting(); });
 }
 
-void ClaimCommitter::forget(const PendingPtr& pending) { keysInFlight_.erase(pending->key); }
+void ClaimCommitter::unlockKey(const PendingPtr& pending) { keysInFlight_.erase(pending->key); }
 
 void ClaimCommitter::release(Claim claim) { sendRelease(std::move(claim), 1); }
 
@@ -262,15 +262,16 @@
 }
 
 void ClaimCommitter::releaseLater(Claim claim, std::uint32_t attempt) {
-  const base::Duration delay = options_.shortestPause * (1U << std::min(attempt, kMostDoublings));
-  afterPause(random_.jittered(delay, kPauseJitter),
-             [this, claim = std::move(claim), attempt] { sendRelease(claim, attempt); });
+  const base::Duration delay =
+      options_.minimumBackOff * (1U << std::min(attempt, kMaximumDoublings));
+  scheduleGuarded(random_.jittered(delay, kBackOffJitter),
+                  [this, claim = std::move(claim), attempt] { sendRelease(claim, attempt); });
 }
 
-base::Duration ClaimCommitter::nextPause() {
-  const std::uint32_t doublings = std::min(refusalsInARow_++, kMostDoublings);
-  const base::Duration pause = options_.shortestPause * (1U << doublings);
-  return random_.jittered(std::min(pause, options_.longestPause), kPauseJitter);
+base::Duration ClaimCommitter::nextBackOff() {
+  const std::uint32_t doublings = std::min(consecutiveRejections_++, kMaximumDoublings);
+  const base::Duration backOff = options_.minimumBackOff * (1U << doublings);
+  return random_.jittered(std::min(backOff, options_.maximumBackOff), kBackOffJitter);
 }
 
 clients::TableCallback ClaimCommitter::guarded(std::function<void(const TableReply&)> callback) {
@@ -280,7 +281,8 @@
   };
 }
 
-base::TimerId ClaimCommitter::afterPause(base::Duration delay, std::function<void()> callback) {
+base::TimerId ClaimCommitter::scheduleGuarded(base::Duration delay,
+                                              std::function<void()> callback) {
   const std::weak_ptr<bool> alive = alive_;
   return timers_.schedule(delay, [alive, callback = std::move(callback)] {
     if (!alive.expired()) callback();
--- a/src/request/claim_committer.h
+++ b/src/request/claim_committer.h
@@ -44,8 +44,8 @@
   /// request may do so.
   bool releaseAbandoned = true;
   /// Shortest pause after a refusal by the service; doubles up to the longest.
-  base::Duration shortestPause = std::chrono::milliseconds(20);
-  base::Duration longestPause = std::chrono::seconds(1);
+  base::Duration minimumBackOff = std::chrono::milliseconds(20);
+  base::Duration maximumBackOff = std::chrono::seconds(1);
   /// Attempts to release one claim, or to find out whether an abandoned one took effect.
   std::uint32_t maximumReleaseAttempts = 8;
 };
@@ -70,7 +70,7 @@
 
   /// Makes the claim. Calls back exactly once, later, within `limit`; after kDuplicate and
   /// kUnavailable the request must not be dispatched.
-  void claim(ClaimOrder order, base::Duration limit, ClaimCallback callback);
+  void claim(ClaimSpec spec, base::Duration limit, ClaimCallback callback);
 
   /// Gives the claim up, so that the key can be claimed again. Only for a request that provably did
   /// not run, and that will not be dispatched again under this claim.
@@ -85,7 +85,7 @@
 
   void sendWaiting();
   /// False, with a timer set, when the pace allows no transaction now.
-  bool takePace();
+  bool takeRateToken();
   Batch takeBatch();
   void commit(Batch batch);
   void onCommitted(const Batch& batch, const clients::TableReply& reply);
@@ -94,18 +94,18 @@
   void onReadBack(const Batch& batch, const clients::TableReply& reply);
   /// Settles each claim whose row is there; returns the others.
   Batch settleFromRows(const Batch& batch, const std::vector<clients::TableRow>& rows);
-  void answer(const PendingPtr& pending, ClaimResult result);
+  void resolve(const PendingPtr& pending, ClaimResult result);
   void settleOwned(const PendingPtr& pending, base::Revision revision);
   void settleDuplicate(const PendingPtr& pending, const clients::TableRow& row);
   void onTimeLimit(const PendingPtr& pending);
-  void waitAgain(const Batch& batch, bool pause);
-  void forget(const PendingPtr& pending);
+  void requeue(const Batch& batch, bool backOff);
+  void unlockKey(const PendingPtr& pending);
   void releaseLater(Claim claim, std::uint32_t attempt);
   void sendRelease(Claim claim, std::uint32_t attempt);
-  base::Duration nextPause();
+  base::Duration nextBackOff();
   /// Runs `callback` with a later reply, unless this store is gone by then.
   clients::TableCallback guarded(std::function<void(const clients::TableReply&)> callback);
-  base::TimerId afterPause(base::Duration delay, std::function<void()> callback);
+  base::TimerId scheduleGuarded(base::Duration delay, std::function<void()> callback);
 
   clients::TableClient& table_;
   base::Clock& clock_;
@@ -117,9 +117,9 @@
   /// Keys of the claims in a transaction: a second claim of the same key waits for the first.
   std::set<std::string> keysInFlight_;
   std::size_t transactions_ = 0;
-  std::uint32_t refusalsInARow_ = 0;
-  TokenBucket pace_;
-  OneShotTimer pause_;
+  std::uint32_t consecutiveRejections_ = 0;
+  TokenBucket rateLimit_;
+  OneShotTimer backOffTimer_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/request/claim_expiry.cc
+++ b/src/request/claim_expiry.cc
@@ -73,14 +73,14 @@
   if (!epochSeen_ || epochs.current != seenEpoch_) {
     epochSeen_ = true;
     seenEpoch_ = epochs.current;
-    seenAt_ = now;
-  } else if (now - seenAt_ >= options_.epochLength && cleans(0)) {
+    epochFirstSeenAt_ = now;
+  } else if (now - epochFirstSeenAt_ >= options_.epochLength && ownsShard(0)) {
     startEpoch(epochs);
     return;
   }
   const base::Revision upTo = epochs.expiredUpTo(options_.retainedEpochs);
   const std::optional<std::uint32_t> shard = nextShard();
-  if (upTo > 0 && shard.has_value()) clean(*shard, upTo);
+  if (upTo > 0 && shard.has_value()) cleanShard(*shard, upTo);
 }
 
 void ClaimExpiry::startEpoch(const ClaimEpochs& epochs) {
@@ -99,14 +99,14 @@
 std::optional<std::uint32_t> ClaimExpiry::nextShard() {
   for (std::uint32_t step = 1; step <= kClaimShards; ++step) {
     const std::uint32_t shard = (lastShard_ + step) % kClaimShards;
-    if (!cleans(shard)) continue;
+    if (!ownsShard(shard)) continue;
     lastShard_ = shard;
     return shard;
   }
   return std::nullopt;
 }
 
-bool ClaimExpiry::cleans(std::uint32_t shard) const {
+bool ClaimExpiry::ownsShard(std::uint32_t shard) const {
   const std::uint64_t own = base::mixHash(environment_.members.self().id.value, shard);
   return std::ranges::all_of(environment_.members.liveMembers(),
                              [own, shard](const membership::Member& member) {
@@ -114,7 +114,7 @@
                              });
 }
 
-void ClaimExpiry::clean(std::uint32_t shard, base::Revision upTo) {
+void ClaimExpiry::cleanShard(std::uint32_t shard, base::Revision upTo) {
   environment_.table.scan(
       claimShardPrefix(shard), 0, options_.rowsPerRemoval,
       guarded([this, shard, upTo](const TableReply& reply) { onScanned(shard, upTo, reply); }));
@@ -135,7 +135,7 @@
                             guarded([this, shard, upTo, count, more](const TableReply& removal) {
                               if (removal.status != TableStatus::kOk) return;
                               removed_ += count;
-                              if (more) clean(shard, upTo);
+                              if (more) cleanShard(shard, upTo);
                             }));
 }
 
--- a/src/request/claim_expiry.h
+++ b/src/request/claim_expiry.h
@@ -72,8 +72,8 @@
   void startEpoch(const ClaimEpochs& epochs);
   /// The next of the shards that this node cleans; empty when it cleans none.
   std::optional<std::uint32_t> nextShard();
-  bool cleans(std::uint32_t shard) const;
-  void clean(std::uint32_t shard, base::Revision upTo);
+  bool ownsShard(std::uint32_t shard) const;
+  void cleanShard(std::uint32_t shard, base::Revision upTo);
   void onScanned(std::uint32_t shard, base::Revision upTo, const clients::TableReply& reply);
   clients::TableCallback guarded(std::function<void(const clients::TableReply&)> callback);
 
@@ -83,7 +83,7 @@
   /// The current epoch and when this node first saw it.
   base::Revision seenEpoch_ = 0;
   bool epochSeen_ = false;
-  base::TimePoint seenAt_;
+  base::TimePoint epochFirstSeenAt_;
   std::uint32_t lastShard_ = 0;
   std::uint64_t removed_ = 0;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
--- a/src/request/claim_messages.cc
+++ b/src/request/claim_messages.cc
@@ -6,59 +6,60 @@
 
 namespace {
 
-enum class MessageType : std::uint8_t { kAsk = 1, kAnswer = 2 };
-constexpr std::uint32_t kAskFields = 5;
-constexpr std::uint32_t kAnswerFields = 5;
-constexpr std::size_t kLongestKey = 128;
-constexpr std::size_t kLongestValue = 256;
+enum class MessageType : std::uint8_t { kRequest = 1, kReply = 2 };
+constexpr std::uint32_t kRequestFields = 5;
+constexpr std::uint32_t kReplyFields = 5;
+constexpr std::size_t kMaximumKeyBytes = 128;
+constexpr std::size_t kMaximumValueBytes = 256;
 
-std::string encode(const ClaimAsk& ask) {
+std::string encode(const ClaimRequest& request) {
   base::Writer writer;
-  writer.array(kAskFields)
-      .unsignedInteger(static_cast<std::uint64_t>(MessageType::kAsk))
-      .unsignedInteger(ask.number)
-      .text(ask.key)
-      .text(ask.value)
-      .unsignedInteger(static_cast<std::uint64_t>(ask.limit.count()));
+  writer.array(kRequestFields)
+      .unsignedInteger(static_cast<std::uint64_t>(MessageType::kRequest))
+      .unsignedInteger(request.number)
+      .text(request.key)
+      .text(request.value)
+      .unsignedInteger(static_cast<std::uint64_t>(request.limit.count()));
   return writer.take();
 }
 
-std::string encode(const ClaimAnswer& answer) {
+std::string encode(const ClaimReply& reply) {
   base::Writer writer;
-  writer.array(kAnswerFields)
-      .unsignedInteger(static_cast<std::uint64_t>(MessageType::kAnswer))
-      .unsignedInteger(answer.number)
-      .unsignedInteger(static_cast<std::uint64_t>(answer.status))
-      .unsignedInteger(answer.revision)
-      .text(answer.detail);
+  writer.array(kReplyFields)
+      .unsignedInteger(static_cast<std::uint64_t>(MessageType::kReply))
+      .unsignedInteger(reply.number)
+      .unsignedInteger(static_cast<std::uint64_t>(reply.status))
+      .unsignedInteger(reply.revision)
+      .text(reply.detail);
   return writer.take();
 }
 
-std::optional<ClaimMessage> decodeAsk(base::Reader& reader) {
-  ClaimAsk ask;
-  ask.number = reader.unsignedInteger();
-  ask.key = reader.text();
-  ask.value = reader.text();
-  ask.limit = base::Duration{static_cast<base::Duration::rep>(reader.unsignedInteger())};
+std::optional<ClaimMessage> decodeRequest(base::Reader& reader) {
+  ClaimRequest request;
+  request.number = reader.unsignedInteger();
+  request.key = reader.text();
+  request.value = reader.text();
+  request.limit = base::Duration{static_cast<base::Duration::rep>(reader.unsignedInteger())};
   reader.endArray();
-  const bool wellFormed = ask.key.starts_with(kClaimKeyPrefix) && ask.key.size() <= kLongestKey &&
-                          ask.value.size() <= kLongestValue && ask.limit >= base::Duration::zero();
+  const bool wellFormed =
+      request.key.starts_with(kClaimKeyPrefix) && request.key.size() <= kMaximumKeyBytes &&
+      request.value.size() <= kMaximumValueBytes && request.limit >= base::Duration::zero();
   if (!reader.ok() || !wellFormed) return std::nullopt;
-  return ask;
+  return request;
 }
 
-std::optional<ClaimMessage> decodeAnswer(base::Reader& reader) {
-  ClaimAnswer answer;
-  answer.number = reader.unsignedInteger();
+std::optional<ClaimMessage> decodeReply(base::Reader& reader) {
+  ClaimReply reply;
+  reply.number = reader.unsignedInteger();
   const std::uint64_t status = reader.unsignedInteger();
-  answer.revision = reader.unsignedInteger();
-  answer.detail = reader.text();
+  reply.revision = reader.unsignedInteger();
+  reply.detail = reader.text();
   reader.endArray();
   if (!reader.ok() || status > static_cast<std::uint64_t>(ClaimStatus::kUnavailable)) {
     return std::nullopt;
   }
-  answer.status = static_cast<ClaimStatus>(status);
-  return answer;
+  reply.status = static_cast<ClaimStatus>(status);
+  return reply;
 }
 
 }  // namespace
@@ -71,8 +72,8 @@
   base::Reader reader(payload);
   reader.beginArray();
   const std::uint64_t type = reader.unsignedInteger();
-  if (type == static_cast<std::uint64_t>(MessageType::kAsk)) return decodeAsk(reader);
-  if (type == static_cast<std::uint64_t>(MessageType::kAnswer)) return decodeAnswer(reader);
+  if (type == static_cast<std::uint64_t>(MessageType::kRequest)) return decodeRequest(reader);
+  if (type == static_cast<std::uint64_t>(MessageType::kReply)) return decodeReply(reader);
   return std::nullopt;
 }
 
--- a/src/request/claim_messages.h
+++ b/src/request/claim_messages.h
@@ -14,7 +14,7 @@
 
 namespace covewing::request {
 
-struct ClaimAsk {
+struct ClaimRequest {
   /// Drawn at random by the asking node, so that it is unique over all of its runs.
   std::uint64_t number = 0;
   std::string key;
@@ -23,7 +23,7 @@
   base::Duration limit{};
 };
 
-struct ClaimAnswer {
+struct ClaimReply {
   std::uint64_t number = 0;
   ClaimStatus status = ClaimStatus::kUnavailable;
   /// Revision of the row, with kOwned.
@@ -32,7 +32,7 @@
   std::string detail;
 };
 
-using ClaimMessage = std::variant<ClaimAsk, ClaimAnswer>;
+using ClaimMessage = std::variant<ClaimRequest, ClaimReply>;
 
 std::string encodeClaimMessage(const ClaimMessage& message);
 /// Empty when the payload is malformed.
--- a/src/request/claim_store.cc
+++ b/src/request/claim_store.cc
@@ -12,11 +12,11 @@
 /// Any fixed number: ranks the members of a region as collectors.
 constexpr std::uint64_t kCollectorRankSeed = 0xc0113c70;
 /// A forwarded claim leaves this much of its limit for the way over the own committer.
-constexpr int kCollectorLimitShare = 2;
+constexpr int kCollectorLimitDivisor = 2;
 
 ClaimCommitOptions collectorOptionsOf(const ClaimOptions& options) {
   ClaimCommitOptions result;
-  result.transactionsPerSecond = options.transactionsPerSecondOfCollector;
+  result.transactionsPerSecond = options.collectorTransactionsPerSecond;
   result.transactionBurst = 2;
   result.maximumTransactions = 2;
   // The asking node may have found the row by itself and dispatched its request.
@@ -40,19 +40,19 @@
 void ClaimStore::claim(base::TenantId tenant, std::string_view idempotencyKey,
                        const base::RequestId& request, base::Duration limit,
                        ClaimCallback callback) {
-  ClaimOrder order;
-  order.key = claimRowKey(tenant, idempotencyKey);
+  ClaimSpec spec;
+  spec.key = claimRowKey(tenant, idempotencyKey);
   base::RandomSource& random = environment_.random;
   const std::uint64_t firstNonce = random.next();
-  order.value = claimRowValue(firstNonce, random.next(), request);
+  spec.value = claimRowValue(firstNonce, random.next(), request);
   if (!takeDirectShare()) {
-    if (const auto collector = collectorOf(order.key)) {
-      forward(*collector, std::move(order), limit, std::move(callback));
+    if (const auto collector = collectorOf(spec.key)) {
+      forward(*collector, std::move(spec), limit, std::move(callback));
       return;
     }
   }
   ++counters_.direct;
-  direct_.claim(std::move(order), limit, std::move(callback));
+  direct_.claim(std::move(spec), limit, std::move(callback));
 }
 
 bool ClaimStore::takeDirectShare() {
@@ -80,24 +80,24 @@
   return *std::ranges::max_element(ranked, {}, weight)->second;
 }
 
-void ClaimStore::forward(const membership::Member& collector, ClaimOrder order,
-                         base::Duration limit, ClaimCallback callback) {
+void ClaimStore::forward(const membership::Member& collector, ClaimSpec spec, base::Duration limit,
+                         ClaimCallback callback) {
   ++counters_.forwarded;
   const std::uint64_t number = environment_.random.next();
-  const base::Duration wait = std::min(options_.collectorTimeout, limit / kCollectorLimitShare);
-  const ClaimAsk ask{number, order.key, order.value, wait};
+  const base::Duration wait = std::min(options_.collectorTimeout, limit / kCollectorLimitDivisor);
+  const ClaimRequest request{number, spec.key, spec.value, wait};
   auto forwarded = std::make_unique<Forwarded>(environment_.timers);
-  forwarded->order = std::move(order);
-  forwarded->givenUpAt = environment_.clock.now() + limit;
+  forwarded->spec = std::move(spec);
+  forwarded->deadline = environment_.clock.now() + limit;
   forwarded->callback = std::move(callback);
   forwarded->timeout.start(wait, [this, number] { fallBack(number); });
   forwarded_.emplace(number, std::move(forwarded));
   if (collector.id == environment_.members.self().id) {
     const membership::Member& self = environment_.members.self();
-    handle({self.id, self.incarnation, self.endpoint}, ask);
+    handle({self.id, self.incarnation, self.endpoint}, request);
     return;
   }
-  environment_.peers.send(collector.endpoint, base::Channel::kRequest, encodeClaimMessage(ask));
+  environment_.peers.send(collector.endpoint, base::Channel::kRequest, encodeClaimMessage(request));
 }
 
 void ClaimStore::fallBack(std::uint64_t number) {
@@ -106,9 +106,9 @@
   const std::unique_ptr<Forwarded> forwarded = std::move(found->second);
   forwarded_.erase(found);
   ++counters_.fallbacks;
-  const base::Duration left = forwarded->givenUpAt - environment_.clock.now();
-  forwarded->order.uncertain = true;
-  direct_.claim(std::move(forwarded->order), std::max(left, base::Duration::zero()),
+  const base::Duration remaining = forwarded->deadline - environment_.clock.now();
+  forwarded->spec.uncertain = true;
+  direct_.claim(std::move(forwarded->spec), std::max(remaining, base::Duration::zero()),
                 std::move(forwarded->callback));
 }
 
@@ -121,37 +121,36 @@
   std::visit([this, &sender](const auto& typed) { handle(sender, typed); }, *message);
 }
 
-void ClaimStore::handle(const base::PeerIdentity& sender, const ClaimAsk& ask) {
+void ClaimStore::handle(const base::PeerIdentity& sender, const ClaimRequest& request) {
   const base::Endpoint endpoint = sender.endpoint;
   const bool own = sender.node == environment_.members.self().id;
-  collector_.claim({ask.key, ask.value, false}, ask.limit,
-                   [this, sender, own, endpoint, number = ask.number](const ClaimResult& result) {
-                     const ClaimAnswer answer{number, result.status, result.claim.revision,
-                                              result.reason.detail};
-                     if (own) {
-                       handle(sender, answer);
-                     } else {
-                       environment_.peers.send(endpoint, base::Channel::kRequest,
-                                               encodeClaimMessage(answer));
-                     }
-                   });
+  collector_.claim(
+      {request.key, request.value, false}, request.limit,
+      [this, sender, own, endpoint, number = request.number](const ClaimResult& result) {
+        const ClaimReply reply{number, result.status, result.claim.revision, result.reason.detail};
+        if (own) {
+          handle(sender, reply);
+        } else {
+          environment_.peers.send(endpoint, base::Channel::kRequest, encodeClaimMessage(reply));
+        }
+      });
 }
 
-void ClaimStore::handle(const base::PeerIdentity& /*sender*/, const ClaimAnswer& answer) {
-  const auto found = forwarded_.find(answer.number);
+void ClaimStore::handle(const base::PeerIdentity& /*sender*/, const ClaimReply& reply) {
+  const auto found = forwarded_.find(reply.number);
   if (found == forwarded_.end()) return;
-  if (answer.status == ClaimStatus::kUnavailable) {
-    fallBack(answer.number);
+  if (reply.status == ClaimStatus::kUnavailable) {
+    fallBack(reply.number);
     return;
   }
   const std::unique_ptr<Forwarded> forwarded = std::move(found->second);
   forwarded_.erase(found);
   ClaimResult result;
-  result.status = answer.status;
-  if (answer.status == ClaimStatus::kOwned) {
-    result.claim = {forwarded->order.key, answer.revision};
+  result.status = reply.status;
+  if (reply.status == ClaimStatus::kOwned) {
+    result.claim = {forwarded->spec.key, reply.revision};
   } else {
-    result.reason = {base::ResultCode::kDuplicateRequest, answer.detail};
+    result.reason = {base::ResultCode::kDuplicateRequest, reply.detail};
   }
   forwarded->callback(std::move(result));
 }
--- a/src/request/claim_store.h
+++ b/src/request/claim_store.h
@@ -31,7 +31,7 @@
   /// Claims that a node commits at once before its share counts.
   double directBurst = 2;
   std::size_t collectorsPerRegion = 8;
-  double transactionsPerSecondOfCollector = 4;
+  double collectorTransactionsPerSecond = 4;
   /// Longest wait for a collector's answer.
   base::Duration collectorTimeout = std::chrono::milliseconds(600);
 };
@@ -80,8 +80,8 @@
   /// A claim sent to a collector.
   struct Forwarded {
     explicit Forwarded(base::TimerService& timers) : timeout(timers) {}
-    ClaimOrder order;
-    base::TimePoint givenUpAt;
+    ClaimSpec spec;
+    base::TimePoint deadline;
     ClaimCallback callback;
     OneShotTimer timeout;
   };
@@ -89,11 +89,11 @@
   bool takeDirectShare();
   /// The collector of a key; empty when this node is alone.
   std::optional<membership::Member> collectorOf(std::string_view key) const;
-  void forward(const membership::Member& collector, ClaimOrder order, base::Duration limit,
+  void forward(const membership::Member& collector, ClaimSpec spec, base::Duration limit,
                ClaimCallback callback);
   void fallBack(std::uint64_t number);
-  void handle(const base::PeerIdentity& sender, const ClaimAsk& ask);
-  void handle(const base::PeerIdentity& sender, const ClaimAnswer& answer);
+  void handle(const base::PeerIdentity& sender, const ClaimRequest& request);
+  void handle(const base::PeerIdentity& sender, const ClaimReply& reply);
 
   ClaimOptions options_;
   ClaimEnvironment environment_;
--- a/src/request/completion_flow.cc
+++ b/src/request/completion_flow.cc
@@ -15,9 +15,9 @@
 
 namespace {
 /// Pause between two looks for an engine while none qualifies.
-constexpr Duration kEngineWait = std::chrono::milliseconds(50);
+constexpr Duration kEngineRetryInterval = std::chrono::milliseconds(50);
 /// Decisions kept in the record of one request.
-constexpr std::size_t kMaximumDecisions = 8;
+constexpr std::size_t kMaximumTracedDecisions = 8;
 }  // namespace
 
 /// One stream from one engine. Once detached it hears nothing more and only awaits destruction.
@@ -28,16 +28,16 @@
       : engine(engineId), incarnation(engineIncarnation), startedAt(now), flow_(&flow) {}
 
   void onAccepted() override {
-    if (const auto flow = open()) flow->onAccepted();
+    if (const auto flow = lockFlow()) flow->onAccepted();
   }
   void onChunk(clients::StreamChunk chunk) override {
-    if (const auto flow = open()) flow->onChunk(chunk);
+    if (const auto flow = lockFlow()) flow->onChunk(chunk);
   }
   void onEnd(clients::StreamEnd end) override {
-    if (const auto flow = open()) flow->onEnd(end);
+    if (const auto flow = lockFlow()) flow->onEnd(end);
   }
   void onError(DispatchError error) override {
-    if (const auto flow = open()) flow->onError(std::move(error));
+    if (const auto flow = lockFlow()) flow->onError(std::move(error));
   }
 
   void detach() { flow_ = nullptr; }
@@ -49,7 +49,7 @@
   /// The engine took the request.
   bool accepted = false;
   /// The engine sent some of the answer, be it wanted or not.
-  bool answering = false;
+  bool responding = false;
   /// Known once it ended whole.
   std::uint32_t promptTokens = 0;
   std::uint32_t cachedTokens = 0;
@@ -57,7 +57,7 @@
 
  private:
   /// The flow, kept alive during the call; null once detached.
-  std::shared_ptr<CompletionFlow> open() {
+  std::shared_ptr<CompletionFlow> lockFlow() {
     if (flow_ == nullptr) return nullptr;
     return std::static_pointer_cast<CompletionFlow>(flow_->shared_from_this());
   }
@@ -72,7 +72,7 @@
     : RequestFlow(dependencies, options, deferred, std::move(trace)),
       request_(std::move(request)),
       sink_(sink),
-      silenceTimer_(dependencies.timers),
+      receiveTimer_(dependencies.timers),
       engineCheckTimer_(dependencies.timers),
       engineWaitTimer_(dependencies.timers) {}
 
@@ -83,11 +83,11 @@
                                    dependencies().zones};
   std::optional<CompletionPlan> plan = checkCompletion(sources, request_, reason);
   if (!plan.has_value()) return nullptr;
-  adopt(std::move(*plan));
+  applyPlan(std::move(*plan));
   return plan_.tenant;
 }
 
-void CompletionFlow::adopt(CompletionPlan plan) {
+void CompletionFlow::applyPlan(CompletionPlan plan) {
   const bool sameIdentity = chain_ != nullptr && plan.identity == plan_.identity;
   plan_ = std::move(plan);
   if (sameIdentity) return;
@@ -96,7 +96,7 @@
 }
 
 void CompletionFlow::startAttempt() {
-  waitedForEngine_ = Duration::zero();
+  engineWait_ = Duration::zero();
   route();
 }
 
@@ -107,18 +107,19 @@
   query.chain = chain_;
   query.promptTokens = promptTokens();
   query.priority = plan_.priority;
-  query.deadline = answerStarted() ? options().interChunkTimeout : timeLeft();
+  query.deadline = responseStarted() ? options().interChunkTimeout : timeLeft();
   query.excluded = excluded_;
   return query;
 }
 
 void CompletionFlow::route() {
   routing::RouteQuery query = routeQuery();
-  const routing::RouteQuery asked = query;
+  const routing::RouteQuery queryCopy = query;
   dependencies().policy.choose(
       std::move(query),
-      whileOpen<routing::RouteDecision>(
-          [this, asked](const routing::RouteDecision& decision) { onRouted(asked, decision); }));
+      whileOpen<routing::RouteDecision>([this, queryCopy](const routing::RouteDecision& decision) {
+        onRouted(queryCopy, decision);
+      }));
 }
 
 void CompletionFlow::onRouted(const routing::RouteQuery& query,
@@ -138,19 +139,19 @@
 }
 
 void CompletionFlow::onNoEngine(const Reason& reason) {
-  const bool again = forgetTriedBackEnds();
-  const Duration limit = answerStarted() ? options().interChunkTimeout : tenant().holdTime;
-  if (!again && waitedForEngine_ >= limit) {
+  const bool retryNow = reconsiderFailedBackEnds();
+  const Duration limit = responseStarted() ? options().interChunkTimeout : tenant().holdTime;
+  if (!retryNow && engineWait_ >= limit) {
     Reason final = reason;
     if (final.code == ResultCode::kOk) final.code = ResultCode::kNoBackEnd;
     refuse(std::move(final));
     return;
   }
-  waitedForEngine_ += kEngineWait;
-  engineWaitTimer_.start(again ? Duration::zero() : kEngineWait, [this] {
+  engineWait_ += kEngineRetryInterval;
+  engineWaitTimer_.start(retryNow ? Duration::zero() : kEngineRetryInterval, [this] {
     const auto self = shared_from_this();
     // The version in force may have become known, or the tenant retired, during the wait.
-    if (checkAgain()) route();
+    if (recheck()) route();
   });
 }
 
@@ -163,7 +164,7 @@
   attempt_ = std::make_shared<Attempt>(*this, address.id, decision.incarnation,
                                        dependencies().clock.now());
   dependencies().policy.onDispatched(query, decision);
-  limitSilence();
+  restartReceiveTimeout();
   attempt_->stream = dependencies().engines.start(address, engineRequest(decision), *attempt_);
   checkEngine();
   if (paused_) setPaused(true);
@@ -187,13 +188,13 @@
 
 void CompletionFlow::onAccepted() {
   attempt_->accepted = true;
-  limitSilence();
+  restartReceiveTimeout();
 }
 
 void CompletionFlow::onChunk(const clients::StreamChunk& chunk) {
   setMayHaveRun();
   attempt_->accepted = true;
-  attempt_->answering = true;
+  attempt_->responding = true;
   switch (positions_.accept(chunk.position)) {
     case ChunkVerdict::kNext:
       deliverChunk(chunk);
@@ -216,7 +217,7 @@
     attemptTrace.firstTokenAfter = elapsed();
   }
   generated_ += chunk.text;
-  limitSilence();
+  restartReceiveTimeout();
   sink_.onChunk(chunk);
 }
 
@@ -237,34 +238,35 @@
 
 void CompletionFlow::onError(DispatchError error) {
   // An engine that sent part of the answer did run, whatever it says.
-  if (attempt_->answering) error.failure = DispatchFailure::kOutcomeUnknown;
+  if (attempt_->responding) error.failure = DispatchFailure::kOutcomeUnknown;
   failAttempt(std::move(error));
 }
 
 void CompletionFlow::failAttempt(DispatchError error) {
   excluded_.push_back(attempt_->engine);
   stopAttempt();
-  if (answerStarted()) error.reason.code = ResultCode::kStreamBroken;
+  if (responseStarted()) error.reason.code = ResultCode::kStreamBroken;
   onAttemptFailed(error);
 }
 
-void CompletionFlow::limitSilence() {
-  silenceTimer_.stop();
+void CompletionFlow::restartReceiveTimeout() {
+  receiveTimer_.stop();
   // A caller that takes nothing keeps the engine from sending.
   if (paused_ || attempt_ == nullptr) return;
   if (!attempt_->accepted) {
-    limitSilence(options().acceptTimeout,
-                 {ResultCode::kBackEndLost, "the engine did not take the request"});
-  } else if (answerStarted()) {
-    limitSilence(options().interChunkTimeout,
-                 {ResultCode::kBackEndTimeout, "the engine's next token did not come in time"});
+    restartReceiveTimeout(options().acceptTimeout,
+                          {ResultCode::kBackEndLost, "the engine did not take the request"});
+  } else if (responseStarted()) {
+    restartReceiveTimeout(
+        options().interChunkTimeout,
+        {ResultCode::kBackEndTimeout, "the engine's next token did not come in time"});
   }
 }
 
-void CompletionFlow::limitSilence(Duration limit, Reason silence) {
-  silenceTimer_.start(limit, [this, silence = std::move(silence)] {
+void CompletionFlow::restartReceiveTimeout(Duration limit, Reason timeoutReason) {
+  receiveTimer_.start(limit, [this, timeoutReason = std::move(timeoutReason)] {
     const auto self = shared_from_this();
-    failAttempt({DispatchFailure::kOutcomeUnknown, silence});
+    failAttempt({DispatchFailure::kOutcomeUnknown, timeoutReason});
   });
 }
 
@@ -288,7 +290,7 @@
 }
 
 void CompletionFlow::stopAttempt() {
-  silenceTimer_.stop();
+  receiveTimer_.stop();
   engineCheckTimer_.stop();
   engineWaitTimer_.stop();
   if (attempt_ == nullptr) return;
@@ -301,15 +303,15 @@
 }
 
 void CompletionFlow::setPaused(bool paused) {
-  if (over()) return;
+  if (ended()) return;
   paused_ = paused;
   if (attempt_ == nullptr || attempt_->stream == nullptr) return;
   attempt_->stream->setPaused(paused);
-  limitSilence();
+  restartReceiveTimeout();
 }
 
 void CompletionFlow::traceDecision(const routing::RouteDecision& decision) {
-  if (trace().decisions.size() >= kMaximumDecisions) return;
+  if (trace().decisions.size() >= kMaximumTracedDecisions) return;
   RoutingTrace routed;
   routed.decidedAfter = elapsed();
   routed.policy = dependencies().policy.name();
--- a/src/request/completion_flow.h
+++ b/src/request/completion_flow.h
@@ -33,12 +33,12 @@
   const std::string& idempotencyKey() const override { return request_.idempotencyKey; }
   bool notRepeatable() const override { return request_.notRepeatable; }
   bool repeatable() const override { return !request_.notRepeatable; }
-  bool answerStarted() const override { return positions_.next() > 0; }
+  bool responseStarted() const override { return positions_.next() > 0; }
 
  private:
   class Attempt;
 
-  void adopt(CompletionPlan plan);
+  void applyPlan(CompletionPlan plan);
   void route();
   routing::RouteQuery routeQuery() const;
   void onRouted(const routing::RouteQuery& query, const routing::RouteDecision& decision);
@@ -55,8 +55,8 @@
   void deliverChunk(const clients::StreamChunk& chunk);
   void failAttempt(clients::DispatchError error);
   /// Starts, anew, the limit that fits the state of the attempt in flight.
-  void limitSilence();
-  void limitSilence(base::Duration limit, base::Reason silence);
+  void restartReceiveTimeout();
+  void restartReceiveTimeout(base::Duration limit, base::Reason timeoutReason);
   /// Gives the attempt up as soon as its engine is known to be lost.
   void checkEngine();
   bool engineLost() const;
@@ -70,8 +70,8 @@
   std::string generated_;
   std::shared_ptr<Attempt> attempt_;
   bool paused_ = false;
-  base::Duration waitedForEngine_{};
-  OneShotTimer silenceTimer_;
+  base::Duration engineWait_{};
+  OneShotTimer receiveTimer_;
   OneShotTimer engineCheckTimer_;
   OneShotTimer engineWaitTimer_;
 };
--- a/src/request/event_splitter.cc
+++ b/src/request/event_splitter.cc
@@ -15,7 +15,7 @@
   return line;
 }
 
-std::string_view withoutEnd(std::string_view line) {
+std::string_view withoutLineEnd(std::string_view line) {
   line.remove_suffix(1);
   if (line.ends_with('\r')) line.remove_suffix(1);
   return line;
@@ -23,18 +23,18 @@
 
 }  // namespace
 
-std::size_t EventSplitter::wholeEvent(std::string_view text) {
+std::size_t EventSplitter::firstEventLength(std::string_view text) {
   std::size_t length = 0;
   for (auto line = takeLine(text); !line.empty(); line = takeLine(text)) {
     length += line.size();
-    if (withoutEnd(line).empty()) return length;
+    if (withoutLineEnd(line).empty()) return length;
   }
   return 0;
 }
 
-void EventSplitter::noteIdentifier(std::string_view event) {
+void EventSplitter::recordEventId(std::string_view event) {
   for (auto line = takeLine(event); !line.empty(); line = takeLine(event)) {
-    auto content = withoutEnd(line);
+    auto content = withoutLineEnd(line);
     if (!content.starts_with(kIdField)) continue;
     content.remove_prefix(kIdField.size());
     if (content.starts_with(' ')) content.remove_prefix(1);
@@ -45,18 +45,19 @@
 std::string EventSplitter::feed(std::string_view bytes) {
   if (failed_) return {};
   pending_ += bytes;
-  std::string whole;
+  std::string completeEvents;
   std::size_t consumed = 0;
-  const std::string_view all = pending_;
-  for (auto length = wholeEvent(all); length > 0; length = wholeEvent(all.substr(consumed))) {
-    const auto event = all.substr(consumed, length);
-    noteIdentifier(event);
-    whole += event;
+  const std::string_view input = pending_;
+  for (auto length = firstEventLength(input); length > 0;
+       length = firstEventLength(input.substr(consumed))) {
+    const auto event = input.substr(consumed, length);
+    recordEventId(event);
+    completeEvents += event;
     consumed += length;
   }
   pending_.erase(0, consumed);
-  failed_ = pending_.size() > kMaximumEvent;
-  return whole;
+  failed_ = pending_.size() > kMaximumEventBytes;
+  return completeEvents;
 }
 
 }  // namespace covewing::request
--- a/src/request/event_splitter.h
+++ b/src/request/event_splitter.h
@@ -12,13 +12,13 @@
 class EventSplitter {
  public:
   /// Largest event accepted, in bytes.
-  static constexpr std::size_t kMaximumEvent = 1U << 20U;
+  static constexpr std::size_t kMaximumEventBytes = 1U << 20U;
 
   /// Adds bytes and returns those that complete events; an unfinished event is kept back.
   std::string feed(std::string_view bytes);
   /// Drops an unfinished event: its stream broke.
-  void dropUnfinished() { pending_.clear(); }
-  bool hasUnfinished() const { return !pending_.empty(); }
+  void discardIncomplete() { pending_.clear(); }
+  bool hasIncomplete() const { return !pending_.empty(); }
   /// An event exceeded the limit; nothing more is split.
   bool failed() const { return failed_; }
   /// Identifier of the last whole event that had one; empty when there was none.
@@ -26,8 +26,8 @@
 
  private:
   /// Length of the first whole event in `text`, its empty line included; 0 when it is unfinished.
-  static std::size_t wholeEvent(std::string_view text);
-  void noteIdentifier(std::string_view event);
+  static std::size_t firstEventLength(std::string_view text);
+  void recordEventId(std::string_view event);
 
   std::string pending_;
   std::string lastEventId_;
--- a/src/request/proxied_flow.cc
+++ b/src/request/proxied_flow.cc
@@ -28,7 +28,7 @@
 
 void ProxiedFlow::startAttempt() {
   std::optional<clients::BackEndAddress> replica = chooseReplica();
-  if (!replica.has_value() && forgetTriedBackEnds()) replica = chooseReplica();
+  if (!replica.has_value() && reconsiderFailedBackEnds()) replica = chooseReplica();
   if (!replica.has_value()) {
     refuse({ResultCode::kNoBackEnd, "no live replica of application " + plan_.application});
     return;
--- a/src/request/relay_flow.cc
+++ b/src/request/relay_flow.cc
@@ -10,69 +10,69 @@
 
 namespace {
 
-base::RequestFingerprint fingerprintOf(const IncomingRequest& arrival,
+base::RequestFingerprint fingerprintOf(const IncomingRequest& incoming,
                                        const RelayAssignment& assignment) {
-  return request::fingerprintOf(*arrival.request, assignment.tenant == nullptr
-                                                      ? std::string_view{}
-                                                      : assignment.tenant->name);
+  return request::fingerprintOf(*incoming.request, assignment.tenant == nullptr
+                                                       ? std::string_view{}
+                                                       : assignment.tenant->name);
 }
 
 }  // namespace
 
 RelayFlow::RelayFlow(RelayDependencies dependencies, const RelayOptions& options,
-                     IncomingRequest arrival, RelayAssignment assignment,
-                     std::unique_ptr<ResponseWriter> caller, Hooks hooks)
+                     IncomingRequest incoming, RelayAssignment assignment,
+                     std::unique_ptr<ResponseWriter> writer, Hooks hooks)
     : dependencies_(dependencies),
       options_(options),
-      arrival_(std::move(arrival)),
+      incoming_(std::move(incoming)),
       assignment_(std::move(assignment)),
-      fingerprint_(fingerprintOf(arrival_, assignment_)),
-      caller_(std::move(caller)),
+      fingerprint_(fingerprintOf(incoming_, assignment_)),
+      writer_(std::move(writer)),
       hooks_(std::move(hooks)),
       allowance_(dependencies_.quotas, assignment_.demand) {}
 
 RelayFlow::~RelayFlow() {
   dependencies_.timers.cancel(deadlineTimer_);
   dependencies_.timers.cancel(holdTimer_);
-  dependencies_.timers.cancel(silenceTimer_);
-  dependencies_.timers.cancel(beginTimer_);
+  dependencies_.timers.cancel(receiveTimer_);
+  dependencies_.timers.cancel(startDeadlineTimer_);
   dependencies_.placement.cancel(placementTicket_);
   if (attempt_) endAttempt();
   allowance_.end(runs_);
 }
 
 void RelayFlow::start() {
-  if (!mayBeSent()) return;
+  if (!verifyDispatchAllowed()) return;
   const auto& route = *assignment_.route;
   const auto now = dependencies_.clock.now();
-  const auto limit = std::min(route.timeout, arrival_.deadline.value_or(route.timeout));
-  deadline_ = arrival_.arrivedAt + limit;
-  const auto patience = route.firstEventPatience;
-  const auto held = patience.count() == 0 ? limit : std::min(limit, patience);
-  holdUntil_ =
-      arrival_.arrivedAt + std::chrono::duration_cast<base::Duration>(held * options_.holdShare);
-  usefulUntil_ = arrival_.arrivedAt + held;
+  const auto limit = std::min(route.timeout, incoming_.deadline.value_or(route.timeout));
+  deadline_ = incoming_.arrivedAt + limit;
+  const auto firstEventWait = route.firstEventPatience;
+  const auto usableTime = firstEventWait.count() == 0 ? limit : std::min(limit, firstEventWait);
+  holdUntil_ = incoming_.arrivedAt +
+               std::chrono::duration_cast<base::Duration>(usableTime * options_.holdShare);
+  hardStartDeadline_ = incoming_.arrivedAt + usableTime;
   dependencies_.retries.onRequest(assignment_.service->name, now);
-  if (runsLong())
+  if (isLongRunning())
     dependencies_.requestDurations.onLongRun(assignment_.service->name, expectedOutputTokens(),
                                              now);
   deadlineTimer_ = dependencies_.timers.schedule(deadline_ - now, [this] { onDeadline(); });
-  caller_->onPressure([this](bool high) {
+  writer_->onPressure([this](bool high) {
     paused_ = high;
     if (attempt_) attempt_->watch.onReadingPaused();
     if (call_) call_->setPaused(high);
   });
-  allowance_.ask([weak = weak_from_this()](const admission::QuotaVerdict& verdict) {
+  allowance_.acquire([weak = weak_from_this()](const admission::QuotaVerdict& verdict) {
     const auto flow = weak.lock();
-    if (flow && !flow->over_) flow->onAllowance(verdict);
+    if (flow && !flow->ended_) flow->onAllowance(verdict);
   });
 }
 
 void RelayFlow::onAllowance(const admission::QuotaVerdict& verdict) {
   if (verdict.outcome == admission::QuotaOutcome::kGranted) {
     if (verdict.nearLimit) {
-      holdUntil_ = std::min(holdUntil_, dependencies_.clock.now() + options_.holdAtLimit);
-      usefulUntil_ = std::min(usefulUntil_, holdUntil_);
+      holdUntil_ = std::min(holdUntil_, dependencies_.clock.now() + options_.holdNearQuota);
+      hardStartDeadline_ = std::min(hardStartDeadline_, holdUntil_);
     }
     choose();
     return;
@@ -82,22 +82,22 @@
          describeRefusal(*assignment_.demand, verdict), verdict.retryAfter);
 }
 
-std::uint32_t RelayFlow::wantedTokens() const {
-  if (!arrival_.prompt) return 0;
-  return arrival_.prompt->promptTokens + arrival_.prompt->maximumOutputTokens;
+std::uint32_t RelayFlow::maximumTotalTokens() const {
+  if (!incoming_.prompt) return 0;
+  return incoming_.prompt->promptTokens + incoming_.prompt->maximumOutputTokens;
 }
 
 std::uint32_t RelayFlow::promptTokens() const {
-  return arrival_.prompt ? arrival_.prompt->promptTokens : 0;
+  return incoming_.prompt ? incoming_.prompt->promptTokens : 0;
 }
 
 std::uint32_t RelayFlow::expectedOutputTokens() const {
-  return arrival_.prompt ? arrival_.prompt->expectedOutputTokens() : 0;
+  return incoming_.prompt ? incoming_.prompt->expectedOutputTokens() : 0;
 }
 
-bool RelayFlow::runsLong() const {
+bool RelayFlow::isLongRunning() const {
   // Where much of the prompt is shared, what is cached counts for more.
-  if (!arrival_.prompt || arrival_.prompt->chain.sharedTokens() > expectedOutputTokens())
+  if (!incoming_.prompt || incoming_.prompt->chain.sharedTokens() > expectedOutputTokens())
     return false;
   return dependencies_.requestDurations.isLong(assignment_.service->name, expectedOutputTokens());
 }
@@ -106,14 +106,14 @@
   routing::ReplicaQuery query;
   query.service = assignment_.service->name;
   query.excluded = excluded_;
-  query.excluded.insert(query.excluded.end(), passedOver_.begin(), passedOver_.end());
+  query.excluded.insert(query.excluded.end(), skippedReplicas_.begin(), skippedReplicas_.end());
   if (assignment_.service->engine) query.engine = &*assignment_.service->engine;
-  if (!arrival_.prompt) return query;
-  query.model = arrival_.prompt->model;
-  query.chain = &arrival_.prompt->chain;
-  query.tokens = wantedTokens();
+  if (!incoming_.prompt) return query;
+  query.model = incoming_.prompt->model;
+  query.chain = &incoming_.prompt->chain;
+  query.tokens = maximumTotalTokens();
   query.acceptableWait = assignment_.route->targetLatency;
-  query.longRun = runsLong();
+  query.longRun = isLongRunning();
   if (query.longRun && query.engine != nullptr) {
     query.longRunReplicas = dependencies_.requestDurations.replicasForLongRuns(
         query.service, query.engine->slots, hooks_.nodes(), dependencies_.clock.now());
@@ -133,9 +133,9 @@
   return assignment_.tenant == nullptr ? std::string{} : assignment_.tenant->name;
 }
 
-std::optional<RelayRefusal> RelayFlow::obstacle() const {
+std::optional<RelayRefusal> RelayFlow::dispatchRefusal() const {
   auto refusal = quarantineRefusal();
-  if (!refusal) refusal = hooks_.check(arrival_);
+  if (!refusal) refusal = hooks_.check(incoming_);
   const bool promises = refusal && promisesNotRun(refusal->status);
   if (!promises || runs_ == 0) return refusal;
   // An attempt has run. Callers told otherwise may take a change for not made.
@@ -154,11 +154,11 @@
       false};
 }
 
-bool RelayFlow::mayBeSent() {
-  const auto refusal = obstacle();
+bool RelayFlow::verifyDispatchAllowed() {
+  const auto refusal = dispatchRefusal();
   if (!refusal) return true;
   if (headDelivered_) {
-    cut("the request may no longer be sent: " + refusal->reason.detail);
+    abortStream("the request may no longer be sent: " + refusal->reason.detail);
   } else {
     refuse(*refusal);
   }
@@ -166,27 +166,27 @@
 }
 
 void RelayFlow::choose() {
-  if (over_ || !mayBeSent()) return;
+  if (ended_ || !verifyDispatchAllowed()) return;
   const auto now = dependencies_.clock.now();
   auto decision = dependencies_.choice.choose(query(), hooks_.nodes(), now);
-  if (shouldLookUp(decision)) {
-    lookUp(decision.scope);
-  } else if (!decision.preferenceOrder.empty() && now >= askAgainAt_) {
-    askHomes(decision);
+  if (shouldLookUpHolders(decision)) {
+    lookUpHolders(decision.scope);
+  } else if (!decision.preferenceOrder.empty() && now >= nextPlacementAt_) {
+    requestPlacement(decision);
   } else {
-    decideAlone(std::move(decision));
+    decideLocally(std::move(decision));
   }
 }
 
-void RelayFlow::decideAlone(routing::ReplicaDecision decision) {
+void RelayFlow::decideLocally(routing::ReplicaDecision decision) {
   if (!decision.replica) {
-    if (decision.backOffEnds && passedOver_.empty() && !triedOneTakesRequests()) {
-      waitForRest(*decision.backOffEnds, decision.reason);
+    if (decision.backOffEnds && skippedReplicas_.empty() && !anyTriedReplicaAccepts()) {
+      waitForBackOff(*decision.backOffEnds, decision.reason);
       return;
     }
-    const bool passedOver = !passedOver_.empty();
-    passedOver_.clear();
-    hold(decision.reason, passedOver ? options_.askAgainAfter : options_.holdInterval);
+    const bool skipped = !skippedReplicas_.empty();
+    skippedReplicas_.clear();
+    hold(decision.reason, skipped ? options_.placementRetryInterval : options_.holdRetryInterval);
     return;
   }
   const auto candidate = dependencies_.choice.candidateOf(query(), decision.replica, promptTokens(),
@@ -208,7 +208,7 @@
   refuseUnplaced(why, options_.retryAfterNoReplica);
 }
 
-bool RelayFlow::triedOneTakesRequests() const {
+bool RelayFlow::anyTriedReplicaAccepts() const {
   const auto now = dependencies_.clock.now();
   return std::ranges::any_of(excluded_, [&](const auto& instance) {
     const auto record = dependencies_.replicas.find(instance);
@@ -216,7 +216,7 @@
   });
 }
 
-void RelayFlow::waitForRest(base::TimePoint end, std::string_view why) {
+void RelayFlow::waitForBackOff(base::TimePoint end, std::string_view why) {
   const auto left = end - dependencies_.clock.now();
   // A stream that has begun is not begun anew by its caller: it waits for as long as it may last.
   if (end > (headDelivered_ ? deadline_ : holdUntil_)) {
@@ -232,7 +232,7 @@
 
 void RelayFlow::refuseUnplaced(std::string_view why, base::Duration retryAfter) {
   if (headDelivered_) {
-    cut(why);
+    abortStream(why);
   } else if (runs_ > 0) {
     refuse(base::ResultCode::kBackEndLost, std::string{why}, {});
   } else {
--- a/src/request/relay_flow_answer.cc
+++ b/src/request/relay_flow_answer.cc
@@ -14,61 +14,62 @@
 constexpr unsigned kInternalError = 500;
 
 /// Bounds of the wait for an answer's first byte before a repeatable request goes elsewhere.
-constexpr base::Duration kLeastSilence = std::chrono::milliseconds(250);
+constexpr base::Duration kMinimumFirstByteTimeout = std::chrono::milliseconds(250);
 /// Least silence in the middle of a stream that counts as a broken one.
-constexpr base::Duration kLeastStreamSilence = std::chrono::milliseconds(1200);
+constexpr base::Duration kMinimumStreamTimeout = std::chrono::milliseconds(1200);
 
 bool successful(unsigned status) { return status >= kOk && status < kMultipleChoices; }
 
 }  // namespace
 
-void RelayFlow::armSilence() {
-  dependencies_.timers.cancel(silenceTimer_);
+void RelayFlow::armReceiveTimeout() {
+  dependencies_.timers.cancel(receiveTimer_);
   if (!assignment_.route->repeatable() || paused_) return;
   const auto& route = *assignment_.route;
-  auto wait = std::max(kLeastSilence, std::chrono::duration_cast<base::Duration>(
-                                          route.targetLatency * options_.silentAttemptShare));
-  wait += 2 * attempt_->work;
-  if (attempt_->headSeen) wait = std::max({wait, kLeastStreamSilence, 2 * route.gapTarget});
-  silenceTimer_ = dependencies_.timers.schedule(wait, [this] { onSilence(); });
+  auto wait =
+      std::max(kMinimumFirstByteTimeout, std::chrono::duration_cast<base::Duration>(
+                                             route.targetLatency * options_.receiveTimeoutShare));
+  wait += 2 * attempt_->expectedPrefillTime;
+  if (attempt_->headReceived) wait = std::max({wait, kMinimumStreamTimeout, 2 * route.gapTarget});
+  receiveTimer_ = dependencies_.timers.schedule(wait, [this] { onReceiveTimeout(); });
 }
 
-void RelayFlow::armBegin() {
-  dependencies_.timers.cancel(beginTimer_);
+void RelayFlow::armStartDeadline() {
+  dependencies_.timers.cancel(startDeadlineTimer_);
   const auto& before = attempt_->decision.startDeadline;
   if (!before) return;
   const auto left = std::max(*before - dependencies_.clock.now(), base::Duration::zero());
-  beginTimer_ = dependencies_.timers.schedule(left, [this] { onNotBegun(); });
+  startDeadlineTimer_ = dependencies_.timers.schedule(left, [this] { onStartDeadline(); });
 }
 
-bool RelayFlow::mayStillBegin() const {
-  if (over_ || !attempt_ || attempt_->bodySeen) return false;
-  return !attempt_->answer || !notRun(*attempt_->answer);
+bool RelayFlow::mayStillStart() const {
+  if (ended_ || !attempt_ || attempt_->bodyReceived) return false;
+  return !attempt_->response || !wasNotRun(*attempt_->response);
 }
 
 void RelayFlow::onWeightsChanged() {
-  if (!mayStillBegin() || !arrival_.prompt) return;
+  if (!mayStillStart() || !incoming_.prompt) return;
   const auto self = shared_from_this();
   // What was known at the dispatch may be too late by now, or nothing.
   auto& decision = attempt_->decision;
   decision.startDeadline =
-      dependencies_.choice.startDeadline(arrival_.prompt->model, decision.version);
+      dependencies_.choice.startDeadline(incoming_.prompt->model, decision.version);
   // Where it has passed, the timer fires next: answers that came meanwhile are read first, and no
   // request is taken up inside the call that changed the date.
-  armBegin();
+  armStartDeadline();
 }
 
-void RelayFlow::endWait() {
-  if (!attempt_ || attempt_->headSeen) return;
-  attempt_->headSeen = true;
+void RelayFlow::endResponseWait() {
+  if (!attempt_ || attempt_->headReceived) return;
+  attempt_->headReceived = true;
   auto& record = *attempt_->decision.replica;
-  record.removePendingPrefill(attempt_->unread);
-  record.health().onWaitEnded(dependencies_.clock.now(), attempt_->work);
+  record.removePendingPrefill(attempt_->prefillTokens);
+  record.health().onWaitEnded(dependencies_.clock.now(), attempt_->expectedPrefillTime);
 }
 
-void RelayFlow::endProbe(bool taken) {
-  if (!attempt_ || !std::exchange(attempt_->trial, false)) return;
-  attempt_->decision.replica->notices().endProbe(taken);
+void RelayFlow::endProbe(bool accepted) {
+  if (!attempt_ || !std::exchange(attempt_->isProbe, false)) return;
+  attempt_->decision.replica->notices().endProbe(accepted);
 }
 
 bool RelayFlow::stillWanted() const {
@@ -77,74 +78,77 @@
          withinRateLimit(record, attempt_->grant);
 }
 
-void RelayFlow::endGrant() {
+void RelayFlow::reportOutcome() {
   auto& placement = dependencies_.placement;
-  if (attempt_->neverSent) {
+  if (attempt_->notSent) {
     placement.returnGrant(attempt_->grant, attempt_->outcome);
     return;
   }
-  const auto said = attempt_->answer ? attempt_->answer->rateLimit : clients::RateLimitNotice{};
-  placement.reportEnded(attempt_->grant, attempt_->outcome, attempt_->watch.observed(), said);
+  const auto reportedLimit =
+      attempt_->response ? attempt_->response->rateLimit : clients::RateLimitNotice{};
+  placement.reportEnded(attempt_->grant, attempt_->outcome, attempt_->watch.observed(),
+                        reportedLimit);
 }
 
-void RelayFlow::onHead(clients::RelayedAnswer answer) {
-  endWait();
-  armSilence();
+void RelayFlow::onHead(clients::RelayedAnswer response) {
+  endResponseWait();
+  armReceiveTimeout();
   auto& record = *attempt_->decision.replica;
   record.health().onBytesReceived(dependencies_.clock.now());
-  if (arrival_.prompt && answer.version && !answer.otherInstance)
-    record.recordVersion(arrival_.prompt->model, *answer.version);
-  learnNotices(answer);
-  endProbe(!notRun(answer));
-  if (!notRun(answer)) {
+  if (incoming_.prompt && response.version && !response.otherInstance)
+    record.recordVersion(incoming_.prompt->model, *response.version);
+  recordNotices(response);
+  endProbe(!wasNotRun(response));
+  if (!wasNotRun(response)) {
     ++runs_;
-    dependencies_.placement.reportStarted(attempt_->grant, answer.rateLimit);
+    dependencies_.placement.reportStarted(attempt_->grant, response.rateLimit);
   }
-  if (!headDelivered_) kept_.clear();
-  attempt_->answer = std::move(answer);
+  if (!headDelivered_) bufferedBody_.clear();
+  attempt_->response = std::move(response);
 }
 
-void RelayFlow::learnNotices(const clients::RelayedAnswer& answer) {
+void RelayFlow::recordNotices(const clients::RelayedAnswer& response) {
   const auto now = dependencies_.clock.now();
   auto& record = *attempt_->decision.replica;
-  if (answer.leaving) {
+  if (response.leaving) {
     routing::recordLeaving(record, dependencies_.log,
-                           {"answer", answer.status, arrival_.request->id});
+                           {"answer", response.status, incoming_.request->id});
   }
-  routing::recordRateLimit(record, dependencies_.log, {answer.rateLimit, attempt_->sentAt, now},
-                           {"answer", answer.status, arrival_.request->id});
-  if (answer.status != kServiceUnavailable || (answer.rest.count() == 0 && !answer.restUnreadable))
+  routing::recordRateLimit(record, dependencies_.log, {response.rateLimit, attempt_->sentAt, now},
+                           {"answer", response.status, incoming_.request->id});
+  if (response.status != kServiceUnavailable ||
+      (response.rest.count() == 0 && !response.restUnreadable))
     return;
-  if (answer.rest > base::Duration::zero()) record.notices().startBackOff(now + answer.rest);
+  if (response.rest > base::Duration::zero()) record.notices().startBackOff(now + response.rest);
   dependencies_.log.write(
       base::Event::kReplicaRests,
       {{"replica", record.facts().instance},
-       {"request", arrival_.request->id},
-       {"rest_ms", millisecondsText(answer.rest)},
+       {"request", incoming_.request->id},
+       {"rest_ms", millisecondsText(response.rest)},
        {"rests_for_ms", millisecondsText(record.notices().backOffUntil() - now)},
-       {"why", answer.restUnreadable ? "a time that it asked for cannot be read" : ""}});
+       {"why", response.restUnreadable ? "a time that it asked for cannot be read" : ""}});
 }
 
 void RelayFlow::onBody(std::string_view bytes) {
   const auto now = dependencies_.clock.now();
   auto& attempt = *attempt_;
   attempt.decision.replica->health().onBytesReceived(now);
-  armSilence();
-  const auto& answer = *attempt.answer;
-  if (notRun(answer)) {
-    if (kept_.size() < options_.wholeAnswerBytes) kept_ += bytes;
+  armReceiveTimeout();
+  const auto& response = *attempt.response;
+  if (wasNotRun(response)) {
+    if (bufferedBody_.size() < options_.maximumBufferedBytes) bufferedBody_ += bytes;
     return;
   }
-  const bool stream = streaming() && successful(answer.status);
+  const bool stream = streaming() && successful(response.status);
   // A failure in answer to a resumed stream is no part of it.
   if (resumable() && headDelivered_ && !stream) return;
-  if (stream && !attempt.bodySeen) {
-    learnHolder();
-    attempt.decision.replica->prefillSpeed().learn(attempt.unread, now - attempt.sentAt);
+  if (stream && !attempt.bodyReceived) {
+    recordReplicaAsHolder();
+    attempt.decision.replica->prefillSpeed().learn(attempt.prefillTokens, now - attempt.sentAt);
     attempt.decision.replica->recordWait(now - attempt.sentAt);
   }
-  if (stream) attempt.watch.onPiece(now);
-  attempt.bodySeen = true;
+  if (stream) attempt.watch.onChunk(now);
+  attempt.bodyReceived = true;
   if (stream && resumable()) {
     const std::string whole = events_.feed(bytes);
     if (!whole.empty()) deliver(whole);
@@ -154,76 +158,78 @@
     deliver(bytes);
     return;
   }
-  kept_ += bytes;
-  if (kept_.size() > options_.wholeAnswerBytes) deliver(std::exchange(kept_, {}));
+  bufferedBody_ += bytes;
+  if (bufferedBody_.size() > options_.maximumBufferedBytes)
+    deliver(std::exchange(bufferedBody_, {}));
 }
 
-void RelayFlow::learnHolder() {
-  if (!arrival_.prompt || attempt_->decision.cacheSalt.empty()) return;
+void RelayFlow::recordReplicaAsHolder() {
+  if (!incoming_.prompt || attempt_->decision.cacheSalt.empty()) return;
   const auto& decision = attempt_->decision;
   dependencies_.holders.addChain(base::engineIdOf(decision.replica->facts().instance),
-                                 decision.scope, arrival_.prompt->chain);
-  tellHome(decision);
+                                 decision.scope, incoming_.prompt->chain);
+  publishHolder(decision);
 }
 
-void RelayFlow::beginAnswer(std::optional<std::uint64_t> length) {
+void RelayFlow::beginResponse(std::optional<std::uint64_t> length) {
   headDelivered_ = true;
-  status_ = attempt_->answer->status;
-  timeToFirstByte_ = dependencies_.clock.now() - arrival_.arrivedAt;
-  clients::RelayedAnswer head = *attempt_->answer;
+  status_ = attempt_->response->status;
+  timeToFirstByte_ = dependencies_.clock.now() - incoming_.arrivedAt;
+  clients::RelayedAnswer head = *attempt_->response;
   head.length = length;
-  caller_->begin(head);
+  writer_->begin(head);
 }
 
 void RelayFlow::deliver(std::string_view bytes) {
   // A resumed stream may have another length than its first attempt announced.
-  if (!headDelivered_) beginAnswer(resumable() ? std::nullopt : attempt_->answer->length);
-  caller_->write(bytes);
+  if (!headDelivered_) beginResponse(resumable() ? std::nullopt : attempt_->response->length);
+  writer_->write(bytes);
 }
 
 void RelayFlow::onEnd() {
   const auto self = shared_from_this();
   const auto now = dependencies_.clock.now();
   auto& record = *attempt_->decision.replica;
-  const auto answer = *attempt_->answer;
-  if (notRun(answer)) {
-    onNotRun(answer);
+  const auto response = *attempt_->response;
+  if (wasNotRun(response)) {
+    onNotRun(response);
     return;
   }
-  if (answer.status >= kInternalError) {
+  if (response.status >= kInternalError) {
     attempt_->outcome = routing::PlacementOutcome::kFailed;
     record.health().onFailure(now, dependencies_.replicas.failureRateOfOthers(record));
-    if (!headDelivered_ && takeRetry(Loss::kMayHaveRun).empty()) {
-      logLoss(RetryCause::kFailed, "the replica answered " + std::to_string(answer.status), {});
-      goElsewhere(RetryCause::kFailed);
+    if (!headDelivered_ && reserveRetry(FailureKind::kMayHaveRun).empty()) {
+      logAttemptFailure(RetryCause::kFailed,
+                        "the replica answered " + std::to_string(response.status), {});
+      startRetry(RetryCause::kFailed);
       return;
     }
   } else {
     attempt_->outcome = routing::PlacementOutcome::kServed;
     record.health().onSuccess(now);
   }
-  if (headDelivered_ && !successful(answer.status)) {
-    cut("a resumed stream was answered " + std::to_string(answer.status));
+  if (headDelivered_ && !successful(response.status)) {
+    abortStream("a resumed stream was answered " + std::to_string(response.status));
     return;
   }
-  if (events_.hasUnfinished()) {
+  if (events_.hasIncomplete()) {
     dependencies_.replicaEnds.onRequestInterrupted(attempt_->decision.replica, fingerprint_);
     onAttemptLost(RetryCause::kLost, "the stream ended inside an event");
     return;
   }
-  if (answer.status < kInternalError) dependencies_.quarantine.onServed(fingerprint_);
-  finishWhole();
+  if (response.status < kInternalError) dependencies_.quarantine.onServed(fingerprint_);
+  finishComplete();
 }
 
-void RelayFlow::finishWhole() {
+void RelayFlow::finishComplete() {
   if (!headDelivered_) {
-    const bool stream = streaming() && successful(attempt_->answer->status);
-    beginAnswer(stream ? std::nullopt : std::optional<std::uint64_t>{kept_.size()});
-    caller_->write(kept_);
+    const bool stream = streaming() && successful(attempt_->response->status);
+    beginResponse(stream ? std::nullopt : std::optional<std::uint64_t>{bufferedBody_.size()});
+    writer_->write(bufferedBody_);
   }
-  caller_->end();
-  if (arrival_.prompt && successful(status_)) {
-    const auto began = arrival_.arrivedAt + timeToFirstByte_;
+  writer_->end();
+  if (incoming_.prompt && successful(status_)) {
+    const auto began = incoming_.arrivedAt + timeToFirstByte_;
     dependencies_.requestDurations.onEnd(assignment_.service->name, expectedOutputTokens(),
                                          dependencies_.clock.now() - began);
   }
@@ -235,15 +241,17 @@
   const auto now = dependencies_.clock.now();
   auto& record = *attempt_->decision.replica;
   if (error.failure == clients::DispatchFailure::kNotSent) {
-    attempt_->neverSent = true;
+    attempt_->notSent = true;
     // What was not sent because the replica wants no more says nothing of its health.
     if (stillWanted()) {
       attempt_->outcome = routing::PlacementOutcome::kUnreachable;
       record.health().onUnreachable(now);
     }
-    if (retryElsewhere(RetryCause::kNeverArrived, error.reason.detail, Loss::kNeverArrived)) return;
+    if (retryOnAnotherReplica(RetryCause::kNeverArrived, error.reason.detail,
+                              FailureKind::kNeverArrived))
+      return;
     if (headDelivered_) {
-      cut(error.reason.detail);
+      abortStream(error.reason.detail);
     } else {
       refuse(base::ResultCode::kNoBackEnd, error.reason.detail, kRetryAfterRefusals);
     }
@@ -251,9 +259,9 @@
   }
   record.health().onFailure(now, dependencies_.replicas.failureRateOfOthers(record));
   attempt_->outcome = routing::PlacementOutcome::kFailed;
-  const bool refusedBefore = attempt_->answer && attempt_->answer->notExecuted;
+  const bool refusedBefore = attempt_->response && attempt_->response->notExecuted;
   if (refusedBefore) {
-    onNotRun(*attempt_->answer);
+    onNotRun(*attempt_->response);
     return;
   }
   dependencies_.replicaEnds.onRequestInterrupted(attempt_->decision.replica, fingerprint_);
--- a/src/request/relay_flow_dispatch.cc
+++ b/src/request/relay_flow_dispatch.cc
@@ -10,9 +10,9 @@
 namespace {
 
 /// The deepest shared part of the prompt, as a number that is equal on all nodes.
-std::string sharedPart(const IncomingRequest& arrival) {
-  if (!arrival.prompt) return {};
-  const auto part = arrival.prompt->chain.deepestShared();
+std::string sharedPart(const IncomingRequest& incoming) {
+  if (!incoming.prompt) return {};
+  const auto part = incoming.prompt->chain.deepestShared();
   return part ? std::to_string(*part) : std::string{};
 }
 
@@ -28,7 +28,7 @@
   terms.cacheSalt = decision.cacheSalt;
   if (decision.fetchFrom) terms.fetchFrom = decision.fetchFrom->endpoint;
   terms.saveTo = decision.saveTo;
-  terms.lastEventId = events_.lastEventId().empty() ? arrival_.lastEventId : events_.lastEventId();
+  terms.lastEventId = events_.lastEventId().empty() ? incoming_.lastEventId : events_.lastEventId();
   return terms;
 }
 
@@ -48,11 +48,11 @@
   }
   if (!withinRateLimit(*decision.replica, grant)) {
     dependencies_.placement.returnGrant(grant);
-    passedOver_.push_back(decision.replica->facts().instance);
+    skippedReplicas_.push_back(decision.replica->facts().instance);
     choose();
     return;
   }
-  if (timeLeft() < kLeastTimeForAttempt) {
+  if (timeLeft() < kMinimumAttemptTime) {
     dependencies_.placement.returnGrant(grant);
     onDeadline();
     return;
@@ -60,18 +60,18 @@
   if (!countRetry(grant)) return;
   auto& record = *decision.replica;
   const auto terms = termsFor(decision);
-  const std::uint32_t wanted = wantedTokens();
-  const std::uint32_t tokens = wanted - std::min(wanted, decision.matchedTokens);
+  const std::uint32_t totalTokens = maximumTotalTokens();
+  const std::uint32_t tokens = totalTokens - std::min(totalTokens, decision.matchedTokens);
   record.onDispatched(tokens);
   const std::uint32_t prompt = promptTokens();
-  const std::uint32_t unread = prompt - std::min(prompt, decision.heldTokens());
-  record.addPendingPrefill(unread);
-  const auto work = record.prefillSpeed().time(unread);
-  record.health().onDispatched(now, work);
-  const bool trial = record.notices().beginProbe();
+  const std::uint32_t prefillTokens = prompt - std::min(prompt, decision.heldTokens());
+  record.addPendingPrefill(prefillTokens);
+  const auto expectedPrefillTime = record.prefillSpeed().time(prefillTokens);
+  record.health().onDispatched(now, expectedPrefillTime);
+  const bool isProbe = record.notices().beginProbe();
   ++dispatches_;
   if (retryCause_) ++retries_.at(static_cast<std::size_t>(*retryCause_));
-  heldFor_ = now - arrival_.arrivedAt;
+  heldFor_ = now - incoming_.arrivedAt;
   lastReplica_ = record.facts().instance;
   lastStream_ = {};
   allowance_.onDispatch(runs_);
@@ -81,19 +81,19 @@
   attempt_ = Attempt{std::move(decision),
                      now,
                      tokens,
-                     unread,
-                     work,
+                     prefillTokens,
+                     expectedPrefillTime,
                      false,
                      false,
                      std::nullopt,
                      grant,
                      routing::PlacementOutcome::kWithdrawn,
                      {},
-                     trial,
+                     isProbe,
                      false};
-  armSilence();
-  armBegin();
-  call_ = dependencies_.client.start(endpoint, arrival_.request, terms, *this);
+  armReceiveTimeout();
+  armStartDeadline();
+  call_ = dependencies_.client.start(endpoint, incoming_.request, terms, *this);
   if (paused_) call_->setPaused(true);
 }
 
@@ -105,7 +105,7 @@
   const auto& limit = record.notices().rateLimit();
   dependencies_.log.write(
       base::Event::kRelayDispatched,
-      {{"request", arrival_.request->id},
+      {{"request", incoming_.request->id},
        {"fingerprint", base::toString(fingerprint_)},
        {"route", assignment_.route->name},
        {"tenant", terms.tenant},
@@ -133,8 +133,8 @@
        {"homes_asked", std::to_string(decision.homesAsked)},
        {"wait_ms", millisecondsText(decision.expectedWait)},
        {"in_flight", std::to_string(record.inFlight())},
-       {"part", sharedPart(arrival_)},
-       {"shared", std::to_string(arrival_.prompt ? arrival_.prompt->chain.sharedTokens() : 0)},
+       {"part", sharedPart(incoming_)},
+       {"shared", std::to_string(incoming_.prompt ? incoming_.prompt->chain.sharedTokens() : 0)},
        {"cached", std::to_string(decision.matchedTokens)},
        {"fetch", decision.fetchFrom ? decision.fetchFrom->name : ""},
        {"fetch_tokens", std::to_string(decision.fetchFrom ? decision.fetchFrom->tokens : 0)},
@@ -143,10 +143,10 @@
 }
 
 void RelayFlow::countTokens(const routing::ReplicaDecision& decision) {
-  if (!arrival_.prompt) return;
+  if (!incoming_.prompt) return;
   cachedTokens_ += decision.matchedTokens;
   fetchedTokens_ += decision.heldTokens() - decision.matchedTokens;
-  prefillTokens_ += unreadSharedTokens(decision);
+  prefillTokens_ += sharedPrefillTokens(decision);
 }
 
 }  // namespace covewing::request
--- a/src/request/relay_flow_end.cc
+++ b/src/request/relay_flow_end.cc
@@ -8,22 +8,22 @@
 
 void RelayFlow::endAttempt() {
   if (!attempt_) return;
-  endWait();
+  endResponseWait();
   endProbe(false);
-  endGrant();
+  reportOutcome();
   lastStream_ = attempt_->watch.observed();
-  dependencies_.timers.cancel(silenceTimer_);
-  dependencies_.timers.cancel(beginTimer_);
+  dependencies_.timers.cancel(receiveTimer_);
+  dependencies_.timers.cancel(startDeadlineTimer_);
   attempt_->decision.replica->onFinished(attempt_->tokens);
   attempt_.reset();
   call_.reset();
 }
 
 void RelayFlow::onDeadline() {
-  if (over_) return;
+  if (ended_) return;
   const auto self = shared_from_this();
   if (headDelivered_) {
-    cut("the time of the request is up");
+    abortStream("the time of the request is up");
   } else if (attempt_ || runs_ > 0) {
     refuse(base::ResultCode::kBackEndTimeout, "the time of the request is up", {});
   } else {
@@ -33,7 +33,7 @@
 }
 
 void RelayFlow::onCallerDisconnected() {
-  if (over_) return;
+  if (ended_) return;
   finish(status_, base::ResultCode::kOk, true);
 }
 
@@ -45,7 +45,7 @@
 void RelayFlow::refuse(const RelayRefusal& refusal) {
   dependencies_.log.write(
       base::Event::kRequestRefused,
-      {{"request", arrival_.request->id},
+      {{"request", incoming_.request->id},
        {"route", assignment_.route->name},
        {"fingerprint", base::toString(fingerprint_)},
        {"code", std::to_string(static_cast<unsigned>(refusal.reason.code))},
@@ -55,16 +55,16 @@
        {"dispatches", std::to_string(dispatches_)},
        {"tenant", tenantName()},
        {"urgency", std::to_string(urgency())},
-       {"waited_ms", millisecondsText(dependencies_.clock.now() - arrival_.arrivedAt)},
-       {"queued", std::to_string(queuedThere_)},
+       {"waited_ms", millisecondsText(dependencies_.clock.now() - incoming_.arrivedAt)},
+       {"queued", std::to_string(queuedAtHome_)},
        {"retry_after_ms", millisecondsText(refusal.retryAfter)}});
   endAttempt();
-  caller_->refuse(refusal);
+  writer_->refuse(refusal);
   finish(refusal.status, refusal.reason.code, false);
 }
 
-void RelayFlow::cut(std::string_view why) {
-  dependencies_.log.write(base::Event::kStreamBroken, {{"request", arrival_.request->id},
+void RelayFlow::abortStream(std::string_view why) {
+  dependencies_.log.write(base::Event::kStreamBroken, {{"request", incoming_.request->id},
                                                        {"route", assignment_.route->name},
                                                        {"why", std::string{why}},
                                                        {"runs", std::to_string(runs_)},
@@ -73,7 +73,7 @@
                                                        {"replica", lastReplica_},
                                                        {"last_event", events_.lastEventId()}});
   endAttempt();
-  caller_->abort();
+  writer_->abort();
   finish(status_, base::ResultCode::kStreamBroken, false);
 }
 
@@ -86,7 +86,7 @@
   outcome.service = assignment_.service->name;
   outcome.retries = retries_;
   outcome.timeToFirstByte = timeToFirstByte_;
-  outcome.duration = dependencies_.clock.now() - arrival_.arrivedAt;
+  outcome.duration = dependencies_.clock.now() - incoming_.arrivedAt;
   outcome.callerDisconnected = callerDisconnected;
   outcome.cachedTokens = cachedTokens_;
   outcome.fetchedTokens = fetchedTokens_;
@@ -96,11 +96,11 @@
 }
 
 void RelayFlow::finish(unsigned status, base::ResultCode code, bool callerDisconnected) {
-  if (over_) return;
+  if (ended_) return;
   const auto self = shared_from_this();
-  over_ = true;
+  ended_ = true;
   // An attempt under way may run to its end though its connection closes.
-  const bool running = attempt_ && !(attempt_->answer && notRun(*attempt_->answer));
+  const bool running = attempt_ && !(attempt_->response && wasNotRun(*attempt_->response));
   dependencies_.placement.cancel(placementTicket_);
   endAttempt();
   allowance_.end(runs_ + (running ? 1 : 0));
@@ -109,7 +109,7 @@
   const auto outcome = outcomeOf(status, code, callerDisconnected);
   dependencies_.log.write(
       callerDisconnected ? base::Event::kCallerDisconnected : base::Event::kRelayFinished,
-      {{"request", arrival_.request->id},
+      {{"request", incoming_.request->id},
        {"route", assignment_.route->name},
        {"status", std::to_string(status)},
        {"code", std::to_string(static_cast<unsigned>(code))},
@@ -124,7 +124,7 @@
        {"pause_target_ms", millisecondsText(assignment_.route->gapTarget)},
        {"total_ms", millisecondsText(outcome.duration)}});
   dependencies_.observer.onRelayFinished(*assignment_.route, outcome);
-  caller_.reset();
+  writer_.reset();
   hooks_.finished(*this);
 }
 
--- a/src/request/relay_flow_internal.h
+++ b/src/request/relay_flow_internal.h
@@ -13,13 +13,13 @@
 inline constexpr unsigned kMisdirected = 421;
 inline constexpr unsigned kServiceUnavailable = 503;
 /// Not worth an attempt any more.
-inline constexpr base::Duration kLeastTimeForAttempt = std::chrono::milliseconds(5);
+inline constexpr base::Duration kMinimumAttemptTime = std::chrono::milliseconds(5);
 /// A request that a restarting node or a full service refused may come back this soon.
 inline constexpr base::Duration kRetryAfterRefusals = std::chrono::milliseconds(200);
 
 /// The replica answered that it did not run the request.
-inline bool notRun(const clients::RelayedAnswer& answer) {
-  return answer.notExecuted || answer.status == kMisdirected;
+inline bool wasNotRun(const clients::RelayedAnswer& response) {
+  return response.notExecuted || response.status == kMisdirected;
 }
 
 /// Whether a final answer with the status says that the request has not run and never will.
--- a/src/request/relay_flow_parts.cc
+++ b/src/request/relay_flow_parts.cc
@@ -6,11 +6,11 @@
 
 namespace covewing::request {
 
-bool RelayFlow::shouldLookUp(const routing::ReplicaDecision& decision) const {
-  if (lookedUp_ || !decision.replica || !arrival_.prompt) return false;
+bool RelayFlow::shouldLookUpHolders(const routing::ReplicaDecision& decision) const {
+  if (holdersLookedUp_ || !decision.replica || !incoming_.prompt) return false;
   if (!knowsAllCaches())
-    return arrival_.prompt->chain.sharedTokens() >= options_.minimumLookupTokens;
-  return unreadSharedTokens(decision) >= options_.minimumLookupTokens;
+    return incoming_.prompt->chain.sharedTokens() >= options_.minimumLookupTokens;
+  return sharedPrefillTokens(decision) >= options_.minimumLookupTokens;
 }
 
 bool RelayFlow::knowsAllCaches() const {
@@ -18,82 +18,82 @@
   return engine && hooks_.nodes() <= engine->eventWatchers;
 }
 
-std::uint32_t RelayFlow::unreadSharedTokens(const routing::ReplicaDecision& decision) const {
-  const auto shared = arrival_.prompt->chain.sharedTokens();
+std::uint32_t RelayFlow::sharedPrefillTokens(const routing::ReplicaDecision& decision) const {
+  const auto shared = incoming_.prompt->chain.sharedTokens();
   return shared - std::min(shared, decision.heldTokens());
 }
 
-std::vector<std::size_t> RelayFlow::partsToAskFor(routing::CacheScope scope) const {
-  const auto& chain = arrival_.prompt->chain;
+std::vector<std::size_t> RelayFlow::partsToLookUp(routing::CacheScope scope) const {
+  const auto& chain = incoming_.prompt->chain;
   std::vector<std::size_t> wanted{chain.sharedParts() - 1};
   const auto& first = chain.parts().front();
-  const bool worthAsking = wanted.front() > 0 && first.tokens >= options_.minimumLookupTokens;
+  const bool worthLookingUp = wanted.front() > 0 && first.tokens >= options_.minimumLookupTokens;
   const bool known = knowsAllCaches() && dependencies_.holders.anyHolds(scope, first.id);
-  if (worthAsking && !known) wanted.push_back(0);
+  if (worthLookingUp && !known) wanted.push_back(0);
   return wanted;
 }
 
-void RelayFlow::lookUp(routing::CacheScope scope) {
+void RelayFlow::lookUpHolders(routing::CacheScope scope) {
   const auto self = shared_from_this();
-  lookedUp_ = true;
-  const auto wanted = partsToAskFor(scope);
-  lookupsLeft_ = wanted.size();
+  holdersLookedUp_ = true;
+  const auto wanted = partsToLookUp(scope);
+  pendingLookups_ = wanted.size();
   for (const auto index : wanted) {
-    dependencies_.parts.lookup(arrival_.prompt->chain.parts()[index].id, scope,
+    dependencies_.parts.lookup(incoming_.prompt->chain.parts()[index].id, scope,
                                [weak = weak_from_this(), scope, index](const auto& holders) {
                                  const auto flow = weak.lock();
                                  if (!flow) return;
                                  if (holders) flow->foundHolders_.push_back({index, *holders});
-                                 if (--flow->lookupsLeft_ > 0) return;
-                                 flow->learnHolders(scope);
+                                 if (--flow->pendingLookups_ > 0) return;
+                                 flow->recordHolders(scope);
                                  flow->choose();
                                });
   }
 }
 
-void RelayFlow::learnHolders(routing::CacheScope scope) {
-  const auto& parts = arrival_.prompt->chain.parts();
+void RelayFlow::recordHolders(routing::CacheScope scope) {
+  const auto& parts = incoming_.prompt->chain.parts();
   auto& known = dependencies_.holders;
   // Homes are told what replicas drop; what this node remembers of others' caches is older.
   if (!knowsAllCaches()) {
     for (const auto& found : foundHolders_) known.removePart(scope, parts[found.part].id);
   }
   for (const auto& found : foundHolders_) {
-    std::size_t useful = 0;
+    std::size_t usableHolders = 0;
     // What is held under other weights, or by another isolated tenant, is of no use here.
     for (const auto& holder : found.holders) {
       if (holder.scope != scope) continue;
-      ++useful;
-      for (std::size_t held = 0; held <= found.part; ++held)
-        known.add(holder.replica, scope, parts[held].id, parts[held].tokens);
+      ++usableHolders;
+      for (std::size_t partIndex = 0; partIndex <= found.part; ++partIndex)
+        known.add(holder.replica, scope, parts[partIndex].id, parts[partIndex].tokens);
     }
-    if (found.part == 0) firstPartIsRare_ = useful < options_.fewHolders;
+    if (found.part == 0) firstPartHasFewHolders_ = usableHolders < options_.sufficientHolders;
   }
   foundHolders_.clear();
 }
 
-void RelayFlow::tellHome(const routing::ReplicaDecision& decision) {
-  if (!arrival_.prompt || arrival_.prompt->chain.sharedTokens() < options_.minimumLookupTokens)
+void RelayFlow::publishHolder(const routing::ReplicaDecision& decision) {
+  if (!incoming_.prompt || incoming_.prompt->chain.sharedTokens() < options_.minimumLookupTokens)
     return;
   const routing::PartHolder holder{base::engineIdOf(decision.replica->facts().instance),
                                    decision.scope};
-  const auto& chain = arrival_.prompt->chain;
+  const auto& chain = incoming_.prompt->chain;
   dependencies_.parts.announce(*chain.deepestShared(), holder);
-  if (firstPartIsRare_ && chain.sharedParts() > 1)
+  if (firstPartHasFewHolders_ && chain.sharedParts() > 1)
     dependencies_.parts.announce(chain.parts().front().id, holder);
 }
 
-void RelayFlow::askHomes(const routing::ReplicaDecision& decision) {
+void RelayFlow::requestPlacement(const routing::ReplicaDecision& decision) {
   const auto wanted = query();
   routing::PlacementRequest request;
   request.promptTokens = promptTokens();
   if (wanted.withPrompt()) {
-    const auto& parts = arrival_.prompt->chain.parts();
+    const auto& parts = incoming_.prompt->chain.parts();
     request.model = wanted.model;
     request.parts.assign(parts.begin(), parts.end() - 1);
-    request.acceptableWait = patience();
+    request.acceptableWait = acceptableWait();
   }
-  request.constraints = constraints();
+  request.constraints = placementConstraints();
   for (const auto& replica : decision.preferenceOrder) {
     request.candidates.push_back(dependencies_.choice.candidateOf(
         wanted, replica, request.promptTokens, decision.heldTokens()));
@@ -105,7 +105,7 @@
                                 [weak = weak_from_this(), candidates = decision.preferenceOrder,
                                  &placement = dependencies_.placement](const auto& result) {
                                   const auto flow = weak.lock();
-                                  if (flow && !flow->over_) {
+                                  if (flow && !flow->ended_) {
                                     flow->onPlaced(candidates, result);
                                   } else if (result.grant) {
                                     placement.returnGrant(*result.grant);
@@ -113,20 +113,21 @@
                                 });
 }
 
-base::Duration RelayFlow::patience() const {
-  const bool longPrompt = arrival_.prompt->chain.sharedTokens() >= options_.minimumLookupTokens;
-  const double share = longPrompt ? options_.longPromptPatienceShare : options_.patienceShare;
+base::Duration RelayFlow::acceptableWait() const {
+  const bool longPrompt = incoming_.prompt->chain.sharedTokens() >= options_.minimumLookupTokens;
+  const double share =
+      longPrompt ? options_.longPromptAcceptableWaitShare : options_.acceptableWaitShare;
   return std::chrono::duration_cast<base::Duration>(assignment_.route->targetLatency * share);
 }
 
-routing::PlacementConstraints RelayFlow::constraints() const {
+routing::PlacementConstraints RelayFlow::placementConstraints() const {
   const auto& route = *assignment_.route;
   routing::PlacementConstraints constraints;
   constraints.urgency = urgency();
   constraints.tenant = assignment_.tenant == nullptr ? 0 : base::hashName(assignment_.tenant->name);
-  constraints.arrivedAt = arrival_.arrivedAt;
-  constraints.softStartDeadline = arrival_.arrivedAt + route.targetLatency;
-  constraints.hardStartDeadline = usefulUntil_;
+  constraints.arrivedAt = incoming_.arrivedAt;
+  constraints.softStartDeadline = incoming_.arrivedAt + route.targetLatency;
+  constraints.hardStartDeadline = hardStartDeadline_;
   constraints.longestPause = route.gapTarget;
   constraints.outputTokens = expectedOutputTokens();
   if (headDelivered_) {
@@ -139,7 +140,8 @@
   return constraints;
 }
 
-void RelayFlow::onNotPlaced(const Candidates& candidates, const routing::PlacementResult& result) {
+void RelayFlow::onPlacementFailed(const Candidates& candidates,
+                                  const routing::PlacementResult& result) {
   if (result.retryAfter) {
     refuseUnplaced(result.rateLimited
                        ? "it cannot be served in time by what the replicas take a second"
@@ -148,29 +150,29 @@
     return;
   }
   if (result.repliesReceived == 0) {
-    askAgainAt_ = dependencies_.clock.now() + options_.askAgainAfter;
+    nextPlacementAt_ = dependencies_.clock.now() + options_.placementRetryInterval;
     choose();
     return;
   }
-  for (const auto& candidate : candidates) passedOver_.push_back(candidate->facts().instance);
-  if (passedOver_.size() < options_.mostPassedOver) {
+  for (const auto& candidate : candidates) skippedReplicas_.push_back(candidate->facts().instance);
+  if (skippedReplicas_.size() < options_.maximumSkippedReplicas) {
     choose();
     return;
   }
-  passedOver_.clear();
-  hold("no replica that was asked for may take requests", options_.askAgainAfter);
+  skippedReplicas_.clear();
+  hold("no replica that was asked for may take requests", options_.placementRetryInterval);
 }
 
 void RelayFlow::onPlaced(const Candidates& candidates, const routing::PlacementResult& result) {
   const auto now = dependencies_.clock.now();
   placementTicket_ = 0;
-  queuedThere_ = result.queued;
+  queuedAtHome_ = result.queued;
   if (!result.candidate) {
-    onNotPlaced(candidates, result);
+    onPlacementFailed(candidates, result);
     return;
   }
   const auto release = [&] { dependencies_.placement.returnGrant(*result.grant); };
-  if (!mayBeSent()) {
+  if (!verifyDispatchAllowed()) {
     release();
     return;
   }
--- a/src/request/relay_flow_retries.cc
+++ b/src/request/relay_flow_retries.cc
@@ -11,12 +11,12 @@
 constexpr std::string_view kRetryBudgetUsedUp = "retry budget used up";
 }  // namespace
 
-void RelayFlow::onSilence() {
-  if (over_ || !attempt_ || othersAreRateLimited()) return;
+void RelayFlow::onReceiveTimeout() {
+  if (ended_ || !attempt_ || othersAreRateLimited()) return;
   const auto self = shared_from_this();
-  const bool counted = attempt_->answer.has_value();
+  const bool counted = attempt_->response.has_value();
   if (!counted) ++runs_;
-  if (!takeRetry(Loss::kMayHaveRun).empty()) {
+  if (!reserveRetry(FailureKind::kMayHaveRun).empty()) {
     // Waiting on is better than giving up.
     if (!counted) --runs_;
     return;
@@ -25,8 +25,8 @@
   attempt_->outcome = routing::PlacementOutcome::kFailed;
   record.health().onFailure(dependencies_.clock.now(),
                             dependencies_.replicas.failureRateOfOthers(record));
-  logLoss(RetryCause::kSilent, "the replica is silent", {});
-  goElsewhere(RetryCause::kSilent);
+  logAttemptFailure(RetryCause::kSilent, "the replica is silent", {});
+  startRetry(RetryCause::kSilent);
 }
 
 bool RelayFlow::othersAreRateLimited() {
@@ -35,8 +35,8 @@
   return dependencies_.choice.allRateLimited(others, dependencies_.clock.now());
 }
 
-void RelayFlow::onNotBegun() {
-  if (!mayStillBegin()) return;
+void RelayFlow::onStartDeadline() {
+  if (!mayStillStart()) return;
   logWithdrawal();
   onAttemptLost(RetryCause::kWeightsOutOfDate,
                 "the version of the weights is out of date and the request has not begun");
@@ -46,54 +46,56 @@
   const auto now = dependencies_.clock.now();
   const auto& decision = attempt_->decision;
   dependencies_.log.write(base::Event::kRelayWithdrawn,
-                          {{"request", arrival_.request->id},
+                          {{"request", incoming_.request->id},
                            {"route", assignment_.route->name},
                            {"replica", decision.replica->facts().instance},
                            {"attempt", std::to_string(dispatches_)},
-                           {"model", arrival_.prompt->model},
+                           {"model", incoming_.prompt->model},
                            {"weights", std::to_string(decision.version)},
                            {"after_ms", millisecondsText(now - attempt_->sentAt)},
                            {"late_ms", millisecondsText(now - *decision.startDeadline)},
-                           {"head_seen", attempt_->headSeen ? "yes" : "no"},
+                           {"head_seen", attempt_->headReceived ? "yes" : "no"},
                            {"left_ms", millisecondsText(timeLeft())}});
 }
 
-void RelayFlow::learnFromRefusal(const clients::RelayedAnswer& answer) {
+void RelayFlow::recordRefusal(const clients::RelayedAnswer& response) {
   const auto now = dependencies_.clock.now();
   auto& record = *attempt_->decision.replica;
-  if (answer.otherInstance) {
+  if (response.otherInstance) {
     record.setTerminated();
     return;
   }
-  if (answer.status == kMisdirected) {
-    const auto known = arrival_.prompt ? record.versionOf(arrival_.prompt->model) : 0;
-    if (known == attempt_->decision.version) record.markVersionUncertain(now + options_.doubtFor);
+  if (response.status == kMisdirected) {
+    const auto known = incoming_.prompt ? record.versionOf(incoming_.prompt->model) : 0;
+    if (known == attempt_->decision.version)
+      record.markVersionUncertain(now + options_.wrongVersionBackOff);
     return;
   }
   attempt_->outcome = routing::PlacementOutcome::kRefused;
   // A replica that says for how long it wants rest is well: to eject it would keep others from it.
-  if (answer.status == kServiceUnavailable && answer.rest > base::Duration::zero()) return;
-  record.setAtCapacity(now + std::max(options_.fullFor, answer.rest));
+  if (response.status == kServiceUnavailable && response.rest > base::Duration::zero()) return;
+  record.setAtCapacity(now + std::max(options_.fullBackOff, response.rest));
   // Nor is one ill that says how much it takes.
-  if (answer.rateLimit.limited()) return;
+  if (response.rateLimit.limited()) return;
   record.health().onFailure(now, dependencies_.replicas.failureRateOfOthers(record));
 }
 
-void RelayFlow::onNotRun(const clients::RelayedAnswer& answer) {
+void RelayFlow::onNotRun(const clients::RelayedAnswer& response) {
   const auto self = shared_from_this();
-  const clients::RelayedAnswer refusal = answer;
-  learnFromRefusal(refusal);
+  const clients::RelayedAnswer refusal = response;
+  recordRefusal(refusal);
   ++refusals_;
   if (refusal.status == kBadRequest && !headDelivered_) {
-    finishWhole();
+    finishComplete();
     return;
   }
-  if (retryElsewhere(RetryCause::kRefused,
-                     "the replica refused with " + std::to_string(refusal.status), Loss::kNotRun)) {
+  if (retryOnAnotherReplica(RetryCause::kRefused,
+                            "the replica refused with " + std::to_string(refusal.status),
+                            FailureKind::kNotRun)) {
     return;
   }
   if (headDelivered_) {
-    cut("no replica took the stream up");
+    abortStream("no replica took the stream up");
   } else if (runs_ > 0) {
     refuse(base::ResultCode::kBackEndLost, "the replicas refused another attempt", {});
   } else {
@@ -104,23 +106,24 @@
 
 void RelayFlow::onAttemptLost(RetryCause cause, std::string_view why) {
   const auto self = shared_from_this();
-  if (!attempt_->answer) ++runs_;
-  if (retryElsewhere(cause, why, Loss::kMayHaveRun)) return;
+  if (!attempt_->response) ++runs_;
+  if (retryOnAnotherReplica(cause, why, FailureKind::kMayHaveRun)) return;
   if (headDelivered_) {
-    cut(why);
+    abortStream(why);
   } else {
     refuse(base::ResultCode::kBackEndLost, std::string{why}, {});
   }
 }
 
-std::string_view RelayFlow::takeRetry(Loss loss) {
+std::string_view RelayFlow::reserveRetry(FailureKind kind) {
   const auto& route = *assignment_.route;
-  const bool plainStarted = headDelivered_ && !resumable();
-  if (plainStarted || (loss == Loss::kMayHaveRun && !route.repeatable())) return "not repeatable";
+  const bool plainResponseStarted = headDelivered_ && !resumable();
+  if (plainResponseStarted || (kind == FailureKind::kMayHaveRun && !route.repeatable()))
+    return "not repeatable";
   const bool mayRunAgain = runs_ == 0 || (route.repeatable() && runs_ < route.attempts);
-  if (!mayRunAgain || refusals_ > options_.mostRefusals) return "attempts used up";
-  if (timeLeft() < kLeastTimeForAttempt) return "no time left";
-  if (loss == Loss::kNeverArrived) {
+  if (!mayRunAgain || refusals_ > options_.maximumRefusals) return "attempts used up";
+  if (timeLeft() < kMinimumAttemptTime) return "no time left";
+  if (kind == FailureKind::kNeverArrived) {
     if (retry_) retry_->onNotDelivered();
     return {};
   }
@@ -139,12 +142,13 @@
   return false;
 }
 
-void RelayFlow::logLoss(RetryCause cause, std::string_view why, std::string_view obstacle) {
+void RelayFlow::logAttemptFailure(RetryCause cause, std::string_view why,
+                                  std::string_view notRetried) {
   const auto& service = assignment_.service->name;
   const auto use = dependencies_.retries.use(service, dependencies_.clock.now());
   dependencies_.log.write(
-      obstacle.empty() ? base::Event::kRequestRetried : base::Event::kRelayAttemptFailed,
-      {{"request", arrival_.request->id},
+      notRetried.empty() ? base::Event::kRequestRetried : base::Event::kRelayAttemptFailed,
+      {{"request", incoming_.request->id},
        {"replica", attempt_->decision.replica->facts().instance},
        {"attempt", std::to_string(dispatches_)},
        {"after_ms", millisecondsText(dependencies_.clock.now() - attempt_->sentAt)},
@@ -157,26 +161,26 @@
        {"runs", std::to_string(runs_)},
        {"last_event", events_.lastEventId()},
        {"left_ms", millisecondsText(timeLeft())},
-       {"not_retried", std::string{obstacle}}});
+       {"not_retried", std::string{notRetried}}});
 }
 
-bool RelayFlow::retryElsewhere(RetryCause cause, std::string_view why, Loss loss) {
-  const auto obstacle = takeRetry(loss);
-  logLoss(cause, why, obstacle);
-  if (!obstacle.empty()) {
+bool RelayFlow::retryOnAnotherReplica(RetryCause cause, std::string_view why, FailureKind kind) {
+  const auto notRetried = reserveRetry(kind);
+  logAttemptFailure(cause, why, notRetried);
+  if (!notRetried.empty()) {
     endAttempt();
     return false;
   }
-  goElsewhere(cause);
+  startRetry(cause);
   return true;
 }
 
-void RelayFlow::goElsewhere(RetryCause cause) {
+void RelayFlow::startRetry(RetryCause cause) {
   retryCause_ = cause;
   excluded_.push_back(attempt_->decision.replica->facts().instance);
   endAttempt();
-  events_.dropUnfinished();
-  if (!headDelivered_) kept_.clear();
+  events_.discardIncomplete();
+  if (!headDelivered_) bufferedBody_.clear();
   choose();
 }
 
--- a/src/request/relay_service.cc
+++ b/src/request/relay_service.cc
@@ -26,32 +26,32 @@
   return confirmedAt && dependencies_.clock.now() - *confirmedAt < options_.confirmationBound;
 }
 
-std::weak_ptr<RelayFlow> RelayService::begin(IncomingRequest arrival,
-                                             std::unique_ptr<ResponseWriter> caller) {
+std::weak_ptr<RelayFlow> RelayService::begin(IncomingRequest incoming,
+                                             std::unique_ptr<ResponseWriter> writer) {
   RelayAssignment assignment;
-  if (const auto refusal = assign(arrival, assignment)) {
+  if (const auto refusal = assign(incoming, assignment)) {
     dependencies_.log.write(
         base::Event::kRequestRefused,
-        {{"request", arrival.request->id},
-         {"host", arrival.host},
-         {"path", arrival.path},
+        {{"request", incoming.request->id},
+         {"host", incoming.host},
+         {"path", incoming.path},
          {"code", std::to_string(static_cast<unsigned>(refusal->reason.code))},
          {"status", std::to_string(refusal->status)},
          {"why", refusal->reason.detail},
          {"configuration", assignment.table ? std::to_string(assignment.table->version()) : ""}});
-    caller->refuse(*refusal);
+    writer->refuse(*refusal);
     return {};
   }
   RelayFlow::Hooks hooks;
-  hooks.check = [this, assignment](const IncomingRequest& again) {
-    return recheck(again, assignment);
+  hooks.check = [this, assignment](const IncomingRequest& pending) {
+    return recheck(pending, assignment);
   };
   hooks.nodes = nodes_;
-  const auto number = ++lastFlow_;
+  const auto number = ++lastFlowNumber_;
   hooks.finished = [this, number](RelayFlow& /*flow*/) { flows_.erase(number); };
   const auto flow =
-      std::make_shared<RelayFlow>(dependencies_, options_.relay, std::move(arrival),
-                                  std::move(assignment), std::move(caller), std::move(hooks));
+      std::make_shared<RelayFlow>(dependencies_, options_.relay, std::move(incoming),
+                                  std::move(assignment), std::move(writer), std::move(hooks));
   flows_.emplace(number, flow);
   flow->start();
   return flow;
@@ -65,9 +65,9 @@
   for (const auto& flow : flows) flow->onWeightsChanged();
 }
 
-std::optional<RelayRefusal> RelayService::assign(const IncomingRequest& arrival,
+std::optional<RelayRefusal> RelayService::assign(const IncomingRequest& incoming,
                                                  RelayAssignment& assignment) {
-  if (refusingNew_) {
+  if (draining_) {
     return refusalOf(base::ResultCode::kNodeDraining, "this node is stopping",
                      options_.retryAfterDraining, true);
   }
@@ -76,48 +76,48 @@
     return refusalOf(base::ResultCode::kConfigurationStale, "no configuration is known yet",
                      options_.retryAfterNoConfiguration, true);
   }
-  assignment.route = assignment.table->findRoute(arrival.host, arrival.path);
+  assignment.route = assignment.table->findRoute(incoming.host, incoming.path);
   if (assignment.route == nullptr)
     return refusalOf(base::ResultCode::kUnknownPath, "no route has this host and path");
-  if (auto refusal = checkKey(arrival, assignment)) return refusal;
-  assignment.service = pickService(*assignment.table, *assignment.route);
+  if (auto refusal = checkKey(incoming, assignment)) return refusal;
+  assignment.service = chooseService(*assignment.table, *assignment.route);
   if (assignment.service == nullptr) {
     return refusalOf(base::ResultCode::kNoBackEnd, "the route's service is not configured",
                      options_.retryAfterNoConfiguration);
   }
-  assignment.demand = demandOf(arrival, assignment);
+  assignment.demand = demandOf(incoming, assignment);
   return std::nullopt;
 }
 
 std::optional<admission::QuotaDemand> RelayService::demandOf(
-    const IncomingRequest& arrival, const RelayAssignment& assignment) const {
+    const IncomingRequest& incoming, const RelayAssignment& assignment) const {
   if (assignment.tenant == nullptr || !assignment.tenant->rate) return std::nullopt;
   const auto& rate = *assignment.tenant->rate;
   admission::QuotaDemand demand;
   demand.tenant = base::tenantIdOf(assignment.tenant->name);
   demand.revision = assignment.table->version();
   demand.limits = options_.quotaWindow.limitsFor(rate);
-  demand.tokens = rate.countOf(arrival.declaredTokens);
+  demand.tokens = rate.countOf(incoming.declaredTokens);
   return demand;
 }
 
-std::optional<RelayRefusal> RelayService::checkKey(const IncomingRequest& arrival,
+std::optional<RelayRefusal> RelayService::checkKey(const IncomingRequest& incoming,
                                                    RelayAssignment& assignment) {
   if (assignment.route->isPublic || !assignment.table->hasTenants()) return std::nullopt;
   if (!confirmed()) return unconfirmed();
   assignment.confirmedAt = tables_.confirmedAt();
-  assignment.tenant = assignment.table->findTenantByKey(arrival.key);
+  assignment.tenant = assignment.table->findTenantByKey(incoming.key);
   if (assignment.tenant == nullptr)
     return refusalOf(base::ResultCode::kUnknownTenant, "the key belongs to no tenant");
   return std::nullopt;
 }
 
-std::optional<RelayRefusal> RelayService::recheck(const IncomingRequest& arrival,
+std::optional<RelayRefusal> RelayService::recheck(const IncomingRequest& incoming,
                                                   const RelayAssignment& assignment) const {
   if (assignment.tenant == nullptr) return std::nullopt;
   if (!confirmed()) return unconfirmed();
   const auto table = tables_.table();
-  if (table->findTenantByKey(arrival.key) == nullptr)
+  if (table->findTenantByKey(incoming.key) == nullptr)
     return refusalOf(base::ResultCode::kUnknownTenant, "the key was taken away");
   return std::nullopt;
 }
@@ -128,8 +128,8 @@
                    options_.retryAfterUnconfirmed, true);
 }
 
-const config::Service* RelayService::pickService(const config::RouteTable& table,
-                                                 const config::Route& route) {
+const config::Service* RelayService::chooseService(const config::RouteTable& table,
+                                                   const config::Route& route) {
   if (route.split.size() == 1) return table.findService(route.split.front().service);
   double total = 0;
   for (const auto& share : route.split) total += share.weight;
--- a/src/request/relay_service.h
+++ b/src/request/relay_service.h
@@ -50,27 +50,28 @@
 
   /// Takes a request up. The flow, empty when the request was refused, is told by its owner when
   /// the caller goes away.
-  std::weak_ptr<RelayFlow> begin(IncomingRequest arrival, std::unique_ptr<ResponseWriter> caller);
+  std::weak_ptr<RelayFlow> begin(IncomingRequest incoming, std::unique_ptr<ResponseWriter> writer);
   std::size_t openRequests() const { return flows_.size(); }
   /// A version of weights was named or dated, or the clock has jumped: requests under way that must
   /// begin earlier than was known when they were sent are taken back by then, or at once.
   void onWeightsChanged();
   /// From now on new requests are refused as not run: the node stops before they would be over.
-  void refuseNewRequests() { refusingNew_ = true; }
+  void refuseNewRequests() { draining_ = true; }
   /// Whether keys may be accepted now.
   bool confirmed() const;
 
  private:
-  std::optional<RelayRefusal> assign(const IncomingRequest& arrival, RelayAssignment& assignment);
-  std::optional<RelayRefusal> checkKey(const IncomingRequest& arrival, RelayAssignment& assignment);
+  std::optional<RelayRefusal> assign(const IncomingRequest& incoming, RelayAssignment& assignment);
+  std::optional<RelayRefusal> checkKey(const IncomingRequest& incoming,
+                                       RelayAssignment& assignment);
   /// Asked again before each dispatch.
-  std::optional<RelayRefusal> recheck(const IncomingRequest& arrival,
+  std::optional<RelayRefusal> recheck(const IncomingRequest& incoming,
                                       const RelayAssignment& assignment) const;
   RelayRefusal unconfirmed() const;
   /// What the request takes of its tenant's limit; empty without one.
-  std::optional<admission::QuotaDemand> demandOf(const IncomingRequest& arrival,
+  std::optional<admission::QuotaDemand> demandOf(const IncomingRequest& incoming,
                                                  const RelayAssignment& assignment) const;
-  const config::Service* pickService(const config::RouteTable& table, const config::Route& route);
+  const config::Service* chooseService(const config::RouteTable& table, const config::Route& route);
 
   RelayServiceOptions options_;
   RelayDependencies dependencies_;
@@ -78,8 +79,8 @@
   RelayFlow::NodeCount nodes_;
   /// In the order of arrival.
   std::map<std::uint64_t, FlowPtr> flows_;
-  std::uint64_t lastFlow_ = 0;
-  bool refusingNew_ = false;
+  std::uint64_t lastFlowNumber_ = 0;
+  bool draining_ = false;
   /// Smooth weighted round robin: the credit of each share, by route and service.
   std::unordered_map<std::string, double> credits_;
 };
--- a/src/request/request_fingerprint.cc
+++ b/src/request/request_fingerprint.cc
@@ -4,8 +4,9 @@
 
 base::RequestFingerprint fingerprintOf(const clients::RelayedRequest& request,
                                        std::string_view tenant) {
-  const auto whereAndWho = base::mixHash(base::hashName(request.target), base::hashName(tenant));
-  return {base::mixHash(whereAndWho, base::hashName(request.body))};
+  const auto targetAndTenant =
+      base::mixHash(base::hashName(request.target), base::hashName(tenant));
+  return {base::mixHash(targetAndTenant, base::hashName(request.body))};
 }
 
 }  // namespace covewing::request
--- a/src/request/request_flow.cc
+++ b/src/request/request_flow.cc
@@ -15,10 +15,10 @@
 namespace {
 
 /// Pause between two looks at a check of the configuration; the check itself is bounded.
-constexpr Duration kConfigurationCheckPause = std::chrono::milliseconds(5);
+constexpr Duration kConfigurationCheckInterval = std::chrono::milliseconds(5);
 
 /// True where the same request may succeed a little later.
-bool mayPassLater(ResultCode code) {
+bool mayBeTransient(ResultCode code) {
   switch (code) {
     case ResultCode::kConfigurationStale:
     case ResultCode::kZoneCutOff:
@@ -66,7 +66,7 @@
     next();
     return;
   }
-  stepTimer_.start(kConfigurationCheckPause, [this, next = std::move(next)] {
+  stepTimer_.start(kConfigurationCheckInterval, [this, next = std::move(next)] {
     const auto self = shared_from_this();
     afterConfigurationCheck(next);
   });
@@ -119,7 +119,7 @@
   dependencies_.claims.claim(tenant_->id, idempotencyKey(), id(), limit,
                              [weak = weak_from_this(), this, &claims](ClaimResult result) {
                                const std::shared_ptr<RequestFlow> self = weak.lock();
-                               if (self != nullptr && !over_) {
+                               if (self != nullptr && !ended_) {
                                  onClaim(std::move(result));
                                } else if (result.status == ClaimStatus::kOwned) {
                                  claims.release(std::move(result.claim));
@@ -146,8 +146,8 @@
   refuse(std::move(result.reason));
 }
 
-bool RequestFlow::checkAgain() {
-  if (answerStarted()) return true;
+bool RequestFlow::recheck() {
+  if (responseStarted()) return true;
   Reason reason;
   config::TenantTemplatePtr current = check(reason);
   if (current == nullptr) {
@@ -159,7 +159,7 @@
 }
 
 void RequestFlow::nextAttempt() {
-  if (!checkAgain()) return;
+  if (!recheck()) return;
   ++attempts_;
   startAttempt();
 }
@@ -173,9 +173,9 @@
     dependencies_.backEnds.onDispatchFailed(attempt.backEnd, error);
   }
   if (error.failure == clients::DispatchFailure::kOutcomeUnknown) setMayHaveRun();
-  const AttemptFailure failure{error.failure, repeatable(), answerStarted(),
+  const AttemptFailure failure{error.failure, repeatable(), responseStarted(),
                                tenant_->retry.resumeStreams};
-  if (!mayTryAgain(failure)) {
+  if (!mayRetry(failure)) {
     refuse(error.reason);
     return;
   }
@@ -187,12 +187,12 @@
     refuse({ResultCode::kRetryBudgetExhausted, "after: " + error.reason.detail});
     return;
   }
-  const bool resumed = answerStarted();
+  const bool resumed = responseStarted();
   dependencies_.log.write(resumed ? base::Event::kStreamResumed : base::Event::kRequestRetried,
                           {{"request", id().value}, {"detail", error.reason.detail}});
   stepTimer_.start(retryDelay(attempts_ + 1, dependencies_.random), [this] {
     const auto self = shared_from_this();
-    if (answerStarted()) {
+    if (responseStarted()) {
       nextAttempt();
     } else {
       afterConfigurationCheck([this] { nextAttempt(); });
@@ -200,9 +200,9 @@
   });
 }
 
-bool RequestFlow::forgetTriedBackEnds() {
-  if (excluded_.empty() || triedBackEndsForgotten_) return false;
-  triedBackEndsForgotten_ = true;
+bool RequestFlow::reconsiderFailedBackEnds() {
+  if (excluded_.empty() || failedBackEndsReconsidered_) return false;
+  failedBackEndsReconsidered_ = true;
   excluded_.clear();
   return true;
 }
@@ -237,7 +237,7 @@
 }
 
 void RequestFlow::refuse(Reason reason) {
-  if (over_) return;
+  if (ended_) return;
   const Refusal refusal = refusalFor(std::move(reason));
   trace_->refusal = refusal;
   logRefusal(refusal);
@@ -247,14 +247,14 @@
 }
 
 void RequestFlow::finish(const std::function<void()>& deliver) {
-  if (over_) return;
+  if (ended_) return;
   if (!trace_->attempts.empty()) currentAttempt().endedAfter = elapsed();
   close(RequestProgress::kAnswered);
   deliver();
 }
 
 void RequestFlow::cancel() {
-  if (over_) return;
+  if (ended_) return;
   if (attemptInFlight()) setMayHaveRun();
   dependencies_.log.write(base::Event::kCallerDisconnected, {{"request", id().value}});
   settleClaim();
@@ -262,7 +262,7 @@
 }
 
 void RequestFlow::refuseByNode(Reason reason) {
-  if (over_) return;
+  if (ended_) return;
   const auto self = shared_from_this();
   if (attemptInFlight()) setMayHaveRun();
   refuse(std::move(reason));
@@ -273,7 +273,7 @@
 }
 
 void RequestFlow::abandon() {
-  if (!over_) close(RequestProgress::kDisconnected);
+  if (!ended_) close(RequestProgress::kDisconnected);
 }
 
 void RequestFlow::settleClaim() {
@@ -283,7 +283,7 @@
 }
 
 void RequestFlow::close(RequestProgress progress) {
-  over_ = true;
+  ended_ = true;
   trace_->progress = progress;
   trace_->finishedAfter = elapsed();
   stepTimer_.stop();
@@ -299,7 +299,7 @@
   refusal.outcome = mayHaveRun_ ? Outcome::kUnknown : Outcome::kNotRun;
   if (admissionRetryAfter_ > Duration::zero()) {
     refusal.retryAfter = admissionRetryAfter_;
-  } else if (!mayHaveRun_ && mayPassLater(reason.code)) {
+  } else if (!mayHaveRun_ && mayBeTransient(reason.code)) {
     refusal.retryAfter = options_.retryAfter;
   }
   refusal.reason = std::move(reason);
@@ -309,7 +309,7 @@
 void RequestFlow::logRefusal(const Refusal& refusal) {
   const bool notRun = refusal.outcome == Outcome::kNotRun;
   const base::Event event =
-      answerStarted() ? base::Event::kStreamBroken : base::Event::kRequestRefused;
+      responseStarted() ? base::Event::kStreamBroken : base::Event::kRequestRefused;
   dependencies_.log.write(event,
                           {{"request", id().value},
                            {"code", fmt::format("{}", static_cast<int>(refusal.reason.code))},
--- a/src/request/request_flow.h
+++ b/src/request/request_flow.h
@@ -120,24 +120,24 @@
   /// Another attempt after an unknown outcome does no harm.
   virtual bool repeatable() const = 0;
   /// Part of the answer has reached the caller.
-  virtual bool answerStarted() const { return false; }
+  virtual bool responseStarted() const { return false; }
 
   // --- What the attempts report.
   /// Checks the request once more, unless its answer has started: its template may have been
   /// retired or changed, or its model's version become known, during a wait. False when it was
   /// refused.
-  bool checkAgain();
+  bool recheck();
   /// From now on nobody can say that the request did not run.
   void setMayHaveRun() { mayHaveRun_ = true; }
   /// The attempt failed: tries again where the rules and budgets allow, else refuses.
   void onAttemptFailed(const clients::DispatchError& error);
   /// The back ends tried before are tried again where no other is left.
-  bool forgetTriedBackEnds();
+  bool reconsiderFailedBackEnds();
   /// Ends the request with its final error.
   void refuse(base::Reason reason);
   /// Ends the request with its whole answer; `deliver` hands it to the sink as the last step.
   void finish(const std::function<void()>& deliver);
-  bool over() const { return over_; }
+  bool ended() const { return ended_; }
 
   /// Opens the record of the attempt.
   AttemptTrace& traceAttempt(base::EngineId backEnd, const std::string& name);
@@ -154,7 +154,7 @@
   std::function<void(Arguments...)> whileOpen(Callback callback) {
     return [weak = weak_from_this(), callback = std::move(callback)](Arguments... arguments) {
       const std::shared_ptr<RequestFlow> self = weak.lock();
-      if (self != nullptr && !self->over_) callback(std::forward<Arguments>(arguments)...);
+      if (self != nullptr && !self->ended_) callback(std::forward<Arguments>(arguments)...);
     };
   }
 
@@ -193,8 +193,8 @@
   std::optional<Claim> claim_;
   std::uint32_t attempts_ = 0;
   bool mayHaveRun_ = false;
-  bool triedBackEndsForgotten_ = false;
-  bool over_ = false;
+  bool failedBackEndsReconsidered_ = false;
+  bool ended_ = false;
   base::Duration admissionRetryAfter_{};
   OneShotTimer stepTimer_;
   OneShotTimer deadlineTimer_;
--- a/src/request/stream_watch.h
+++ b/src/request/stream_watch.h
@@ -13,7 +13,7 @@
 class StreamWatch {
  public:
   /// A piece of the stream arrived.
-  void onPiece(base::TimePoint now) {
+  void onChunk(base::TimePoint now) {
     if (!firstAt_) firstAt_ = now;
     if (lastAt_) {
       ++observed_.pauses;
--- a/src/request/tenant_allowance.cc
+++ b/src/request/tenant_allowance.cc
@@ -25,31 +25,31 @@
 
 }  // namespace
 
-void TenantAllowance::ask(admission::TenantQuotas::Callback answer) {
+void TenantAllowance::acquire(admission::TenantQuotas::Callback onVerdict) {
   if (!demand_) {
-    answer({});
+    onVerdict({});
     return;
   }
-  state_ = State::kAsking;
+  state_ = State::kPending;
   waitId_ = quotas_.newWaitId();
-  quotas_.acquire(waitId_, *demand_, [this, answer = std::move(answer)](const auto& verdict) {
+  quotas_.acquire(waitId_, *demand_, [this, onVerdict = std::move(onVerdict)](const auto& verdict) {
     const bool granted = verdict.outcome == admission::QuotaOutcome::kGranted;
-    state_ = granted ? State::kGranted : State::kOver;
-    answer(verdict);
+    state_ = granted ? State::kGranted : State::kEnded;
+    onVerdict(verdict);
   });
 }
 
 void TenantAllowance::onDispatch(std::uint32_t runs) {
-  if (state_ != State::kGranted || runs < charged_) return;
-  ++charged_;
+  if (state_ != State::kGranted || runs < chargedAttempts_) return;
+  ++chargedAttempts_;
   quotas_.charge(demand_->tenant, demand_->tokens);
 }
 
 void TenantAllowance::end(std::uint32_t runs) {
-  const State before = std::exchange(state_, State::kOver);
-  if (before == State::kAsking) quotas_.cancel(waitId_, demand_->tenant);
+  const State before = std::exchange(state_, State::kEnded);
+  if (before == State::kPending) quotas_.cancel(waitId_, demand_->tenant);
   if (before != State::kGranted) return;
-  const auto unused = charged_ - std::min(charged_, runs);
+  const auto unused = chargedAttempts_ - std::min(chargedAttempts_, runs);
   quotas_.release(demand_->tenant, unused * demand_->tokens);
 }
 
--- a/src/request/tenant_allowance.h
+++ b/src/request/tenant_allowance.h
@@ -21,21 +21,21 @@
   TenantAllowance& operator=(const TenantAllowance&) = delete;
 
   /// Calls `answer` once, now or later; not after `end`.
-  void ask(admission::TenantQuotas::Callback answer);
+  void acquire(admission::TenantQuotas::Callback onVerdict);
   /// The request is sent to a replica; `runs` attempts before it may have run.
   void onDispatch(std::uint32_t runs);
   /// The request is over; `runs` attempts may have run.
   void end(std::uint32_t runs);
 
  private:
-  enum class State : std::uint8_t { kNew, kAsking, kGranted, kOver };
+  enum class State : std::uint8_t { kNew, kPending, kGranted, kEnded };
 
   admission::TenantQuotas& quotas_;
   std::optional<admission::QuotaDemand> demand_;
   State state_ = State::kNew;
   admission::TenantQuotas::WaitId waitId_ = 0;
   /// Attempts that were counted.
-  std::uint32_t charged_ = 1;
+  std::uint32_t chargedAttempts_ = 1;
 };
 
 /// Why a request was refused, for its log line and its caller.
--- a/tests/request/claim_store_test.cc
+++ b/tests/request/claim_store_test.cc
@@ -179,7 +179,7 @@
 BOOST_AUTO_TEST_CASE(AnswerToAnEarlierRunIsNotTaken) {
   ClaimFleet fleet(2, alwaysForwarded());
   fleet.claim(0, "r1", "k");
-  ClaimAnswer stray;
+  ClaimReply stray;
   stray.number = 1;
   stray.status = ClaimStatus::kOwned;
   fleet.store(0).onPeerMessage({}, encodeClaimMessage(stray));
--- a/tests/request/event_splitter_test.cc
+++ b/tests/request/event_splitter_test.cc
@@ -12,17 +12,17 @@
 BOOST_AUTO_TEST_CASE(UnfinishedEventIsKeptBack) {
   EventSplitter splitter;
   BOOST_TEST(splitter.feed("id: 7\ndata: a\n").empty());
-  BOOST_TEST(splitter.hasUnfinished());
+  BOOST_TEST(splitter.hasIncomplete());
   BOOST_TEST(splitter.feed("\nid: 8\n") == "id: 7\ndata: a\n\n");
   BOOST_TEST(splitter.lastEventId() == "7");
-  splitter.dropUnfinished();
+  splitter.discardIncomplete();
   BOOST_TEST(splitter.feed("id: 8\r\ndata: b\r\n\r\n") == "id: 8\r\ndata: b\r\n\r\n");
   BOOST_TEST(splitter.lastEventId() == "8");
 }
 
 BOOST_AUTO_TEST_CASE(OversizedEventFails) {
   EventSplitter splitter;
-  splitter.feed(std::string(EventSplitter::kMaximumEvent + 1, 'x'));
+  splitter.feed(std::string(EventSplitter::kMaximumEventBytes + 1, 'x'));
   BOOST_TEST(splitter.failed());
 }
 
@@ -42,7 +42,7 @@
     rest.remove_prefix(size);
   }
   RC_ASSERT(out == stream);
-  RC_ASSERT(!splitter.hasUnfinished());
+  RC_ASSERT(!splitter.hasIncomplete());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
