--- a/src/request/attempt_rules.h
+++ b/src/request/attempt_rules.h
@@ -1,5 +1,7 @@
 /// \file
-/// When a failed attempt may be followed by another: the rules behind "not run" and "at most once".
+/// Rules that decide whether a failed attempt may be retried. They uphold two promises to callers:
+/// a request reported as "not run" was not executed, and a not-repeatable request is executed at
+/// most once.
 #pragma once
 
 #include <cstdint>
@@ -10,21 +12,23 @@
 
 namespace covewing::request {
 
-/// What is known about a request when one of its attempts failed.
+/// State of a request at the time one of its attempts failed.
 struct AttemptFailure {
   clients::DispatchFailure failure = clients::DispatchFailure::kOutcomeUnknown;
-  /// Running the request twice does no harm.
+  /// Executing the request twice does no harm.
   bool repeatable = true;
-  /// Part of the answer has reached the caller, so that another attempt is a resume.
+  /// Part of the response has reached the caller, so that another attempt has to resume the stream.
   bool responseStarted = false;
-  /// The template lets a broken stream go on from another engine.
+  /// The tenant's template allows a broken stream to be resumed on another engine.
   bool resumeAllowed = true;
 };
 
-/// True where the promises allow another attempt; budgets are counted elsewhere.
+/// Whether the promises to the caller allow another attempt. Limits on the number of attempts and
+/// the retry budget are checked by the caller of this function.
 bool mayRetry(const AttemptFailure& attempt);
 
-/// Delay before attempt number `attempt` (2 for the first retry): doubles each time, with jitter.
+/// Delay before attempt number `attempt` (2 for the first retry). Doubles with each retry up to a
+/// maximum, with random jitter.
 base::Duration retryDelay(std::uint32_t attempt, base::RandomSource& random);
 
 }  // namespace covewing::request
--- a/src/request/back_end_observer.h
+++ b/src/request/back_end_observer.h
@@ -1,5 +1,5 @@
 /// \file
-/// What the request path learns about back ends by using them.
+/// Interface through which the request path reports failures of back ends.
 #pragma once
 
 #include "base/ids.h"
@@ -10,7 +10,7 @@
 class BackEndObserver {
  public:
   virtual ~BackEndObserver() = default;
-  /// An attempt at the back end failed.
+  /// Called when an attempt that was sent to the back end failed.
   virtual void onDispatchFailed(base::EngineId backEnd, const clients::DispatchError& error) = 0;
 };
 
--- a/src/request/caller_request.h
+++ b/src/request/caller_request.h
@@ -1,5 +1,5 @@
 /// \file
-/// A caller's request after the gateway parsed it, and the sink of its answer.
+/// Requests of callers as parsed by the gateway, and the sinks that receive their responses.
 #pragma once
 
 #include <cstdint>
@@ -17,20 +17,20 @@
 
 namespace covewing::request {
 
-/// A chat or text completion.
+/// A chat or text completion request.
 struct CompletionRequest {
   std::string bearerKey;
   std::string model;
   std::string adapter;
   std::shared_ptr<const std::string> prompt;
   std::uint32_t maximumTokens = 0;
-  /// Empty: the template's class.
+  /// Requested priority class; if empty, the class of the tenant's template applies.
   std::optional<base::PriorityClass> priority;
   std::string idempotencyKey;
   bool notRepeatable = false;
 };
 
-/// A call to an application back end.
+/// A request to be proxied to an application back end.
 struct ProxiedRequest {
   std::string bearerKey;
   std::string method;
@@ -38,27 +38,30 @@
   std::vector<clients::HeaderField> headers;
   std::string body;
   std::string idempotencyKey;
-  /// Marked by the caller; the template's route may mark it too.
+  /// The caller marked the request as not repeatable. The route in the tenant's template can do so
+  /// as well.
   bool notRepeatable = false;
 };
 
-/// Whether a refused or failed request ran.
+/// Whether a refused or failed request was executed.
 enum class Outcome : std::uint8_t {
-  /// Proved: no byte of it reached a back end, or the back end said that it did not run.
+  /// Provably not executed: no byte of the request reached a back end, or every back end that
+  /// received it reported that it did not execute it.
   kNotRun,
   kUnknown,
 };
 
-/// Final error of a request.
+/// Final error response to a request.
 struct Refusal {
   base::Reason reason;
   Outcome outcome = Outcome::kUnknown;
-  /// When to come back; zero when waiting does not help.
+  /// Time after which the caller may retry; zero if waiting does not help.
   base::Duration retryAfter{};
 };
 
-/// Receiver of a completion's answer. onEnd or onRefused comes exactly once and last; after a first
-/// chunk, onRefused means that the stream is incomplete and the caller must be told so.
+/// Receives the response to a completion request. Exactly one of onEnd and onRefused is called,
+/// once, as the last call. After the first chunk, onRefused means that the stream is incomplete;
+/// the implementation must report this to the caller.
 class CompletionSink {
  public:
   virtual ~CompletionSink() = default;
@@ -74,25 +77,25 @@
   virtual void onRefused(const Refusal& refusal) = 0;
 };
 
-/// A request in progress. Destroying it is the caller's disconnect: work is cancelled, the sink
-/// silenced.
+/// Handle of a request in progress. Destroying the handle stands for a disconnect of the caller: it
+/// cancels the request, and the sink is not called any more.
 class ActiveRequest {
  public:
   virtual ~ActiveRequest() = default;
   virtual const base::RequestId& id() const = 0;
-  /// Back-pressure from a slow caller.
+  /// Applies back-pressure: while paused, the caller cannot take more data.
   virtual void setPaused(bool paused) = 0;
 };
 
-/// Entry of the request path.
+/// Entry point of the request path.
 class RequestService {
  public:
   virtual ~RequestService() = default;
-  /// `sink` must outlive the returned request and is never called from inside these functions.
+  /// `sink` must outlive the returned handle. It is never called from inside `complete` or `proxy`.
   virtual std::unique_ptr<ActiveRequest> complete(CompletionRequest request,
                                                   CompletionSink& sink) = 0;
   virtual std::unique_ptr<ActiveRequest> proxy(ProxiedRequest request, ProxiedSink& sink) = 0;
-  /// Requests in flight, held ones included.
+  /// Number of requests in flight, including those that are held.
   virtual std::size_t openRequests() const = 0;
 };
 
--- a/src/request/claim_committer.cc
+++ b/src/request/claim_committer.cc
@@ -29,11 +29,11 @@
   std::string value;
   ClaimCallback callback;
   base::TimerId limitTimer = 0;
-  /// A transaction was sent whose outcome is unknown.
+  /// A transaction with this claim was sent, and its outcome is unknown.
   bool uncertain = false;
-  /// The time limit passed before the claim was settled.
+  /// The time limit has passed before the claim was settled.
   bool abandoned = false;
-  /// Read-backs since it was abandoned.
+  /// Number of read-backs since the claim was abandoned.
   std::uint32_t readBacksSinceAbandoned = 0;
 };
 
@@ -72,7 +72,7 @@
     if (batch.empty()) return;
     const auto firstAbandoned = std::stable_partition(
         batch.begin(), batch.end(), [](const PendingPtr& pending) { return !pending->abandoned; });
-    // An abandoned claim is only looked for, so that it can be released.
+    // Abandoned claims are only read back, so that they can be released if they were committed.
     Batch abandoned(firstAbandoned, batch.end());
     batch.erase(firstAbandoned, batch.end());
     if (!abandoned.empty()) readBack(std::move(abandoned));
@@ -149,7 +149,7 @@
 
 void ClaimCommitter::onConflict(const Batch& batch, const std::vector<TableRow>& rows) {
   const Batch others = settleFromRows(batch, rows);
-  // Without a settled claim the conflict is unexplained: pause instead of asking again at once.
+  // If no claim was settled, the conflict is unexplained: back off instead of retrying at once.
   const bool unexplained = others.size() == batch.size();
   requeue(others, unexplained);
 }
@@ -234,8 +234,9 @@
   if (batch.empty()) return;
   for (const PendingPtr& pending : batch) {
     unlockKey(pending);
-    // An abandoned claim is not written again. A lost commit of it may still land later: that row
-    // only keeps its key refused until the claim's retention ends.
+    // An abandoned claim is not written again. A delayed commit of it may still take effect later.
+    // The only effect of such a row is that its key is refused until the retention of the claim
+    // ends.
     if (!pending->abandoned) waiting_.push_back(pending);
   }
   if (!backOff || backOffTimer_.running()) return;
@@ -249,7 +250,7 @@
 void ClaimCommitter::sendRelease(Claim claim, std::uint32_t attempt) {
   ++counters_.releases;
   clients::TableTransaction transaction;
-  // The revision is that of our own write, so another request's row is never removed.
+  // The condition is the revision of our own write, so the row of another request is never removed.
   transaction.conditions.push_back({claim.key, claim.revision});
   transaction.writes.push_back({claim.key, std::nullopt});
   table_.commit(std::move(transaction),
--- a/src/request/claim_committer.h
+++ b/src/request/claim_committer.h
@@ -1,15 +1,16 @@
 /// \file
-/// Writes claims into the table service, those that wait at the same time in one transaction.
+/// Writes claims into the table service. Claims that are waiting at the same time are committed in
+/// one transaction.
 ///
-/// Life of a claim:
+/// States of a claim:
 ///
 ///     waiting -> committing -> owned                      (the row carries our value)
 ///                           -> duplicate                  (the row carries another value)
 ///                           -> waiting                    (rate limit, no connection, conflict of
 ///                                                          another claim in the same transaction)
 ///                           -> reading back -> owned, duplicate or waiting   (answer lost)
-///     any of them -> abandoned (time limit): answered "unavailable" at once; should the row turn
-///                    out to be ours later, it is released.
+///     any of them -> abandoned (time limit): reported as unavailable at once; if the row later
+///                    turns out to be ours, it is released.
 #pragma once
 
 #include <cstdint>
@@ -31,22 +32,25 @@
 
 namespace covewing::request {
 
-/// Limits of one committer's use of the table service.
+/// Limits on the load that one committer puts on the table service.
 struct ClaimCommitOptions {
-  /// Claims that share one transaction.
+  /// Maximum number of claims in one transaction.
   std::size_t maximumBatch = 64;
-  /// Transactions in flight.
+  /// Maximum number of transactions in flight.
   std::size_t maximumTransactions = 4;
-  /// Transactions a second, and at once; 0: not paced. Claims that must wait share a later one.
+  /// Rate limit in transactions per second, and the burst; a rate of 0 means no limit. Claims that
+  /// have to wait share a later transaction.
   double transactionsPerSecond = 0;
   double transactionBurst = 1;
-  /// An abandoned claim that turns out to be made is released. Only whoever would dispatch the
-  /// request may do so.
+  /// Whether an abandoned claim is released if it turns out to have been committed. Only the node
+  /// that would dispatch the request may release it.
   bool releaseAbandoned = true;
-  /// Shortest pause after a refusal by the service; doubles up to the longest.
+  /// Back-off after the table service rejected a transaction: starts at the minimum and doubles up
+  /// to the maximum.
   base::Duration minimumBackOff = std::chrono::milliseconds(20);
   base::Duration maximumBackOff = std::chrono::seconds(1);
-  /// Attempts to release one claim, or to find out whether an abandoned one took effect.
+  /// Maximum number of attempts to release a claim, and of read-backs to find out whether an
+  /// abandoned claim was committed.
   std::uint32_t maximumReleaseAttempts = 8;
 };
 
@@ -68,12 +72,12 @@
   ClaimCommitter(const ClaimCommitter&) = delete;
   ClaimCommitter& operator=(const ClaimCommitter&) = delete;
 
-  /// Makes the claim. Calls back exactly once, later, within `limit`; after kDuplicate and
-  /// kUnavailable the request must not be dispatched.
+  /// Writes the claim. Calls `callback` exactly once, asynchronously, within `limit`. If the result
+  /// is kDuplicate or kUnavailable, the request must not be dispatched.
   void claim(ClaimSpec spec, base::Duration limit, ClaimCallback callback);
 
-  /// Gives the claim up, so that the key can be claimed again. Only for a request that provably did
-  /// not run, and that will not be dispatched again under this claim.
+  /// Releases the claim, so that the key can be claimed again. Only allowed for a request that
+  /// provably was not executed and will not be dispatched again under this claim.
   void release(Claim claim);
 
   const ClaimCommitCounters& counters() const { return counters_; }
@@ -84,7 +88,8 @@
   using Batch = std::vector<PendingPtr>;
 
   void sendWaiting();
-  /// False, with a timer set, when the pace allows no transaction now.
+  /// Whether the rate limit allows a transaction now. If not, starts a timer that sends the waiting
+  /// claims later.
   bool takeRateToken();
   Batch takeBatch();
   void commit(Batch batch);
@@ -92,7 +97,7 @@
   void onConflict(const Batch& batch, const std::vector<clients::TableRow>& rows);
   void readBack(Batch batch);
   void onReadBack(const Batch& batch, const clients::TableReply& reply);
-  /// Settles each claim whose row is there; returns the others.
+  /// Settles the claims whose row is in `rows`, and returns the others.
   Batch settleFromRows(const Batch& batch, const std::vector<clients::TableRow>& rows);
   void resolve(const PendingPtr& pending, ClaimResult result);
   void settleOwned(const PendingPtr& pending, base::Revision revision);
@@ -103,7 +108,7 @@
   void releaseLater(Claim claim, std::uint32_t attempt);
   void sendRelease(Claim claim, std::uint32_t attempt);
   base::Duration nextBackOff();
-  /// Runs `callback` with a later reply, unless this store is gone by then.
+  /// Wraps `callback` so that it is not called after this committer was destroyed.
   clients::TableCallback guarded(std::function<void(const clients::TableReply&)> callback);
   base::TimerId scheduleGuarded(base::Duration delay, std::function<void()> callback);
 
@@ -114,7 +119,8 @@
   ClaimCommitOptions options_;
   ClaimCommitCounters counters_;
   std::deque<PendingPtr> waiting_;
-  /// Keys of the claims in a transaction: a second claim of the same key waits for the first.
+  /// Keys of the claims that are in a transaction. A second claim of the same key waits until the
+  /// first is settled.
   std::set<std::string> keysInFlight_;
   std::size_t transactions_ = 0;
   std::uint32_t consecutiveRejections_ = 0;
--- a/src/request/claim_expiry.cc
+++ b/src/request/claim_expiry.cc
@@ -18,7 +18,7 @@
 
 constexpr double kPeriodJitter = 0.3;
 
-/// Starts are stored as decimal numbers with spaces between them.
+/// Epoch starts are stored as decimal numbers separated by spaces.
 std::string encodeStarts(const std::vector<base::Revision>& starts) {
   return fmt::format("{}", fmt::join(starts, " "));
 }
@@ -92,7 +92,7 @@
   clients::TableTransaction transaction;
   transaction.conditions.push_back({std::string(kEpochsKey), epochs.current});
   transaction.writes.push_back({std::string(kEpochsKey), encodeStarts(starts)});
-  // Whatever the answer, the next look at the row shows what holds.
+  // The result can be ignored, because the next round reads the row again.
   environment_.table.commit(std::move(transaction), [](const TableReply& /*reply*/) {});
 }
 
--- a/src/request/claim_expiry.h
+++ b/src/request/claim_expiry.h
@@ -1,12 +1,13 @@
 /// \file
-/// Removes claims whose retention has ended, without any shared clock.
+/// Removes claims whose retention period has ended, without relying on synchronized clocks.
 ///
-/// The row `claim-epochs` divides the revisions of the table service into epochs. Whoever has seen
-/// it unchanged for one epoch's length on its own clock starts the next one by compare-and-set, so
-/// an epoch lasts at least that long by anybody's clock. A claim is removed once its revision is
-/// older than the start of the last `retainedEpochs` epochs. Each shard of the key space is cleaned
-/// by one live node, chosen by rendezvous hashing; two nodes that clean the same shard for a while
-/// do no harm, because each removal is conditional on the row's revision.
+/// The row `claim-epochs` divides the revisions of the table service into epochs. A node that has
+/// seen this row unchanged for the length of an epoch, by its own clock, starts the next epoch by
+/// compare-and-set. So every epoch lasts at least that long, whichever node ends it. A claim is
+/// removed once its revision is older than the start of the last `retainedEpochs` epochs. The
+/// expired claims of each shard of the key space are removed by one live node, chosen by rendezvous
+/// hashing. Two nodes may temporarily work on the same shard; this does no harm, because each
+/// removal is conditional on the revision of the row.
 #pragma once
 
 #include <cstdint>
@@ -25,15 +26,16 @@
 
 struct ClaimExpiryOptions {
   base::Duration epochLength = std::chrono::hours(1);
-  /// A claim is kept for at least this many epochs.
+  /// Minimum retention of a claim, in epochs.
   std::size_t retainedEpochs = 24;
-  /// Mean time between two looks at the epochs, and then at one of this node's shards.
+  /// Mean interval between two rounds. Each round reads the epochs and then removes expired claims
+  /// from one of this node's shards.
   base::Duration period = std::chrono::seconds(60);
-  /// Claims removed in one transaction.
+  /// Maximum number of claims removed in one transaction.
   std::size_t rowsPerRemoval = 100;
 };
 
-/// All must outlive the expiry and share its thread.
+/// Services used by ClaimExpiry. All must outlive it and are used on its thread.
 struct ClaimExpiryEnvironment {
   base::Clock& clock;
   base::TimerService& timers;
@@ -42,14 +44,14 @@
   const membership::MemberDirectory& members;
 };
 
-/// The epochs as stored.
+/// Content of the epochs row.
 struct ClaimEpochs {
-  /// Revisions at which the epochs before the current one started, oldest first.
+  /// Revisions at which earlier epochs started, oldest first.
   std::vector<base::Revision> starts;
   /// Revision at which the current epoch started.
   base::Revision current = 0;
 
-  /// Claims of this revision or an older one may be removed; 0 while none may.
+  /// Latest revision whose claims may be removed; 0 if no claim may be removed yet.
   base::Revision expiredUpTo(std::size_t retainedEpochs) const;
 };
 
@@ -70,7 +72,7 @@
   void onPeriod();
   void onEpochs(const clients::TableReply& reply);
   void startEpoch(const ClaimEpochs& epochs);
-  /// The next of the shards that this node cleans; empty when it cleans none.
+  /// The next shard for which this node is responsible; empty if it is responsible for none.
   std::optional<std::uint32_t> nextShard();
   bool ownsShard(std::uint32_t shard) const;
   void cleanShard(std::uint32_t shard, base::Revision upTo);
@@ -80,7 +82,7 @@
   ClaimExpiryOptions options_;
   ClaimExpiryEnvironment environment_;
   OneShotTimer timer_;
-  /// The current epoch and when this node first saw it.
+  /// The current epoch, and the time at which this node first saw it.
   base::Revision seenEpoch_ = 0;
   bool epochSeen_ = false;
   base::TimePoint epochFirstSeenAt_;
--- a/src/request/claim_messages.h
+++ b/src/request/claim_messages.h
@@ -1,5 +1,6 @@
 /// \file
-/// Messages of the request channel: a node asks a collector to make a claim for it.
+/// Messages of the request channel, by which a node requests that a collector writes a claim on its
+/// behalf.
 #pragma once
 
 #include <cstdint>
@@ -15,27 +16,27 @@
 namespace covewing::request {
 
 struct ClaimRequest {
-  /// Drawn at random by the asking node, so that it is unique over all of its runs.
+  /// Random number drawn by the requesting node, so that it is unique across restarts of that node.
   std::uint64_t number = 0;
   std::string key;
   std::string value;
-  /// The asking node gives up after this long.
+  /// Time after which the requesting node stops waiting for the reply.
   base::Duration limit{};
 };
 
 struct ClaimReply {
   std::uint64_t number = 0;
   ClaimStatus status = ClaimStatus::kUnavailable;
-  /// Revision of the row, with kOwned.
+  /// Revision of the row, if `status` is kOwned.
   base::Revision revision = 0;
-  /// Why not, for people.
+  /// Human-readable reason if the claim was not granted.
   std::string detail;
 };
 
 using ClaimMessage = std::variant<ClaimRequest, ClaimReply>;
 
 std::string encodeClaimMessage(const ClaimMessage& message);
-/// Empty when the payload is malformed.
+/// Returns an empty value if the payload is malformed.
 std::optional<ClaimMessage> decodeClaimMessage(std::string_view payload);
 
 }  // namespace covewing::request
--- a/src/request/claim_store.cc
+++ b/src/request/claim_store.cc
@@ -9,9 +9,10 @@
 
 namespace {
 
-/// Any fixed number: ranks the members of a region as collectors.
+/// Seed of the hash that ranks the members of a region as collectors; an arbitrary constant.
 constexpr std::uint64_t kCollectorRankSeed = 0xc0113c70;
-/// A forwarded claim leaves this much of its limit for the way over the own committer.
+/// The wait for a collector is at most the time limit of the claim divided by this number. The rest
+/// of the time is left for this node's own committer.
 constexpr int kCollectorLimitDivisor = 2;
 
 ClaimCommitOptions collectorOptionsOf(const ClaimOptions& options) {
@@ -19,7 +20,7 @@
   result.transactionsPerSecond = options.collectorTransactionsPerSecond;
   result.transactionBurst = 2;
   result.maximumTransactions = 2;
-  // The asking node may have found the row by itself and dispatched its request.
+  // The requesting node may have read the row itself and dispatched its request.
   result.releaseAbandoned = false;
   return result;
 }
--- a/src/request/claim_store.h
+++ b/src/request/claim_store.h
@@ -1,10 +1,12 @@
 /// \file
-/// Makes and releases the claims of one node within the fleet's budget for the table service.
+/// Writes and releases the claims of one node within the fleet's transaction budget for the table
+/// service.
 ///
-/// A node commits its claims itself as long as its share of the budget lasts. Beyond it, claims go
-/// to one of a few collector nodes of the region, chosen by the key, which commits those of many
-/// nodes together. The row stays the only authority, recognised by its value: a collector that
-/// does not answer in time is passed over, and the row is looked for before it is written again.
+/// A node commits its claims itself as long as its share of the budget allows. Claims beyond it are
+/// forwarded to one of a few collector nodes of the region, selected by the key; the collector
+/// commits the claims of many nodes in one transaction. Only the row decides who owns a claim, and
+/// its value identifies the owner. If a collector does not reply in time, the node commits the
+/// claim itself, after looking up whether the row was already written.
 #pragma once
 
 #include <cstdint>
@@ -26,17 +28,17 @@
 namespace covewing::request {
 
 struct ClaimOptions {
-  /// Transactions a second that all nodes together make without a collector.
+  /// Transactions per second that all nodes together may commit without a collector.
   double fleetDirectTransactionsPerSecond = 40;
-  /// Claims that a node commits at once before its share counts.
+  /// Burst of claims that a node may commit itself before its share of the rate applies.
   double directBurst = 2;
   std::size_t collectorsPerRegion = 8;
   double collectorTransactionsPerSecond = 4;
-  /// Longest wait for a collector's answer.
+  /// Maximum wait for the reply of a collector.
   base::Duration collectorTimeout = std::chrono::milliseconds(600);
 };
 
-/// All must outlive the store and share its thread.
+/// Services used by ClaimStore. All must outlive it and are used on its thread.
 struct ClaimEnvironment {
   base::Clock& clock;
   base::TimerService& timers;
@@ -50,7 +52,7 @@
 struct ClaimCounters {
   std::uint64_t direct = 0;
   std::uint64_t forwarded = 0;
-  /// Forwarded claims whose collector did not settle them.
+  /// Forwarded claims that the collector did not settle.
   std::uint64_t fallbacks = 0;
   std::uint64_t malformed = 0;
 };
@@ -62,14 +64,14 @@
   ClaimStore(const ClaimStore&) = delete;
   ClaimStore& operator=(const ClaimStore&) = delete;
 
-  /// Claims `idempotencyKey` for the request. Calls back exactly once, later, within `limit`; after
-  /// kDuplicate and kUnavailable the request must not be dispatched.
+  /// Claims `idempotencyKey` for the request. Calls `callback` exactly once, asynchronously, within
+  /// `limit`. If the result is kDuplicate or kUnavailable, the request must not be dispatched.
   void claim(base::TenantId tenant, std::string_view idempotencyKey, const base::RequestId& request,
              base::Duration limit, ClaimCallback callback);
-  /// Gives the claim up; see ClaimCommitter::release.
+  /// Releases the claim; see ClaimCommitter::release.
   void release(Claim claim) { direct_.release(std::move(claim)); }
 
-  /// Handler of the channel kRequest.
+  /// Handles messages of the channel kRequest.
   void onPeerMessage(const base::PeerIdentity& sender, std::string_view payload) override;
 
   const ClaimCounters& counters() const { return counters_; }
@@ -77,7 +79,7 @@
   const ClaimCommitCounters& collectorCounters() const { return collector_.counters(); }
 
  private:
-  /// A claim sent to a collector.
+  /// A claim that was forwarded to a collector and is not settled yet.
   struct Forwarded {
     explicit Forwarded(base::TimerService& timers) : timeout(timers) {}
     ClaimSpec spec;
@@ -87,7 +89,8 @@
   };
 
   bool takeDirectShare();
-  /// The collector of a key; empty when this node is alone.
+  /// The collector that is responsible for the key; empty if fewer than two nodes of the region are
+  /// eligible.
   std::optional<membership::Member> collectorOf(std::string_view key) const;
   void forward(const membership::Member& collector, ClaimSpec spec, base::Duration limit,
                ClaimCallback callback);
@@ -100,7 +103,7 @@
   ClaimCommitter direct_;
   ClaimCommitter collector_;
   TokenBucket directShare_;
-  /// By number: the random one of its ask.
+  /// Unsettled forwarded claims by the number of their request message.
   std::map<std::uint64_t, std::unique_ptr<Forwarded>> forwarded_;
   ClaimCounters counters_;
 };
--- a/src/request/completion_flow.cc
+++ b/src/request/completion_flow.cc
@@ -14,13 +14,14 @@
 using clients::DispatchFailure;
 
 namespace {
-/// Pause between two looks for an engine while none qualifies.
+/// Interval between two attempts to find an engine while none is eligible.
 constexpr Duration kEngineRetryInterval = std::chrono::milliseconds(50);
-/// Decisions kept in the record of one request.
+/// Maximum number of routing decisions in the trace of one request.
 constexpr std::size_t kMaximumTracedDecisions = 8;
 }  // namespace
 
-/// One stream from one engine. Once detached it hears nothing more and only awaits destruction.
+/// One stream from one engine. After `detach` it ignores all further events and only waits to be
+/// destroyed.
 class CompletionFlow::Attempt final : public clients::EngineStreamHandler {
  public:
   Attempt(CompletionFlow& flow, base::EngineId engineId, base::Incarnation engineIncarnation,
@@ -46,17 +47,17 @@
   const base::Incarnation incarnation;
   const base::TimePoint startedAt;
   std::optional<Duration> firstTokenAfter;
-  /// The engine took the request.
+  /// The engine accepted the request.
   bool accepted = false;
-  /// The engine sent some of the answer, be it wanted or not.
+  /// The engine sent a chunk, whether or not it was passed on to the caller.
   bool responding = false;
-  /// Known once it ended whole.
+  /// Token counts reported by the engine; 0 until the stream ended completely.
   std::uint32_t promptTokens = 0;
   std::uint32_t cachedTokens = 0;
   std::unique_ptr<clients::EngineStream> stream;
 
  private:
-  /// The flow, kept alive during the call; null once detached.
+  /// The flow, which the result keeps alive during a call; null after `detach`.
   std::shared_ptr<CompletionFlow> lockFlow() {
     if (flow_ == nullptr) return nullptr;
     return std::static_pointer_cast<CompletionFlow>(flow_->shared_from_this());
@@ -150,7 +151,8 @@
   engineWait_ += kEngineRetryInterval;
   engineWaitTimer_.start(retryNow ? Duration::zero() : kEngineRetryInterval, [this] {
     const auto self = shared_from_this();
-    // The version in force may have become known, or the tenant retired, during the wait.
+    // During the wait the weights version may have become known, or the tenant may have been
+    // retired.
     if (recheck()) route();
   });
 }
@@ -237,7 +239,7 @@
 }
 
 void CompletionFlow::onError(DispatchError error) {
-  // An engine that sent part of the answer did run, whatever it says.
+  // An engine that sent part of the response did execute the request, whatever error it reports.
   if (attempt_->responding) error.failure = DispatchFailure::kOutcomeUnknown;
   failAttempt(std::move(error));
 }
@@ -251,7 +253,7 @@
 
 void CompletionFlow::restartReceiveTimeout() {
   receiveTimer_.stop();
-  // A caller that takes nothing keeps the engine from sending.
+  // While the caller does not read, the engine cannot send.
   if (paused_ || attempt_ == nullptr) return;
   if (!attempt_->accepted) {
     restartReceiveTimeout(options().acceptTimeout,
@@ -295,10 +297,10 @@
   engineWaitTimer_.stop();
   if (attempt_ == nullptr) return;
   attempt_->detach();
-  // However the attempt ended, it no longer loads its engine.
+  // Whatever the outcome, the attempt no longer counts towards the load of its engine.
   dependencies().policy.onFinished(attempt_->engine, attempt_->promptTokens, attempt_->cachedTokens,
                                    attempt_->firstTokenAfter.value_or(Duration::zero()));
-  // The engine's client may be in the middle of calling the attempt.
+  // The engine client may be in the middle of a call to the attempt.
   deferred().add(std::exchange(attempt_, nullptr));
 }
 
--- a/src/request/completion_flow.h
+++ b/src/request/completion_flow.h
@@ -1,9 +1,11 @@
 /// \file
-/// A completion: attempts at engines, and one gapless stream to the caller out of all of them.
+/// A completion request: its attempts at engines, and the single gapless stream to the caller that
+/// they produce.
 ///
-/// An attempt is given up, and the next one goes on at the next position with the same weights
-/// version, when the engine reports an error, skips a position, ends without all chunks, stays
-/// silent for too long, or is known to be lost. What was delivered once is never delivered again.
+/// An attempt is abandoned when the engine reports an error, skips a position, ends the stream
+/// before all chunks were sent, sends no data for too long, or is known to be lost. The next
+/// attempt then continues at the next position with the same version of the weights. A chunk that
+/// was delivered once is never delivered again.
 #pragma once
 
 #include <memory>
@@ -54,10 +56,10 @@
   void onError(clients::DispatchError error);
   void deliverChunk(const clients::StreamChunk& chunk);
   void failAttempt(clients::DispatchError error);
-  /// Starts, anew, the limit that fits the state of the attempt in flight.
+  /// Restarts the receive timeout that applies to the current state of the attempt.
   void restartReceiveTimeout();
   void restartReceiveTimeout(base::Duration limit, base::Reason timeoutReason);
-  /// Gives the attempt up as soon as its engine is known to be lost.
+  /// Checks periodically whether the engine of the attempt is lost, and abandons the attempt if so.
   void checkEngine();
   bool engineLost() const;
 
@@ -66,7 +68,7 @@
   CompletionPlan plan_;
   std::shared_ptr<const prefix::BlockChain> chain_;
   StreamPositions positions_;
-  /// Text delivered so far; a resume hands it to the next engine.
+  /// Text delivered so far. It is sent to the next engine when the stream is resumed there.
   std::string generated_;
   std::shared_ptr<Attempt> attempt_;
   bool paused_ = false;
--- a/src/request/deferred_release.h
+++ b/src/request/deferred_release.h
@@ -1,5 +1,6 @@
 /// \file
-/// Destroys objects a moment later, outside of the callback that they are in the middle of.
+/// Destroys objects from a timer, so that an object is not destroyed while one of its own callbacks
+/// is running.
 #pragma once
 
 #include <memory>
@@ -10,12 +11,12 @@
 
 namespace covewing::request {
 
-/// Owner of objects that await destruction.
+/// Owns objects that are waiting to be destroyed.
 class DeferredRelease {
  public:
   explicit DeferredRelease(base::TimerService& timers) : timer_(timers) {}
 
-  /// Takes the object over and destroys it from a timer.
+  /// Takes ownership of the object and destroys it from a timer.
   void add(std::shared_ptr<void> object) {
     objects_.push_back(std::move(object));
     if (!timer_.running()) timer_.start(base::Duration::zero(), [this] { releaseAll(); });
--- a/src/request/event_splitter.cc
+++ b/src/request/event_splitter.cc
@@ -6,7 +6,8 @@
 
 constexpr std::string_view kIdField = "id:";
 
-/// One line with its end; `text` is shortened by it. Empty when the line is unfinished.
+/// Removes the first line from `text` and returns it, including its line end. Returns an empty view
+/// if the line is incomplete.
 std::string_view takeLine(std::string_view& text) {
   const auto end = text.find('\n');
   if (end == std::string_view::npos) return {};
--- a/src/request/event_splitter.h
+++ b/src/request/event_splitter.h
@@ -1,6 +1,6 @@
 /// \file
-/// Splits a stream of server-sent events into whole events, without changing a byte, and keeps the
-/// identifier of the last one.
+/// Splits a stream of server-sent events into complete events without changing a byte, and
+/// remembers the identifier of the last one.
 #pragma once
 
 #include <cstddef>
@@ -11,21 +11,23 @@
 
 class EventSplitter {
  public:
-  /// Largest event accepted, in bytes.
+  /// Maximum size of an event in bytes.
   static constexpr std::size_t kMaximumEventBytes = 1U << 20U;
 
-  /// Adds bytes and returns those that complete events; an unfinished event is kept back.
+  /// Appends `bytes` and returns all complete events that were not returned before. The bytes of an
+  /// incomplete event are retained.
   std::string feed(std::string_view bytes);
-  /// Drops an unfinished event: its stream broke.
+  /// Discards the incomplete event, after its stream broke.
   void discardIncomplete() { pending_.clear(); }
   bool hasIncomplete() const { return !pending_.empty(); }
-  /// An event exceeded the limit; nothing more is split.
+  /// Whether an event exceeded the maximum size. All further input is ignored then.
   bool failed() const { return failed_; }
-  /// Identifier of the last whole event that had one; empty when there was none.
+  /// Identifier of the last complete event that had one; empty if there was none.
   const std::string& lastEventId() const { return lastEventId_; }
 
  private:
-  /// Length of the first whole event in `text`, its empty line included; 0 when it is unfinished.
+  /// Length in bytes of the first event in `text`, including the empty line that ends it; 0 if the
+  /// event is incomplete.
   static std::size_t firstEventLength(std::string_view text);
   void recordEventId(std::string_view event);
 
--- a/src/request/one_shot_timer.h
+++ b/src/request/one_shot_timer.h
@@ -1,5 +1,6 @@
 /// \file
-/// A timer owned by the object whose work it delays: it never fires after its owner is gone.
+/// A timer that is a member of the object it serves, so that it never fires after that object was
+/// destroyed.
 #pragma once
 
 #include <functional>
@@ -9,7 +10,7 @@
 
 namespace covewing::request {
 
-/// Holds at most one scheduled callback; starting it again replaces the callback.
+/// Holds at most one scheduled callback. Starting the timer again replaces the callback.
 class OneShotTimer {
  public:
   explicit OneShotTimer(base::TimerService& timers) : timers_(timers) {}
--- a/src/request/proxied_flow.h
+++ b/src/request/proxied_flow.h
@@ -1,5 +1,6 @@
 /// \file
-/// A call proxied to an application back end: attempts at its replicas, own zone first.
+/// A request that is proxied to an application back end: its attempts at the replicas, those of the
+/// own zone first.
 #pragma once
 
 #include <memory>
@@ -35,7 +36,7 @@
   ProxiedSink& sink_;
   ProxyPlan plan_;
   base::EngineId replica_;
-  /// Number of the call whose result is awaited; results of earlier calls are ignored.
+  /// Number of the call whose result is pending. Results of earlier calls are ignored.
   std::uint64_t currentCall_ = 0;
 };
 
--- a/src/request/relay_flow.cc
+++ b/src/request/relay_flow.cc
@@ -96,7 +96,7 @@
 }
 
 bool RelayFlow::isLongRunning() const {
-  // Where much of the prompt is shared, what is cached counts for more.
+  // If much of the prompt is shared, cache hits matter more than separating long-running requests.
   if (!incoming_.prompt || incoming_.prompt->chain.sharedTokens() > expectedOutputTokens())
     return false;
   return dependencies_.requestDurations.isLong(assignment_.service->name, expectedOutputTokens());
@@ -138,7 +138,8 @@
   if (!refusal) refusal = hooks_.check(incoming_);
   const bool promises = refusal && promisesNotRun(refusal->status);
   if (!promises || runs_ == 0) return refusal;
-  // An attempt has run. Callers told otherwise may take a change for not made.
+  // An attempt may have been executed. If the refusal promised otherwise, the caller could conclude
+  // that a change was not made.
   constexpr auto kCode = base::ResultCode::kBackEndLost;
   return RelayRefusal{{kCode, refusal->reason.detail}, base::describe(kCode).httpStatus, {}, false};
 }
@@ -200,7 +201,7 @@
   const auto now = dependencies_.clock.now();
   const bool overdue = now >= holdUntil_;
   if (!overdue || !excluded_.empty()) {
-    // In the end, what failed once is better than nothing.
+    // At the end of the hold time, a replica that failed once is better than none.
     if (overdue) excluded_.clear();
     holdTimer_ = dependencies_.timers.schedule(interval, [this] { choose(); });
     return;
@@ -218,13 +219,14 @@
 
 void RelayFlow::waitForBackOff(base::TimePoint end, std::string_view why) {
   const auto left = end - dependencies_.clock.now();
-  // A stream that has begun is not begun anew by its caller: it waits for as long as it may last.
+  // The caller cannot start a stream over once it has begun, so such a stream waits up to its
+  // deadline.
   if (end > (headDelivered_ ? deadline_ : holdUntil_)) {
     refuseUnplaced(why, left);
     return;
   }
   holdTimer_ = dependencies_.timers.schedule(left, [this] {
-    // Those that were tried have rested as well.
+    // The back-off of the replicas that were tried has ended as well.
     excluded_.clear();
     choose();
   });
--- a/src/request/relay_flow.h
+++ b/src/request/relay_flow.h
@@ -1,16 +1,23 @@
 /// \file
-/// The life of one relayed request: from the choice of a replica to the end of its answer.
+/// State machine of one relayed request, from the choice of a replica to the end of its response.
 ///
-/// States: (tenant with a limit) asking for its share -> choosing -> (shared parts that would be
-/// read) asking who holds them -> asking the homes of the candidates, and waiting in the queue of
-/// one
-/// -> (no replica that could take it) holding -> dispatched -> answering -> over. An attempt that
-/// the replica did not run, or one of a repeatable request that failed, leads back to choosing,
-/// within the route's attempts and the retry budget. A resumable stream that broke goes on at
-/// another replica inside the same answer, behind the last whole event that the caller got.
+/// States:
 ///
-/// Nothing of an answer reaches the caller before it is certain to be used: plain answers are kept
-/// until they are whole (up to a bound), streams until their first event.
+///     acquiring quota (only if the tenant has a limit)
+///     -> choosing a replica
+///     -> looking up holders (only if shared parts of the prompt would have to be prefilled)
+///     -> querying the home nodes of the candidates, and waiting in the queue of one of them
+///     -> holding (only if no replica can accept the request)
+///     -> dispatched -> responding -> ended
+///
+/// After an attempt that the replica did not execute, or a failed attempt of a repeatable request,
+/// the request goes back to choosing a replica, within the attempts of the route and the retry
+/// budget. A resumable stream that broke is continued at another replica within the same response,
+/// after the last complete event that the caller received.
+///
+/// No part of a response is sent to the caller before it is certain that this response will be
+/// used: plain responses are buffered until they are complete (up to a maximum size), streams until
+/// their first event.
 #pragma once
 
 #include <memory>
@@ -40,62 +47,69 @@
 namespace covewing::request {
 
 struct RelayOptions {
-  /// How often a held request looks for a replica again.
+  /// Interval at which a held request looks for a replica again.
   base::Duration holdRetryInterval = std::chrono::milliseconds(20);
-  /// Part of its time that a request is held while no replica of its service may take requests at
-  /// all. Nobody can tell when one will; half of the time is left for the answer.
+  /// Share of its time for which a request is held while no replica of its service accepts
+  /// requests. It cannot be predicted when one will, so about half of the time is left for the
+  /// response.
   double holdShare = 0.48;
-  /// Longest hold of a request whose tenant is close to its limit. What is granted now and sent
-  /// much later would count in another window of the limit, where the tenant uses as much again.
+  /// Maximum hold of a request whose tenant is close to its limit. A request that is granted now
+  /// and sent much later would count in another window of the limit, in which the tenant may use
+  /// its full limit again.
   base::Duration holdNearQuota = std::chrono::milliseconds(300);
-  /// Part of the target latency that a request may wait at a replica whose home is asked before the
-  /// next candidate's home is asked. Prompts that share much wait longer: each replica more that
-  /// holds a long part drops another (salish-reach, 15 plays: 0.644 with a tenth for all, 0.656
-  /// with a quarter; bcth-covewing-large trouble-1: 1,706 short prompts late with a tenth, 2,310
-  /// with a quarter).
+  /// Acceptable wait of a request at one candidate replica, as a share of the target latency. After
+  /// this wait the home node of the next candidate is queried as well. Requests with long shared
+  /// parts wait longer, because each additional replica that caches a long part evicts another
+  /// part. A tenth for all prompts gave 0.644 and a quarter 0.656 (salish-reach, 15 runs); 1,706
+  /// short prompts were late with a tenth and 2,310 with a quarter (bcth-covewing-large,
+  /// trouble-1).
   double acceptableWaitShare = 0.1;
   double longPromptAcceptableWaitShare = 0.25;
-  /// Homes are not asked again for a request after this when none answered, or none knew a replica
-  /// that may take it.
+  /// Time before home nodes are queried again for a request, after none of them replied or none had
+  /// a replica that accepts it.
   base::Duration placementRetryInterval = std::chrono::milliseconds(100);
-  /// Replicas that may not take requests whose homes are asked before the request is held.
+  /// Maximum number of candidates that their home nodes report as not accepting requests. Once it
+  /// is reached, the request is held.
   std::size_t maximumSkippedReplicas = 8;
-  /// A request that would read so many shared tokens asks first who holds them. A lookup costs a
-  /// few milliseconds, as reading so many tokens does.
+  /// Minimum number of shared tokens to prefill for which a request first looks up their holders. A
+  /// lookup takes a few milliseconds, about as long as the prefill of that many tokens.
   std::uint32_t minimumLookupTokens = 512;
-  /// With fewer holders the home of a first part is told of more, so that they share the fetches.
+  /// If fewer replicas than this hold the first part of a prompt, its home node is notified of
+  /// additional holders, so that fetches are spread over more replicas.
   std::size_t sufficientHolders = 3;
-  /// Refusals by replicas after which a request is refused as well.
+  /// Maximum number of refusals by replicas; after more of them the request itself is refused.
   std::uint32_t maximumRefusals = 3;
-  /// Largest plain answer that is kept until it is whole.
+  /// Maximum size in bytes of a plain response that is buffered until it is complete.
   std::size_t maximumBufferedBytes = 64U << 10U;
-  /// A repeatable request without any answer is tried elsewhere after this part of the target
-  /// latency, besides twice the time that reading its prompt takes.
+  /// A repeatable request that received no response is retried on another replica after this share
+  /// of the target latency plus twice the time that the prefill of its prompt takes.
   double receiveTimeoutShare = 1.0;
-  /// How long a replica that refused for lack of room is passed over.
+  /// Time for which a replica is skipped after it refused a request for lack of capacity.
   base::Duration fullBackOff = std::chrono::milliseconds(100);
-  /// How long a replica whose version turned out to be unknown is passed over.
+  /// Time for which a replica is skipped after its version of the weights turned out to be other
+  /// than expected.
   base::Duration wrongVersionBackOff = std::chrono::milliseconds(300);
-  /// Told where no home could tell a time.
+  /// Retry-After time of refusals for which no home node reported a time.
   base::Duration retryAfterNoReplica = std::chrono::milliseconds(300);
 };
 
-/// How a request ended, for metrics.
+/// Result of a request, for metrics.
 struct RelayOutcome {
   unsigned status = 0;
   base::ResultCode code = base::ResultCode::kOk;
   std::uint32_t attempts = 0;
   std::string service;
-  /// Dispatches after the first, by what led to them.
+  /// Dispatches after the first one, by the cause of the retry.
   RetryCounts retries{};
   base::Duration timeToFirstByte{};
   base::Duration duration{};
   bool callerDisconnected = false;
-  /// Shared tokens of the prompts of all attempts, by where the node expected them to come from.
+  /// Shared prompt tokens of all attempts, by where the node expected the replica to get them from:
+  /// its cache, a fetch from another replica, or prefill.
   std::uint64_t cachedTokens = 0;
   std::uint64_t fetchedTokens = 0;
   std::uint64_t prefillTokens = 0;
-  /// Empty without a tenant, or where it has none of its own.
+  /// Priority of the tenant; empty if there is no tenant or if it has no priority of its own.
   std::optional<std::uint32_t> tenantPriority;
 };
 
@@ -105,7 +119,7 @@
   virtual void onRelayFinished(const config::Route& route, const RelayOutcome& outcome) = 0;
 };
 
-/// All must outlive the flows and share their thread.
+/// Services used by the flows. All must outlive the flows and are used on their thread.
 struct RelayDependencies {
   base::Clock& clock;
   base::TimerService& timers;
@@ -124,30 +138,30 @@
   RelayObserver& observer;
 };
 
-/// What is fixed when the request is taken up.
+/// Configuration that applies to a request. It is fixed when the request is accepted.
 struct RelayAssignment {
   /// Keeps `route`, `tenant` and `service` alive.
   config::RouteTablePtr table;
   const config::Route* route = nullptr;
   /// Null on routes without a key.
   const config::TenantAccess* tenant = nullptr;
-  /// As of when the table was proved to be the newest as its key was looked up; empty where the
-  /// configuration need not be confirmed.
+  /// Time as of which the table was known to be the newest one when the key was looked up. Empty if
+  /// the configuration does not have to be confirmed.
   std::optional<base::TimePoint> confirmedAt;
   const config::Service* service = nullptr;
-  /// What the request takes of its tenant's limit; empty without one.
+  /// Quota that the request takes from its tenant's limit; empty if the tenant has no limit.
   std::optional<admission::QuotaDemand> demand;
 };
 
 class RelayFlow final : public clients::RelayHandler,
                         public std::enable_shared_from_this<RelayFlow> {
  public:
-  /// Says whether the request may still be sent: its key may have been taken away, or the
-  /// configuration may no longer be confirmed. Asked before each dispatch.
+  /// Checks before each dispatch whether the request may still be sent, since its key may have been
+  /// revoked or the configuration may no longer be confirmed. Returns the refusal if it may not.
   using DispatchCheck = std::function<std::optional<RelayRefusal>(const IncomingRequest&)>;
-  /// Called once when the request is over; the flow may be destroyed inside.
+  /// Called once when the request has ended. The flow may be destroyed inside the call.
   using FinishedCallback = std::function<void(RelayFlow&)>;
-  /// The number of nodes that share the replicas.
+  /// Returns the number of nodes that share the replicas.
   using NodeCount = std::function<std::size_t()>;
 
   struct Hooks {
@@ -163,10 +177,11 @@
   RelayFlow& operator=(const RelayFlow&) = delete;
 
   void start();
-  /// The caller went away: work for it ends at once.
+  /// Called when the caller disconnected. Ends the request at once.
   void onCallerDisconnected();
-  /// A version of weights was named or dated, or the clock has jumped: the attempt may have to
-  /// begin earlier than was known when it was sent.
+  /// Called when a version of the weights was announced, when the time of its announcement became
+  /// known, or when the clock has jumped. The attempt may have to start earlier than was known when
+  /// it was sent.
   void onWeightsChanged();
 
   bool stillWanted() const override;
@@ -177,13 +192,13 @@
 
  private:
   using Candidates = std::vector<routing::ReplicaRecordPtr>;
-  /// The holders of one part, by its place in the chain.
+  /// Holders of one part. `part` is the index of the part in the chain.
   struct FoundHolders {
     std::size_t part = 0;
     std::vector<routing::PartHolder> holders;
   };
 
-  /// What is known of an attempt that failed.
+  /// Whether a failed attempt may have been executed.
   enum class FailureKind : std::uint8_t { kNeverArrived, kNotRun, kMayHaveRun };
 
   /// One dispatch to one replica.
@@ -191,130 +206,143 @@
     routing::ReplicaDecision decision;
     base::TimePoint sentAt{};
     std::uint32_t tokens = 0;
-    /// Tokens of the prompt that the replica must read.
+    /// Number of prompt tokens that the replica must prefill.
     std::uint32_t prefillTokens = 0;
-    /// What the replica takes until its answer begins when nothing else runs there.
+    /// Time until the replica starts its response if it has no other requests.
     base::Duration expectedPrefillTime{};
     bool headReceived = false;
     bool bodyReceived = false;
     std::optional<clients::RelayedAnswer> response;
-    /// What the replica's home counts the attempt under, and what it is told in the end.
+    /// Grant under which the home node of the replica counts the attempt, and the outcome that is
+    /// reported to it at the end.
     routing::PlacementGrant grant;
     routing::PlacementOutcome outcome = routing::PlacementOutcome::kWithdrawn;
     StreamWatch watch;
-    /// It tries whether the replica takes requests again after a rest.
+    /// The attempt is a probe of whether the replica accepts requests again after a back-off.
     bool isProbe = false;
-    /// No connection could be had, or it was no longer wanted when there was one.
+    /// The attempt was not sent, because no connection could be made or because the replica was no
+    /// longer eligible when the connection was ready.
     bool notSent = false;
   };
 
   bool streaming() const { return assignment_.route->kind == config::RequestKind::kStreaming; }
   bool resumable() const { return streaming() && assignment_.route->resumable; }
   base::Duration timeLeft() const { return deadline_ - dependencies_.clock.now(); }
-  /// Tokens of the prompt and the longest answer.
+  /// Number of tokens of the prompt and of the longest possible response.
   std::uint32_t maximumTotalTokens() const;
   std::uint32_t promptTokens() const;
   std::uint32_t expectedOutputTokens() const;
-  /// The request is one of those that are kept together because they run long.
+  /// Whether the request is expected to be long-running, so that it is placed on the replicas set
+  /// aside for long-running requests.
   bool isLongRunning() const;
   routing::ReplicaQuery query() const;
-  /// Rank among requests, 0 is the most urgent: the tenant's goes before the route's.
+  /// Priority of the request; 0 is the most urgent. The tenant's priority takes precedence over
+  /// that of the route.
   std::uint32_t urgency() const;
   std::string tenantName() const;
 
-  /// Takes up a request within its tenant's limit, or refuses it.
+  /// Continues with a request that is within its tenant's limit, or refuses it.
   void onAllowance(const admission::QuotaVerdict& verdict);
   void choose();
-  /// Whether the request may still be sent; ends it if not.
+  /// Whether the request may still be sent. If not, ends the request.
   bool verifyDispatchAllowed();
-  /// Why it may not be sent; empty if it may.
+  /// The refusal if the request may not be sent; empty if it may.
   std::optional<RelayRefusal> dispatchRefusal() const;
-  /// Empty unless the request is in quarantine.
+  /// The refusal if the request is in quarantine; empty otherwise.
   std::optional<RelayRefusal> quarantineRefusal() const;
-  /// Asks the homes of the decision's candidates where the request should go.
+  /// Queries the home nodes of the decision's candidates for a replica that accepts the request.
   void requestPlacement(const routing::ReplicaDecision& decision);
   void onPlaced(const Candidates& candidates, const routing::PlacementResult& result);
-  /// How the request stands among others that wait for the same room.
+  /// Scheduling constraints of the request in a queue with others for the same replica.
   routing::PlacementConstraints placementConstraints() const;
-  /// How long the first candidate may take to turn to it before the next one's home is asked.
+  /// Acceptable wait at the first candidate, after which the home node of the next candidate is
+  /// queried as well.
   base::Duration acceptableWait() const;
-  /// A home refused the request, no replica may take it, or no home answered.
+  /// Handles a placement without a result: a home node refused the request, no replica accepts it,
+  /// or no home node replied.
   void onPlacementFailed(const Candidates& candidates, const routing::PlacementResult& result);
-  /// The request cannot be served in time by any replica: it ends at once.
+  /// Ends the request at once, because no replica can serve it in time.
   void refuseUnplaced(std::string_view why, base::Duration retryAfter);
-  /// Sends the request by what this node knows, or holds it.
+  /// Sends the request according to the local state of this node only, or holds it.
   void decideLocally(routing::ReplicaDecision decision);
-  /// Shared tokens of the prompt that the replica must read as far as is known.
+  /// Number of shared prompt tokens that the replica has to prefill, as far as this node knows.
   std::uint32_t sharedPrefillTokens(const routing::ReplicaDecision& decision) const;
-  /// Whether the decision would read shared parts of which other nodes may know a holder.
+  /// Whether the decision would have to prefill shared parts for which other nodes may know a
+  /// holder.
   bool shouldLookUpHolders(const routing::ReplicaDecision& decision) const;
-  /// Whether this node watches all replicas' caches itself.
+  /// Whether this node itself receives the cache events of all replicas.
   bool knowsAllCaches() const;
-  /// Places in the chain of the parts whose homes are asked: the deepest shared one, and the first
-  /// where it is long and no holder is known. Many prompts begin with the first, so that it can be
-  /// fetched where the deeper ones are new.
+  /// Indexes in the chain of the parts whose holders are looked up: the deepest shared part, and
+  /// the first part if it is long and no holder of it is known. Many prompts begin with the same
+  /// first part, so it can often be fetched even if the deeper parts are new.
   std::vector<std::size_t> partsToLookUp(routing::CacheScope scope) const;
-  /// Asks the homes of shared parts for holders, and chooses again.
+  /// Queries the home nodes of shared parts for holders, and then chooses a replica again.
   void lookUpHolders(routing::CacheScope scope);
-  /// Takes in what the homes answered.
+  /// Records the holders that the home nodes returned.
   void recordHolders(routing::CacheScope scope);
-  /// Tells the home of the deepest shared part that the replica has read it, and that of the first
-  /// where few replicas are known to have it.
+  /// Notifies the home node of the deepest shared part that the replica now holds it. Also notifies
+  /// the home node of the first part if few holders of that part are known.
   void publishHolder(const routing::ReplicaDecision& decision);
   void hold(std::string_view why, base::Duration interval);
-  /// A replica at which the request failed could be sent it again.
+  /// Whether a replica at which the request failed accepts requests, so that it could be tried
+  /// again.
   bool anyTriedReplicaAccepts() const;
-  /// All replicas want rest, the first until then: holds the request where that leaves it time to
-  /// be served, else refuses it at once.
+  /// Handles the case that all replicas have requested back-off, the earliest of them until `end`.
+  /// Holds the request until then if enough time remains to serve it; otherwise refuses it at once.
   void waitForBackOff(base::TimePoint end, std::string_view why);
-  /// Counts the retry that the next dispatch is, if it is one. When the budget no longer allows it,
-  /// gives the grant back and ends the request, and is false.
+  /// Counts the next dispatch against the retry budget if it is a retry. If the budget no longer
+  /// allows it, releases the grant, ends the request and returns false.
   bool countRetry(const routing::PlacementGrant& grant);
   void dispatch(routing::ReplicaDecision decision, const routing::PlacementGrant& grant);
-  /// The replica names no rate limit, or its home has counted the request just now.
+  /// Whether the replica reports no rate limit, or its home node has counted the request just now.
   bool withinRateLimit(const routing::ReplicaRecord& replica,
                        const routing::PlacementGrant& grant) const;
   void logDispatch(const routing::ReplicaDecision& decision, const routing::PlacementGrant& grant,
                    const clients::DispatchTerms& terms) const;
-  /// Adds the decision's expectation to the sums of the outcome.
+  /// Adds the tokens that the decision expects to the sums reported in the outcome.
   void countTokens(const routing::ReplicaDecision& decision);
   clients::DispatchTerms termsFor(const routing::ReplicaDecision& decision) const;
   void armReceiveTimeout();
   void onReceiveTimeout();
-  /// Where the attempt is silent, no other replica has room beyond its rate: waiting on is better
-  /// than giving up what has been granted.
+  /// Whether all other replicas are at their rate limits. If the replica of the attempt is then
+  /// unresponsive, it is better to keep waiting than to give up the granted capacity.
   bool othersAreRateLimited();
-  /// Ends an attempt that has not begun when its version of the weights is out of date.
+  /// Starts the timer that ends the attempt if it has not started when its version of the weights
+  /// becomes outdated.
   void armStartDeadline();
   void onStartDeadline();
-  /// The replica has neither begun the attempt nor refused it.
+  /// Whether the replica has neither started nor refused the attempt.
   bool mayStillStart() const;
   void logWithdrawal();
   void onDeadline();
 
-  /// Takes in what the replica says of itself beside the answer.
+  /// Records the notices about its own state that the replica sent along with the response: that it
+  /// is leaving, its rate limit, or a back-off.
   void recordNotices(const clients::RelayedAnswer& response);
-  /// The replica did not run the request: another may.
+  /// Handles a response that reports that the replica did not execute the request, so that another
+  /// replica may.
   void onNotRun(const clients::RelayedAnswer& response);
   void recordRefusal(const clients::RelayedAnswer& response);
-  /// The attempt failed and may have run.
+  /// Handles the failure of an attempt that may have been executed.
   void onAttemptLost(RetryCause cause, std::string_view why);
-  /// Ends the attempt and takes it up elsewhere where the route, the budget and the time allow;
-  /// false if they do not.
+  /// Ends the attempt and retries on another replica if the route, the budget and the remaining
+  /// time allow it. Returns false if they do not.
   bool retryOnAnotherReplica(RetryCause cause, std::string_view why, FailureKind kind);
-  /// Reserves a retry of the budget. Gives what stands against it, empty when nothing does.
+  /// Reserves a retry from the budget. Returns the reason why no retry is possible, or an empty
+  /// text if the retry was reserved.
   std::string_view reserveRetry(FailureKind kind);
   void startRetry(RetryCause cause);
   void logAttemptFailure(RetryCause cause, std::string_view why, std::string_view notRetried);
-  /// The attempt is over; its connection closes unless the answer was whole.
+  /// Ends the attempt. Its connection is closed unless the response was complete.
   void endAttempt();
   void endResponseWait();
-  /// The replica's answer has begun, or will not; `taken` where it did not turn the request away.
+  /// Ends the probe, if the attempt is one, because the response has started or will not arrive.
+  /// `accepted` is true if the replica did not refuse the request.
   void endProbe(bool accepted);
-  /// Tells the replica's home what became of the attempt.
+  /// Reports the outcome of the attempt to the home node of the replica.
   void reportOutcome();
 
-  /// Starts the caller's answer with the attempt's head.
+  /// Starts the response to the caller with the response headers of the attempt.
   void beginResponse(std::optional<std::uint64_t> length);
   void deliver(std::string_view bytes);
   void recordReplicaAsHolder();
@@ -335,49 +363,51 @@
   Hooks hooks_;
   base::TimePoint deadline_{};
   base::TimePoint holdUntil_{};
-  /// What is sent later than this is of no use to the caller, or counts in another window of its
-  /// tenant's limit.
+  /// Hard deadline for the start of the request. A later dispatch would be of no use to the caller,
+  /// or would count in another window of the tenant's limit.
   base::TimePoint hardStartDeadline_{};
 
   TenantAllowance allowance_;
   std::unique_ptr<clients::RelayCall> call_;
   std::optional<Attempt> attempt_;
-  /// Covers the next dispatch, or the latest one, where an earlier one may have arrived.
+  /// Reservation for the next dispatch or, once sent, the latest one; set if an earlier dispatch
+  /// may have reached a replica.
   std::optional<admission::RetryReservation> retry_;
-  /// Why the next dispatch, or the latest one, is sent; empty for the first.
+  /// Cause of the next dispatch or, once sent, the latest one; empty for the first dispatch.
   std::optional<RetryCause> retryCause_;
   RetryCounts retries_{};
   std::vector<std::string> excluded_;
   std::uint32_t dispatches_ = 0;
-  /// Attempts that the replica may have run.
+  /// Number of attempts that may have been executed by a replica.
   std::uint32_t runs_ = 0;
   std::uint32_t refusals_ = 0;
-  /// The home of the deepest shared part has been asked for holders.
+  /// Holders have been looked up for this request.
   bool holdersLookedUp_ = false;
   std::size_t pendingLookups_ = 0;
   std::vector<FoundHolders> foundHolders_;
   bool firstPartHasFewHolders_ = false;
-  /// Replicas that may not take requests by their homes, as asked lately.
+  /// Replicas that are skipped for now, because according to the latest replies of their home nodes
+  /// they do not accept requests.
   std::vector<std::string> skippedReplicas_;
-  /// The request is being placed; 0 while it is not.
+  /// Ticket of the placement in progress; 0 if there is none.
   routing::Placement::Ticket placementTicket_ = 0;
-  /// No home answered; none is asked before this.
+  /// Time before which no home node is queried, because none replied to the latest query.
   base::TimePoint nextPlacementAt_{};
 
-  /// The answer's head has reached the caller.
+  /// The response headers have been sent to the caller.
   bool headDelivered_ = false;
-  /// Body kept until it is certain to be used.
+  /// Response body, buffered until it is certain that this response will be used.
   std::string bufferedBody_;
   EventSplitter events_;
   bool paused_ = false;
   bool ended_ = false;
   base::Duration timeToFirstByte_{};
-  /// From the arrival to the latest dispatch.
+  /// Time from the arrival of the request to the latest dispatch.
   base::Duration heldFor_{};
-  /// Where the request was sent last, and what its stream was like there.
+  /// Instance to which the request was sent last, and the observed timing of its stream from there.
   std::string lastReplica_;
   routing::StreamObservation lastStream_;
-  /// Requests that waited for the same room when a home last answered.
+  /// Number of requests that were queued for the same replica when a home node last replied.
   std::uint32_t queuedAtHome_ = 0;
   unsigned status_ = 0;
   std::uint64_t cachedTokens_ = 0;
--- a/src/request/relay_flow_answer.cc
+++ b/src/request/relay_flow_answer.cc
@@ -1,4 +1,5 @@
-// The answer of an attempt: what of it reaches the caller, and what it teaches about the replica.
+// RelayFlow: handles the response of an attempt, passes it on to the caller, and records what it
+// shows about the replica.
 #include <algorithm>
 #include <utility>
 
@@ -13,9 +14,10 @@
 constexpr unsigned kMultipleChoices = 300;
 constexpr unsigned kInternalError = 500;
 
-/// Bounds of the wait for an answer's first byte before a repeatable request goes elsewhere.
+/// Minimum wait for the first byte of a response before a repeatable request is retried on another
+/// replica.
 constexpr base::Duration kMinimumFirstByteTimeout = std::chrono::milliseconds(250);
-/// Least silence in the middle of a stream that counts as a broken one.
+/// Minimum time without data in the middle of a stream after which the stream counts as broken.
 constexpr base::Duration kMinimumStreamTimeout = std::chrono::milliseconds(1200);
 
 bool successful(unsigned status) { return status >= kOk && status < kMultipleChoices; }
@@ -50,12 +52,13 @@
 void RelayFlow::onWeightsChanged() {
   if (!mayStillStart() || !incoming_.prompt) return;
   const auto self = shared_from_this();
-  // What was known at the dispatch may be too late by now, or nothing.
+  // At the time of the dispatch the deadline may have been unknown, or later than it is now.
   auto& decision = attempt_->decision;
   decision.startDeadline =
       dependencies_.choice.startDeadline(incoming_.prompt->model, decision.version);
-  // Where it has passed, the timer fires next: answers that came meanwhile are read first, and no
-  // request is taken up inside the call that changed the date.
+  // If the deadline has passed already, the timer fires in the next turn of the event loop. So
+  // responses that have arrived in the meantime are processed first, and no request is retried
+  // inside the call that changed the deadline.
   armStartDeadline();
 }
 
@@ -126,7 +129,7 @@
        {"request", incoming_.request->id},
        {"rest_ms", millisecondsText(response.rest)},
        {"rests_for_ms", millisecondsText(record.notices().backOffUntil() - now)},
-       {"why", response.restUnreadable ? "a time that it asked for cannot be read" : ""}});
+       {"why", response.restUnreadable ? "the requested back-off time cannot be parsed" : ""}});
 }
 
 void RelayFlow::onBody(std::string_view bytes) {
@@ -140,7 +143,7 @@
     return;
   }
   const bool stream = streaming() && successful(response.status);
-  // A failure in answer to a resumed stream is no part of it.
+  // The body of an error response to a resumed stream does not belong to the stream.
   if (resumable() && headDelivered_ && !stream) return;
   if (stream && !attempt.bodyReceived) {
     recordReplicaAsHolder();
@@ -181,7 +184,7 @@
 }
 
 void RelayFlow::deliver(std::string_view bytes) {
-  // A resumed stream may have another length than its first attempt announced.
+  // A resumed stream may differ in length from what its first attempt announced.
   if (!headDelivered_) beginResponse(resumable() ? std::nullopt : attempt_->response->length);
   writer_->write(bytes);
 }
@@ -200,7 +203,7 @@
     record.health().onFailure(now, dependencies_.replicas.failureRateOfOthers(record));
     if (!headDelivered_ && reserveRetry(FailureKind::kMayHaveRun).empty()) {
       logAttemptFailure(RetryCause::kFailed,
-                        "the replica answered " + std::to_string(response.status), {});
+                        "the replica responded with status " + std::to_string(response.status), {});
       startRetry(RetryCause::kFailed);
       return;
     }
@@ -209,7 +212,7 @@
     record.health().onSuccess(now);
   }
   if (headDelivered_ && !successful(response.status)) {
-    abortStream("a resumed stream was answered " + std::to_string(response.status));
+    abortStream("the resumed stream was answered with status " + std::to_string(response.status));
     return;
   }
   if (events_.hasIncomplete()) {
@@ -242,7 +245,8 @@
   auto& record = *attempt_->decision.replica;
   if (error.failure == clients::DispatchFailure::kNotSent) {
     attempt_->notSent = true;
-    // What was not sent because the replica wants no more says nothing of its health.
+    // If the request was not sent because the replica is no longer eligible, this says nothing
+    // about its health.
     if (stillWanted()) {
       attempt_->outcome = routing::PlacementOutcome::kUnreachable;
       record.health().onUnreachable(now);
--- a/src/request/relay_flow_dispatch.cc
+++ b/src/request/relay_flow_dispatch.cc
@@ -1,4 +1,5 @@
-// One attempt goes out: what is asked last, what the replica is told, and what is logged.
+// RelayFlow: dispatches an attempt, with the last checks, the metadata sent to the replica, and the
+// log entry.
 #include <algorithm>
 #include <utility>
 
@@ -9,7 +10,8 @@
 
 namespace {
 
-/// The deepest shared part of the prompt, as a number that is equal on all nodes.
+/// Identifier of the deepest shared part of the prompt, which is the same on all nodes; empty if
+/// there is none.
 std::string sharedPart(const IncomingRequest& incoming) {
   if (!incoming.prompt) return {};
   const auto part = incoming.prompt->chain.deepestShared();
@@ -41,7 +43,7 @@
 void RelayFlow::dispatch(routing::ReplicaDecision decision, const routing::PlacementGrant& grant) {
   const auto now = dependencies_.clock.now();
   if (!decision.replica->acceptsRequests(now)) {
-    // Whatever way led here: it was chosen, or granted, before it said that it wants no more.
+    // The replica was chosen or granted before it reported that it accepts no more requests.
     dependencies_.placement.returnGrant(grant);
     choose();
     return;
--- a/src/request/relay_flow_end.cc
+++ b/src/request/relay_flow_end.cc
@@ -1,4 +1,4 @@
-// The end of a request: whole, refused, cut, or because its caller left.
+// RelayFlow: ends a request that is complete, refused or aborted, or whose caller disconnected.
 #include <utility>
 
 #include "request/relay_flow.h"
@@ -99,7 +99,7 @@
   if (ended_) return;
   const auto self = shared_from_this();
   ended_ = true;
-  // An attempt under way may run to its end though its connection closes.
+  // An attempt in flight may still be executed to its end although its connection is closed.
   const bool running = attempt_ && !(attempt_->response && wasNotRun(*attempt_->response));
   dependencies_.placement.cancel(placementTicket_);
   endAttempt();
--- a/src/request/relay_flow_internal.h
+++ b/src/request/relay_flow_internal.h
@@ -1,5 +1,5 @@
 /// \file
-/// Constants and texts shared by the files of RelayFlow.
+/// Constants and functions shared by the source files of RelayFlow.
 #pragma once
 
 #include <string>
@@ -12,17 +12,18 @@
 inline constexpr unsigned kBadRequest = 400;
 inline constexpr unsigned kMisdirected = 421;
 inline constexpr unsigned kServiceUnavailable = 503;
-/// Not worth an attempt any more.
+/// If less time than this is left, no further attempt is made.
 inline constexpr base::Duration kMinimumAttemptTime = std::chrono::milliseconds(5);
-/// A request that a restarting node or a full service refused may come back this soon.
+/// Retry-After time of requests that were refused because replicas are restarting or at capacity.
 inline constexpr base::Duration kRetryAfterRefusals = std::chrono::milliseconds(200);
 
-/// The replica answered that it did not run the request.
+/// Whether the response reports that the replica did not execute the request.
 inline bool wasNotRun(const clients::RelayedAnswer& response) {
   return response.notExecuted || response.status == kMisdirected;
 }
 
-/// Whether a final answer with the status says that the request has not run and never will.
+/// Whether a final response with this status promises that the request was not executed and never
+/// will be.
 inline bool promisesNotRun(unsigned status) {
   constexpr unsigned kRequestTimeout = 408;
   constexpr unsigned kTooManyRequests = 429;
--- a/src/request/relay_flow_parts.cc
+++ b/src/request/relay_flow_parts.cc
@@ -1,5 +1,5 @@
-// What a request asks and tells other nodes: the home of its prompt's deepest shared part, and the
-// homes of the replicas that it could go to.
+// RelayFlow: communication with other nodes, namely the home nodes of shared prompt parts and the
+// home nodes of candidate replicas.
 #include <algorithm>
 
 #include "request/relay_flow.h"
@@ -54,13 +54,15 @@
 void RelayFlow::recordHolders(routing::CacheScope scope) {
   const auto& parts = incoming_.prompt->chain.parts();
   auto& known = dependencies_.holders;
-  // Homes are told what replicas drop; what this node remembers of others' caches is older.
+  // Home nodes are notified when replicas evict parts. What this node has recorded about the caches
+  // may be older.
   if (!knowsAllCaches()) {
     for (const auto& found : foundHolders_) known.removePart(scope, parts[found.part].id);
   }
   for (const auto& found : foundHolders_) {
     std::size_t usableHolders = 0;
-    // What is held under other weights, or by another isolated tenant, is of no use here.
+    // Parts cached for another version of the weights or for another isolated tenant cannot be
+    // used.
     for (const auto& holder : found.holders) {
       if (holder.scope != scope) continue;
       ++usableHolders;
@@ -131,7 +133,7 @@
   constraints.longestPause = route.gapTarget;
   constraints.outputTokens = expectedOutputTokens();
   if (headDelivered_) {
-    // A stream that is taken up again is late already: its caller waits for the next event.
+    // A resumed stream is late already, because its caller is waiting for the next event.
     constraints.softStartDeadline = dependencies_.clock.now() + route.targetLatency;
     constraints.hardStartDeadline = deadline_;
   }
@@ -179,7 +181,7 @@
   auto decision = dependencies_.choice.decide(query(), candidates[*result.candidate],
                                               result.matchedTokens, now);
   if (!decision) {
-    // The replica began to leave, or to change its weights, while its home was asked.
+    // The replica began to leave or to change its weights while its home node was queried.
     release();
     choose();
     return;
--- a/src/request/relay_flow_retries.cc
+++ b/src/request/relay_flow_retries.cc
@@ -1,4 +1,4 @@
-// What follows from an attempt that did not give the answer: another one, or the end.
+// RelayFlow: handles attempts that failed, by a retry or by ending the request.
 #include <algorithm>
 #include <utility>
 
@@ -17,7 +17,7 @@
   const bool counted = attempt_->response.has_value();
   if (!counted) ++runs_;
   if (!reserveRetry(FailureKind::kMayHaveRun).empty()) {
-    // Waiting on is better than giving up.
+    // Without a possible retry it is better to keep waiting than to end the request.
     if (!counted) --runs_;
     return;
   }
@@ -72,10 +72,11 @@
     return;
   }
   attempt_->outcome = routing::PlacementOutcome::kRefused;
-  // A replica that says for how long it wants rest is well: to eject it would keep others from it.
+  // A replica that states how long it backs off is healthy. Ejecting it would only keep other
+  // requests away from it.
   if (response.status == kServiceUnavailable && response.rest > base::Duration::zero()) return;
   record.setAtCapacity(now + std::max(options_.fullBackOff, response.rest));
-  // Nor is one ill that says how much it takes.
+  // A replica that reports its rate limit is healthy, too.
   if (response.rateLimit.limited()) return;
   record.health().onFailure(now, dependencies_.replicas.failureRateOfOthers(record));
 }
@@ -95,7 +96,7 @@
     return;
   }
   if (headDelivered_) {
-    abortStream("no replica took the stream up");
+    abortStream("no replica resumed the stream");
   } else if (runs_ > 0) {
     refuse(base::ResultCode::kBackEndLost, "the replicas refused another attempt", {});
   } else {
@@ -135,7 +136,7 @@
 }
 
 bool RelayFlow::countRetry(const routing::PlacementGrant& grant) {
-  // It may have waited for a replica, while the requests that allowed it left the window.
+  // The retry may have waited for a replica while the requests that paid for it left the window.
   if (!retry_ || retry_->send(dependencies_.clock.now())) return true;
   dependencies_.placement.returnGrant(grant);
   refuseUnplaced(kRetryBudgetUsedUp, kRetryAfterRefusals);
--- a/src/request/relay_request.h
+++ b/src/request/relay_request.h
@@ -1,5 +1,5 @@
 /// \file
-/// A request to be relayed, as the gateway reads it, and the caller's end of its answer.
+/// A request to be relayed, as parsed by the gateway, and the writer of its response to the caller.
 #pragma once
 
 #include <cstdint>
@@ -16,64 +16,70 @@
 
 namespace covewing::request {
 
-/// What a caller says of its prompt.
+/// Information about the prompt that the caller declares in request headers.
 struct PromptMetadata {
   std::string model;
   prefix::PartChain chain;
   std::uint32_t promptTokens = 0;
   std::uint32_t maximumOutputTokens = 0;
-  /// The caller's guess at the tokens that will be made; often far off.
+  /// The caller's estimate of the number of output tokens; often inaccurate.
   std::optional<std::uint32_t> outputLengthHint;
 
-  /// The hint, or half of the most where there is none.
+  /// Expected number of output tokens: the caller's estimate or, without one, half of the maximum.
   std::uint32_t expectedOutputTokens() const {
     return outputLengthHint.value_or(maximumOutputTokens / 2);
   }
 };
 
-/// One request as it was read.
+/// A caller's request as it was parsed.
 struct IncomingRequest {
   clients::RelayedRequestPtr request;
   std::string host;
-  /// Path without the query.
+  /// Path of the request target, without the query.
   std::string path;
-  /// Empty when the caller sent none.
+  /// Tenant key; empty if the caller sent none.
   std::string key;
-  /// How long the caller waits, from `arrivedAt`; empty when it does not say.
+  /// Time that the caller is willing to wait, counted from `arrivedAt`; empty if it does not state
+  /// one.
   std::optional<base::Duration> deadline;
   base::TimePoint arrivedAt{};
   /// Empty for requests without a prompt.
   std::optional<PromptMetadata> prompt;
-  /// Tokens of the prompt and of the longest answer; empty when the caller states none.
+  /// Number of tokens of the prompt and of the longest possible response, as declared by the
+  /// caller; empty if it declares none.
   std::optional<std::uint32_t> declaredTokens;
-  /// The caller takes a stream up behind this event.
+  /// Identifier of the event after which the caller wants to resume a stream; empty for a new
+  /// stream.
   std::string lastEventId;
 };
 
-/// A final answer of the node's own.
+/// A final response that this node generates itself to refuse a request.
 struct RelayRefusal {
   base::Reason reason;
   unsigned status = 0;
-  /// When the caller should come back; zero: nothing is said.
+  /// Time after which the caller should retry; zero if no time is stated.
   base::Duration retryAfter{};
-  /// The caller's connection is closed after the answer, so that it comes back to another node.
+  /// Whether the connection is closed after the response, so that the caller reconnects to another
+  /// node.
   bool closeConnection = false;
 };
 
-/// The caller's end. After `end`, `refuse` or `abort` nothing follows. Calls after the caller went
-/// away do nothing.
+/// Writes the response to the caller. No calls follow after `end`, `refuse` or `abort`. Calls after
+/// the caller disconnected have no effect.
 class ResponseWriter {
  public:
   virtual ~ResponseWriter() = default;
-  /// Starts an answer; with a length the body is sent as it is, else in chunks.
+  /// Starts the response. If its length is known, the body is sent unchanged; otherwise it is sent
+  /// in chunks.
   virtual void begin(const clients::RelayedAnswer& answer) = 0;
   virtual void write(std::string_view bytes) = 0;
-  /// Ends the answer as complete.
+  /// Ends the response as complete.
   virtual void end() = 0;
   virtual void refuse(const RelayRefusal& refusal) = 0;
-  /// Closes the connection, so that the caller sees an incomplete answer.
+  /// Closes the connection, so that the caller sees an incomplete response.
   virtual void abort() = 0;
-  /// Called with true when the caller does not keep up, with false when it does again.
+  /// Sets the listener for back-pressure. It is called with true when the caller reads too slowly,
+  /// and with false when it has caught up.
   virtual void onPressure(std::function<void(bool)> listener) = 0;
 };
 
--- a/src/request/relay_service.cc
+++ b/src/request/relay_service.cc
@@ -58,7 +58,7 @@
 }
 
 void RelayService::onWeightsChanged() {
-  // Flows may end inside, and take others' turns.
+  // Flows may end inside the call and thereby let others proceed, which changes `flows_`.
   std::vector<FlowPtr> flows;
   flows.reserve(flows_.size());
   for (const auto& [number, flow] : flows_) flows.push_back(flow);
--- a/src/request/relay_service.h
+++ b/src/request/relay_service.h
@@ -1,10 +1,10 @@
 /// \file
-/// Takes up relayed requests: finds route, tenant and service in the configuration in force,
-/// refuses what it does not allow, and runs a flow for each of the others.
+/// Accepts relayed requests: finds the route, tenant and service in the configuration in force,
+/// refuses requests that it does not allow, and runs a flow for each of the others.
 ///
-/// A node that knows no configuration refuses everything as not run. Keys are accepted only while
-/// the configuration was confirmed within the revocation bound, so that a key that was taken away
-/// is refused by every node in time, also by one that lost touch or was paused.
+/// A node without a configuration refuses all requests as not run. Keys are accepted only if the
+/// configuration was confirmed recently enough, so that a revoked key is refused by every node
+/// within the revocation bound, also by a node that lost contact or was paused.
 #pragma once
 
 #include <map>
@@ -18,19 +18,21 @@
 
 namespace covewing::request {
 
-/// What a node knows of its configuration.
+/// Access to the configuration of the node.
 class RouteTableSource {
  public:
   virtual ~RouteTableSource() = default;
-  /// Null before the first one.
+  /// The route table in force; null before the first one was received.
   virtual config::RouteTablePtr table() const = 0;
-  /// When the table was last proved to be the newest; empty when never.
+  /// Time as of which the table was last known to be the newest one; empty if this was never
+  /// confirmed.
   virtual std::optional<base::TimePoint> confirmedAt() const = 0;
 };
 
 struct RelayServiceOptions {
   RelayOptions relay;
-  /// Keys are accepted for so long after the last confirmation; zero: without bound.
+  /// Time for which keys are accepted after the last confirmation of the configuration; zero means
+  /// no limit.
   base::Duration confirmationBound{};
   admission::QuotaWindow quotaWindow;
   base::Duration retryAfterNoConfiguration = std::chrono::milliseconds(500);
@@ -48,27 +50,29 @@
   RelayService(const RelayService&) = delete;
   RelayService& operator=(const RelayService&) = delete;
 
-  /// Takes a request up. The flow, empty when the request was refused, is told by its owner when
-  /// the caller goes away.
+  /// Accepts or refuses a request. Returns its flow, or an empty pointer if the request was
+  /// refused. The caller of this function must notify the flow when the caller of the request
+  /// disconnects.
   std::weak_ptr<RelayFlow> begin(IncomingRequest incoming, std::unique_ptr<ResponseWriter> writer);
   std::size_t openRequests() const { return flows_.size(); }
-  /// A version of weights was named or dated, or the clock has jumped: requests under way that must
-  /// begin earlier than was known when they were sent are taken back by then, or at once.
+  /// Called when a version of the weights was announced, when the time of its announcement became
+  /// known, or when the clock has jumped. Requests in flight that must start earlier than was known
+  /// when they were sent are withdrawn by that time, or at once if it has passed.
   void onWeightsChanged();
-  /// From now on new requests are refused as not run: the node stops before they would be over.
+  /// Refuses new requests as not run from now on, because the node would stop before they end.
   void refuseNewRequests() { draining_ = true; }
-  /// Whether keys may be accepted now.
+  /// Whether the configuration was confirmed recently enough for keys to be accepted.
   bool confirmed() const;
 
  private:
   std::optional<RelayRefusal> assign(const IncomingRequest& incoming, RelayAssignment& assignment);
   std::optional<RelayRefusal> checkKey(const IncomingRequest& incoming,
                                        RelayAssignment& assignment);
-  /// Asked again before each dispatch.
+  /// Checks the key and the confirmation of the configuration again, before each dispatch.
   std::optional<RelayRefusal> recheck(const IncomingRequest& incoming,
                                       const RelayAssignment& assignment) const;
   RelayRefusal unconfirmed() const;
-  /// What the request takes of its tenant's limit; empty without one.
+  /// Quota that the request takes from its tenant's limit; empty if the tenant has no limit.
   std::optional<admission::QuotaDemand> demandOf(const IncomingRequest& incoming,
                                                  const RelayAssignment& assignment) const;
   const config::Service* chooseService(const config::RouteTable& table, const config::Route& route);
@@ -77,11 +81,12 @@
   RelayDependencies dependencies_;
   const RouteTableSource& tables_;
   RelayFlow::NodeCount nodes_;
-  /// In the order of arrival.
+  /// Open flows in the order of their arrival.
   std::map<std::uint64_t, FlowPtr> flows_;
   std::uint64_t lastFlowNumber_ = 0;
   bool draining_ = false;
-  /// Smooth weighted round robin: the credit of each share, by route and service.
+  /// State of the smooth weighted round robin: the credit of each share of a split route, by route
+  /// and service.
   std::unordered_map<std::string, double> credits_;
 };
 
--- a/src/request/request_fingerprint.h
+++ b/src/request/request_fingerprint.h
@@ -1,6 +1,6 @@
 /// \file
-/// The fingerprint of a request: what tells whether a request that comes again, under another
-/// identifier and at any node, asks the same of a replica as one before.
+/// The fingerprint of a request. Requests with the same fingerprint demand the same work of a
+/// replica, even if they have different identifiers and arrive at different nodes.
 #pragma once
 
 #include <string_view>
@@ -10,8 +10,9 @@
 
 namespace covewing::request {
 
-/// Of the path with its query, the tenant's name and the body. A tenant's keys do not count, since
-/// no replica sees them; headers do not, since deadlines and identifiers change with each attempt.
+/// Hash of the path with its query, the tenant's name and the body. The tenant's keys are left out
+/// because replicas do not see them. Headers are left out because deadlines and identifiers change
+/// with each attempt.
 base::RequestFingerprint fingerprintOf(const clients::RelayedRequest& request,
                                        std::string_view tenant);
 
--- a/src/request/request_flow.cc
+++ b/src/request/request_flow.cc
@@ -14,10 +14,11 @@
 
 namespace {
 
-/// Pause between two looks at a check of the configuration; the check itself is bounded.
+/// Interval at which a request polls whether the check of the configuration has finished. The check
+/// itself has a time limit.
 constexpr Duration kConfigurationCheckInterval = std::chrono::milliseconds(5);
 
-/// True where the same request may succeed a little later.
+/// Whether the same request may succeed a little later.
 bool mayBeTransient(ResultCode code) {
   switch (code) {
     case ResultCode::kConfigurationStale:
@@ -114,7 +115,8 @@
   }
   trace_->claim = "waiting";
   const Duration limit = std::min(options_.claimTimeout, timeLeft());
-  // Not `whileOpen`: a claim that is made for a request that is over must be released.
+  // `whileOpen` cannot be used here: a claim that is granted after the request has ended must be
+  // released.
   ClaimStore& claims = dependencies_.claims;
   dependencies_.claims.claim(tenant_->id, idempotencyKey(), id(), limit,
                              [weak = weak_from_this(), this, &claims](ClaimResult result) {
--- a/src/request/request_flow.h
+++ b/src/request/request_flow.h
@@ -1,16 +1,17 @@
 /// \file
-/// The life of one caller request up to its final answer, common to completions and proxied calls.
+/// State machine of one caller request up to its final response, common to completions and proxied
+/// requests.
 ///
 ///     checking -> admission -> claim -> attempt -> answered
 ///                                         | ^
 ///                                         v |
 ///                                     backing off
 ///
-/// A claim is made only for a not-repeatable request with a key. Each of the states may end in a
-/// refusal instead.
+/// A claim is made only for a not-repeatable request with an Idempotency-Key. Any state may lead to
+/// a refusal instead.
 ///
-/// Each step runs from a timer or a client's callback, never from inside the caller's own call. A
-/// refusal is delivered the moment it is decided.
+/// Each step runs from a timer or from a client's callback, never from inside the call that
+/// submitted the request. A refusal is delivered immediately when it is decided.
 #pragma once
 
 #include <cstdint>
@@ -43,25 +44,26 @@
 /// Time limits and other settings of the request path.
 struct RequestOptions {
   std::size_t maximumOpenRequests = 10'000;
-  /// Longest wait for the first token where the template sets none.
+  /// Maximum wait for the first token if the tenant's template sets no deadline.
   base::Duration defaultDeadline = std::chrono::seconds(30);
-  /// Longest wait for an engine's word that it took a request.
+  /// Maximum wait for an engine to confirm that it accepted a request.
   base::Duration acceptTimeout = std::chrono::seconds(1);
-  /// How often the engine of an attempt in flight is looked up: one that is known to be lost is
-  /// given up at once.
+  /// Interval at which the state of the engine of an attempt in flight is checked. An attempt whose
+  /// engine is known to be lost is abandoned at once.
   base::Duration engineCheckPeriod = std::chrono::milliseconds(250);
-  /// Longest silence between two chunks of an engine that is believed to live. The first token is
-  /// bound by the template's deadline alone: a live engine's queue is not left for another's.
+  /// Maximum interval between two chunks of an engine that is considered alive. The first token is
+  /// subject only to the deadline of the template: a request does not leave the queue of a live
+  /// engine for that of another.
   base::Duration interChunkTimeout = std::chrono::seconds(10);
-  /// Longest wait for an application's answer to one attempt.
+  /// Maximum wait for the response of an application to one attempt.
   base::Duration applicationTimeout = std::chrono::seconds(5);
-  /// Longest wait for an at-most-once claim.
+  /// Maximum wait for an at-most-once claim.
   base::Duration claimTimeout = std::chrono::seconds(2);
-  /// Advice to callers whose refusal may pass by itself.
+  /// Retry-After time for refusals whose cause is likely to be temporary.
   base::Duration retryAfter = std::chrono::seconds(1);
 };
 
-/// Everything that a request reaches the node through; all of it outlives the request's work.
+/// Services of the node that a request uses. All must outlive the request.
 struct RequestDependencies {
   base::Clock& clock;
   base::TimerService& timers;
@@ -81,22 +83,23 @@
 
 class RequestFlow : public std::enable_shared_from_this<RequestFlow> {
  public:
-  /// Tells the owner that the request is over; called once.
+  /// Notifies the owner that the request has ended. Called once.
   using FinishedCallback = std::function<void()>;
 
   virtual ~RequestFlow() = default;
   RequestFlow(const RequestFlow&) = delete;
   RequestFlow& operator=(const RequestFlow&) = delete;
 
-  /// Begins the work, or refuses the request for a reason of the node itself; either way later.
+  /// Starts processing asynchronously. If `refusedByNode` is set, the request is refused for that
+  /// reason instead, also asynchronously.
   void start(FinishedCallback finished, std::optional<base::Reason> refusedByNode);
-  /// The caller went away: cancels the work and silences the sink.
+  /// Called when the caller disconnected. Cancels the request; the sink is not called any more.
   void cancel();
-  /// The node ends the request, in whatever state it is.
+  /// Ends the request in any state with `reason` as its final error, on behalf of the node.
   void refuseByNode(base::Reason reason);
-  /// The node is going away: drops the work without a word to anybody.
+  /// Drops the request without a response, because the node is being destroyed.
   void abandon();
-  /// Back-pressure from the caller.
+  /// Applies back-pressure of the caller.
   virtual void setPaused(bool /*paused*/) {}
 
   const base::RequestId& id() const { return trace_->id; }
@@ -105,10 +108,11 @@
   RequestFlow(const RequestDependencies& dependencies, const RequestOptions& options,
               DeferredRelease& deferred, std::shared_ptr<RequestTrace> trace);
 
-  // --- The steps that differ between kinds of request.
-  /// Checks the request against its template and fills in what the attempts need.
+  // --- Steps that depend on the kind of request.
+  /// Checks the request against the tenant's template and prepares the data that attempts need.
+  /// Returns null and sets `reason` if the request is not allowed.
   virtual config::TenantTemplatePtr check(base::Reason& reason) = 0;
-  /// Starts the next attempt; the base counted it already.
+  /// Starts the next attempt. The base class has already counted it.
   virtual void startAttempt() = 0;
   /// Abandons the attempt in flight, if any.
   virtual void stopAttempt() = 0;
@@ -117,39 +121,42 @@
   virtual base::PriorityClass priority() const = 0;
   virtual const std::string& idempotencyKey() const = 0;
   virtual bool notRepeatable() const = 0;
-  /// Another attempt after an unknown outcome does no harm.
+  /// Whether another attempt after an unknown outcome does no harm.
   virtual bool repeatable() const = 0;
-  /// Part of the answer has reached the caller.
+  /// Whether part of the response has reached the caller.
   virtual bool responseStarted() const { return false; }
 
-  // --- What the attempts report.
-  /// Checks the request once more, unless its answer has started: its template may have been
-  /// retired or changed, or its model's version become known, during a wait. False when it was
-  /// refused.
+  // --- Called by the implementations of attempts.
+  /// Checks the request again unless its response has started: during a wait its template may have
+  /// been retired or changed, or the weights version of its model may have become known. Returns
+  /// false if the request was refused.
   bool recheck();
-  /// From now on nobody can say that the request did not run.
+  /// Records that the request may have been executed, so that it is no longer reported as not run.
   void setMayHaveRun() { mayHaveRun_ = true; }
-  /// The attempt failed: tries again where the rules and budgets allow, else refuses.
+  /// Handles the failure of the attempt: retries if the rules and budgets allow it, otherwise
+  /// refuses the request.
   void onAttemptFailed(const clients::DispatchError& error);
-  /// The back ends tried before are tried again where no other is left.
+  /// Makes the back ends that failed this request eligible again, for use when no other is left.
+  /// Does so only once; returns whether any became eligible.
   bool reconsiderFailedBackEnds();
   /// Ends the request with its final error.
   void refuse(base::Reason reason);
-  /// Ends the request with its whole answer; `deliver` hands it to the sink as the last step.
+  /// Ends the request with its complete response. As the last step, `deliver` passes it to the
+  /// sink.
   void finish(const std::function<void()>& deliver);
   bool ended() const { return ended_; }
 
-  /// Opens the record of the attempt.
+  /// Adds a record of the attempt to the trace.
   AttemptTrace& traceAttempt(base::EngineId backEnd, const std::string& name);
   AttemptTrace& currentAttempt() { return trace_->attempts.back(); }
   base::Duration elapsed() const { return dependencies_.clock.now() - trace_->startedAt; }
-  /// Time left until the first token is due; never negative.
+  /// Time left until the deadline for the first token; never negative.
   base::Duration timeLeft() const;
-  /// The answer has started, so that the deadline for the first token no longer applies.
+  /// Stops the deadline for the first token, after the response has started.
   void stopDeadline();
   std::uint32_t attemptNumber() const { return attempts_; }
   const config::TenantTemplate& tenant() const { return *tenant_; }
-  /// Runs `callback` with a later result, unless the request is over by then.
+  /// Wraps `callback` so that it is not called after the request has ended.
   template <class... Arguments, class Callback>
   std::function<void(Arguments...)> whileOpen(Callback callback) {
     return [weak = weak_from_this(), callback = std::move(callback)](Arguments... arguments) {
@@ -163,21 +170,22 @@
   DeferredRelease& deferred() { return deferred_; }
   RequestTrace& trace() { return *trace_; }
 
-  /// Engines that failed this request, not to be chosen again while another qualifies.
+  /// Back ends that failed this request. They are not chosen again as long as another one is
+  /// eligible.
   std::vector<base::EngineId> excluded_;
 
  private:
-  /// Runs `next` at once, or after the check of the configuration that is under way.
+  /// Runs `next` at once or, if the configuration is being checked at the moment, after that check.
   void afterConfigurationCheck(std::function<void()> next);
   void begin();
   void onAdmission(const admission::AdmissionVerdict& verdict);
   void claimThenAttempt();
   void onClaim(ClaimResult result);
   void nextAttempt();
-  /// An attempt was started and has not ended: it may be running.
+  /// Whether an attempt was started and has not ended, so that it may be executing.
   bool attemptInFlight() const;
   void onDeadline();
-  /// Releases everything held and marks the request as over.
+  /// Releases all resources and marks the request as ended.
   void close(RequestProgress progress);
   void settleClaim();
   Refusal refusalFor(base::Reason reason) const;
--- a/src/request/request_manager.cc
+++ b/src/request/request_manager.cc
@@ -15,7 +15,7 @@
 
 namespace {
 
-/// The caller's end of a flow.
+/// Handle of a flow that is given to the caller of RequestManager.
 class FlowHandle final : public ActiveRequest {
  public:
   explicit FlowHandle(std::shared_ptr<RequestFlow> flow) : flow_(std::move(flow)) {}
--- a/src/request/request_manager.h
+++ b/src/request/request_manager.h
@@ -1,5 +1,6 @@
 /// \file
-/// Entry of the request path on one node: gives each request its identifier and its own flow.
+/// Entry point of the request path on one node. Assigns an identifier to each request and runs it
+/// in a flow of its own.
 #pragma once
 
 #include <functional>
@@ -14,7 +15,7 @@
 
 namespace covewing::request {
 
-/// Name and run of the node, from which request identifiers are made.
+/// Name and incarnation of the node. Request identifiers are derived from them.
 struct NodeRun {
   std::string nodeName;
   base::Incarnation incarnation = 0;
@@ -23,7 +24,7 @@
 class RequestManager final : public RequestService {
  public:
   RequestManager(NodeRun run, RequestOptions options, const RequestDependencies& dependencies);
-  /// Requests still open are dropped and their sinks silenced.
+  /// Drops the requests that are still open. Their sinks are not called any more.
   ~RequestManager() override;
   RequestManager(const RequestManager&) = delete;
   RequestManager& operator=(const RequestManager&) = delete;
@@ -32,14 +33,15 @@
   std::unique_ptr<ActiveRequest> proxy(ProxiedRequest request, ProxiedSink& sink) override;
   std::size_t openRequests() const override { return open_.size(); }
 
-  /// From now on new requests are refused; those in flight go on.
+  /// Refuses new requests from now on. Requests in flight continue.
   void startDraining() { draining_ = true; }
-  /// Ends the requests still open, each with its final error.
+  /// Ends all open requests with a final error.
   void failOpenRequests(const base::Reason& reason);
   bool draining() const { return draining_; }
-  /// Called before each request is looked at, so that a node that was paused notices it first.
+  /// Sets a callback that runs before each new request is processed, so that a node that was paused
+  /// detects the pause first.
   void setBeforeRequest(std::function<void()> callback) { beforeRequest_ = std::move(callback); }
-  /// Called whenever a request ends.
+  /// Sets a callback that runs whenever a request ends.
   void setOnFinished(std::function<void()> callback) { onFinished_ = std::move(callback); }
 
  private:
--- a/src/request/request_trace.h
+++ b/src/request/request_trace.h
@@ -1,5 +1,5 @@
 /// \file
-/// What happened to one request, step by step: the record behind an operator's `explain`.
+/// Record of the steps of one request, as shown by the operator command `explain`.
 #pragma once
 
 #include <cstdint>
@@ -18,34 +18,34 @@
 
 namespace covewing::request {
 
-/// One attempt at a back end. Durations count from the start of the request.
+/// One attempt at a back end. All durations are measured from the start of the request.
 struct AttemptTrace {
   std::uint32_t number = 0;
   base::EngineId backEnd;
   std::string name;
   base::Duration startedAfter{};
-  /// Position of the first chunk asked for.
+  /// Position of the first chunk that was requested.
   std::uint64_t firstPosition = 0;
   std::uint64_t chunks = 0;
   std::optional<base::Duration> firstTokenAfter;
   std::optional<base::Duration> endedAfter;
-  /// Empty while the attempt runs and after its success.
+  /// Kind of failure; empty while the attempt is in progress and if it succeeded.
   std::optional<clients::DispatchFailure> failure;
   base::Reason reason;
   std::uint32_t promptTokens = 0;
   std::uint32_t cachedTokens = 0;
 };
 
-/// One choice of an engine.
+/// One routing decision.
 struct RoutingTrace {
   base::Duration decidedAfter{};
   std::string policy;
-  /// The engine that was chosen, empty when none qualified.
+  /// Name of the chosen engine; empty if none was eligible.
   std::string chosen;
   std::uint32_t matchedBlocks = 0;
   std::uint32_t importBlocks = 0;
   base::Duration expectedFirstToken{};
-  /// The best candidates, at most kMaximumCandidates.
+  /// The best candidates, at most RequestTrace::kMaximumCandidates.
   std::vector<routing::RouteCandidate> candidates;
   base::Reason reason;
 };
@@ -54,7 +54,7 @@
 
 enum class RequestProgress : std::uint8_t { kRunning, kAnswered, kRefused, kDisconnected };
 
-/// The whole record of a request.
+/// The complete record of a request.
 struct RequestTrace {
   static constexpr std::size_t kMaximumCandidates = 8;
 
@@ -63,29 +63,29 @@
   RequestProgress progress = RequestProgress::kRunning;
   base::TimePoint startedAt;
   std::string tenant;
-  /// Model, or method and path.
+  /// The model of a completion, or the method and path of a proxied request.
   std::string subject;
   base::PriorityClass priority = base::PriorityClass::kStandard;
   std::uint32_t promptTokens = 0;
   base::Revision templateRevision = 0;
   bool notRepeatable = false;
-  /// Admission's verdict, empty while it waits.
+  /// Decision of the admission control; empty while it is pending.
   std::optional<bool> admitted;
   base::Duration held{};
-  /// How the at-most-once claim went, empty when none was needed.
+  /// State of the at-most-once claim; empty if none was needed.
   std::string claim;
   std::vector<RoutingTrace> decisions;
   std::vector<AttemptTrace> attempts;
   base::Duration finishedAfter{};
-  /// Final refusal, with RequestProgress::kRefused.
+  /// Final refusal, if `progress` is kRefused.
   std::optional<Refusal> refusal;
 };
 
-/// Keeps the records of recent requests.
+/// Stores the records of recent requests.
 class TraceLog {
  public:
   virtual ~TraceLog() = default;
-  /// Called when a request starts; the record changes until the request ends.
+  /// Called when a request starts. The record keeps changing until the request ends.
   virtual void add(std::shared_ptr<const RequestTrace> trace) = 0;
 };
 
--- a/src/request/retry_cause.h
+++ b/src/request/retry_cause.h
@@ -1,5 +1,5 @@
 /// \file
-/// Why a relayed request was sent once more, for logs and metrics.
+/// Reasons why a relayed request was retried, for logs and metrics.
 #pragma once
 
 #include <array>
@@ -10,22 +10,24 @@
 namespace covewing::request {
 
 enum class RetryCause : std::uint8_t {
-  /// The replica refused the request and did not run it.
+  /// The replica refused the request without executing it.
   kRefused,
-  /// The replica answered with a failure.
+  /// The replica responded with an error status.
   kFailed,
-  /// The attempt's connection broke after the request may have arrived.
+  /// The connection broke at a time when the request may already have arrived at the replica.
   kLost,
+  /// The replica sent no data before the receive timeout.
   kSilent,
-  /// The attempt had not begun when its version of the weights went out of date.
+  /// The replica had not started the request when the version of the weights became outdated.
   kWeightsOutOfDate,
-  /// The request never left for the replica: no retry for the bound on retries.
+  /// The request was not sent to the replica. Such an attempt does not count against the retry
+  /// budget.
   kNeverArrived
 };
 
 inline constexpr std::size_t kRetryCauses = 6;
 
-/// Retries of one request, by cause.
+/// Number of retries of one request by cause.
 using RetryCounts = std::array<std::uint32_t, kRetryCauses>;
 
 /// Name in logs and metrics.
--- a/src/request/stream_positions.h
+++ b/src/request/stream_positions.h
@@ -1,5 +1,6 @@
 /// \file
-/// Order and completeness of one answer's chunks, across resumes on several engines.
+/// Checks the order and completeness of the chunks of one response, also when the stream is resumed
+/// on other engines.
 #pragma once
 
 #include <cstdint>
@@ -8,18 +9,20 @@
 
 /// What to do with a chunk.
 enum class ChunkVerdict : std::uint8_t {
-  /// It is the next one: pass it on.
+  /// The chunk is the next one; it is to be passed on.
   kNext,
-  /// It was passed on before: drop it.
+  /// The chunk was passed on before; it is to be dropped.
   kDuplicate,
-  /// Chunks before it are missing: the stream is broken and must not be passed on from here.
+  /// Chunks before this one are missing. The stream is broken and must not be passed on any
+  /// further.
   kGap,
 };
 
-/// Counts the positions of an answer from 0; never lets a gap or a repetition through.
+/// Tracks the positions of the chunks of a response, starting at 0, so that no gap and no duplicate
+/// is passed on.
 class StreamPositions {
  public:
-  /// Judges the chunk at `position` and, where it is the next one, advances.
+  /// Classifies the chunk at `position` and advances if it is the next one.
   ChunkVerdict accept(std::uint64_t position) {
     if (position < next_) return ChunkVerdict::kDuplicate;
     if (position > next_) return ChunkVerdict::kGap;
@@ -27,11 +30,11 @@
     return ChunkVerdict::kNext;
   }
 
-  /// True when an end marker that counts `outputTokens` in the whole answer leaves no chunk
-  /// missing.
+  /// Whether no chunk is missing, given an end marker that reports `outputTokens` for the whole
+  /// response.
   bool complete(std::uint64_t outputTokens) const { return outputTokens == next_; }
 
-  /// Position of the next chunk wanted; equally the number of chunks passed on.
+  /// Position of the next expected chunk, which equals the number of chunks passed on.
   std::uint64_t next() const { return next_; }
 
  private:
--- a/src/request/stream_watch.h
+++ b/src/request/stream_watch.h
@@ -1,5 +1,5 @@
 /// \file
-/// Times the pieces of one attempt's stream as they reach this node.
+/// Measures the time between the chunks of an attempt's stream as they arrive at this node.
 #pragma once
 
 #include <algorithm>
@@ -12,7 +12,7 @@
 
 class StreamWatch {
  public:
-  /// A piece of the stream arrived.
+  /// Records the arrival of a chunk.
   void onChunk(base::TimePoint now) {
     if (!firstAt_) firstAt_ = now;
     if (lastAt_) {
@@ -22,7 +22,8 @@
     lastAt_ = now;
     observed_.streamed = now - *firstAt_;
   }
-  /// This node stopped reading, or reads again: the time between says nothing of the replica.
+  /// Called when this node stops or resumes reading. The time without reading is not attributed to
+  /// the replica.
   void onReadingPaused() { lastAt_.reset(); }
 
   const routing::StreamObservation& observed() const { return observed_; }
--- a/src/request/tenant_allowance.h
+++ b/src/request/tenant_allowance.h
@@ -1,6 +1,7 @@
 /// \file
-/// One request's share of its tenant's limit: asked for when the request is taken up, charged again
-/// for each attempt behind one that may have run, and given back as far as nothing ran.
+/// The quota that one request takes from its tenant's limit. It is acquired when the request is
+/// accepted and charged again for each attempt that follows one that may have been executed.
+/// Charges for attempts that were not executed are returned at the end.
 #pragma once
 
 #include <cstdint>
@@ -14,17 +15,19 @@
 
 class TenantAllowance {
  public:
-  /// Without a demand everything is allowed at once. `quotas` must outlive the allowance.
+  /// Without a `demand`, the quota is granted immediately. `quotas` must outlive the allowance.
   TenantAllowance(admission::TenantQuotas& quotas, std::optional<admission::QuotaDemand> demand)
       : quotas_(quotas), demand_(demand) {}
   TenantAllowance(const TenantAllowance&) = delete;
   TenantAllowance& operator=(const TenantAllowance&) = delete;
 
-  /// Calls `answer` once, now or later; not after `end`.
+  /// Acquires the quota. Calls `onVerdict` once, immediately or later, but not after `end`.
   void acquire(admission::TenantQuotas::Callback onVerdict);
-  /// The request is sent to a replica; `runs` attempts before it may have run.
+  /// Called when the request is sent to a replica. `runs` is the number of earlier attempts that
+  /// may have been executed.
   void onDispatch(std::uint32_t runs);
-  /// The request is over; `runs` attempts may have run.
+  /// Called when the request has ended. `runs` is the number of attempts that may have been
+  /// executed.
   void end(std::uint32_t runs);
 
  private:
@@ -34,11 +37,11 @@
   std::optional<admission::QuotaDemand> demand_;
   State state_ = State::kNew;
   admission::TenantQuotas::WaitId waitId_ = 0;
-  /// Attempts that were counted.
+  /// Number of attempts that were charged.
   std::uint32_t chargedAttempts_ = 1;
 };
 
-/// Why a request was refused, for its log line and its caller.
+/// Human-readable reason of a quota refusal, for the log and for the caller.
 std::string describeRefusal(const admission::QuotaDemand& demand,
                             const admission::QuotaVerdict& verdict);
 
--- a/src/request/tenant_check.cc
+++ b/src/request/tenant_check.cc
@@ -11,7 +11,8 @@
 using base::Reason;
 using base::ResultCode;
 
-/// Methods that RFC 9110 calls idempotent: a repetition has the effect of one call.
+/// Methods that are idempotent according to RFC 9110: repeating a call has the same effect as
+/// making it once.
 constexpr std::array<std::string_view, 6> kIdempotentMethods = {"GET", "HEAD",   "OPTIONS",
                                                                 "PUT", "DELETE", "TRACE"};
 
@@ -24,7 +25,7 @@
   if (!sources.configuration.loaded()) {
     reason = Reason{ResultCode::kConfigurationStale, "no copy of the configuration is here yet"};
   } else if (!sources.configuration.freshness().confirmed) {
-    // The tenant may have been accepted since the copy was confirmed.
+    // The tenant may have been added since this copy of the configuration was confirmed.
     reason = Reason{ResultCode::kConfigurationStale,
                     "the bearer key is unknown here, and the configuration cannot be confirmed"};
   } else {
@@ -49,7 +50,7 @@
   return wanted == 0 ? limit : std::min(wanted, limit);
 }
 
-/// The part of a target before its query.
+/// The part of a request target before its query.
 std::string_view pathOf(std::string_view target) { return target.substr(0, target.find('?')); }
 
 /// A route matches whole path segments: "/standings" covers "/standings/7", not "/standingsx".
--- a/src/request/tenant_check.h
+++ b/src/request/tenant_check.h
@@ -1,5 +1,6 @@
 /// \file
-/// Checks of a request against its tenant's template, before anything is spent on it.
+/// Checks of a request against its tenant's template, done before any resources are spent on the
+/// request.
 #pragma once
 
 #include <optional>
@@ -14,14 +15,14 @@
 
 namespace covewing::request {
 
-/// What the checks need to know of the node.
+/// Data of the node that the checks use.
 struct TenantCheckSources {
   const config::ConfigurationView& configuration;
   const routing::FleetView& fleet;
   const ZoneReachability& zones;
 };
 
-/// A completion that its template allows, in the terms of engines.
+/// Engine parameters of a completion request that the tenant's template allows.
 struct CompletionPlan {
   config::TenantTemplatePtr tenant;
   base::PriorityClass priority = base::PriorityClass::kStandard;
@@ -29,26 +30,30 @@
   std::uint32_t maximumTokens = 0;
 };
 
-/// A proxied call that its template allows.
+/// Parameters of a proxied request that the tenant's template allows.
 struct ProxyPlan {
   config::TenantTemplatePtr tenant;
   std::string application;
-  /// Must run at most once.
+  /// The request must be executed at most once.
   bool notRepeatable = false;
-  /// Repeating it after an unknown outcome does no harm (an idempotent method, not marked).
+  /// Repeating the request after an unknown outcome does no harm: its method is idempotent, and it
+  /// is not marked as not repeatable.
   bool repeatable = false;
 };
 
-/// Finds the tenant of a bearer key and checks that it may be served at all here and now.
+/// Finds the tenant of a bearer key and checks whether this node may serve it at the moment.
+/// Returns null and sets `reason` if not.
 config::TenantTemplatePtr checkTenant(const TenantCheckSources& sources, std::string_view bearerKey,
                                       base::Reason& reason);
 
-/// Checks tenant, model, adapter and priority.
+/// Checks the tenant, model, adapter and priority. Returns an empty value and sets `reason` if the
+/// request is not allowed.
 std::optional<CompletionPlan> checkCompletion(const TenantCheckSources& sources,
                                               const CompletionRequest& request,
                                               base::Reason& reason);
 
-/// Checks tenant and path; the longest matching path of the template decides.
+/// Checks the tenant and path. If several paths of the template match, the longest one applies.
+/// Returns an empty value and sets `reason` if the request is not allowed.
 std::optional<ProxyPlan> checkProxied(const TenantCheckSources& sources,
                                       const ProxiedRequest& request, base::Reason& reason);
 
--- a/src/request/token_bucket.h
+++ b/src/request/token_bucket.h
@@ -1,5 +1,5 @@
 /// \file
-/// Bound of a rate: tokens come at a steady rate up to a burst.
+/// Rate limiter: tokens are added at a constant rate, up to a maximum.
 #pragma once
 
 #include <algorithm>
@@ -10,13 +10,15 @@
 
 class TokenBucket {
  public:
-  /// `rate` in tokens a second, above 0 before `take` is called; starts full.
+  /// `rate` is in tokens per second and must be above 0 when `take` is called. `burst` is the
+  /// maximum number of tokens. The bucket starts full.
   TokenBucket(double rate, double burst, base::TimePoint now)
       : rate_(rate), burst_(burst), tokens_(burst), filledAt_(now) {}
 
   void setRate(double rate) { rate_ = rate; }
 
-  /// Takes a token and returns zero; else the time until there is one.
+  /// Takes a token and returns zero. If there is none, takes nothing and returns the time until one
+  /// is available.
   base::Duration take(base::TimePoint now) {
     tokens_ = std::min(burst_, tokens_ + rate_ * base::toSeconds(now - filledAt_));
     filledAt_ = now;
--- a/tests/request/replica_notices_test.cc
+++ b/tests/request/replica_notices_test.cc
@@ -300,7 +300,7 @@
   client.last().handler->onEnd();
   BOOST_TEST(replica->acceptsRequests(time.now()));
   BOOST_TEST((toldBy(base::Event::kReplicaRests, "why") ==
-              std::vector<std::string>{"a time that it asked for cannot be read"}));
+              std::vector<std::string>{"the requested back-off time cannot be parsed"}));
 }
 
 BOOST_AUTO_TEST_CASE(RequestIsRefusedAtOnceWhereAllRestForLongerThanItCanWait) {
