--- a/src/request/claim_committer.h
+++ b/src/request/claim_committer.h
@@ -8,7 +8,7 @@
 ///                           -> duplicate                  (the row carries another value)
 ///                           -> waiting                    (rate limit, no connection, conflict of
 ///                                                          another claim in the same transaction)
-///                           -> reading back -> owned, duplicate or waiting   (answer lost)
+///                           -> reading back -> owned, duplicate or waiting   (reply lost)
 ///     any of them -> abandoned (time limit): reported as unavailable at once; if the row later
 ///                    turns out to be ours, it is released.
 #pragma once
--- a/src/request/relay_flow_answer.cc
+++ b/src/request/relay_flow_answer.cc
@@ -153,8 +153,8 @@
   if (stream) attempt.watch.onChunk(now);
   attempt.bodyReceived = true;
   if (stream && resumable()) {
-    const std::string whole = events_.feed(bytes);
-    if (!whole.empty()) deliver(whole);
+    const std::string completeEvents = events_.feed(bytes);
+    if (!completeEvents.empty()) deliver(completeEvents);
     return;
   }
   if (stream || headDelivered_) {
--- a/src/request/relay_flow_parts.cc
+++ b/src/request/relay_flow_parts.cc
@@ -25,20 +25,20 @@
 
 std::vector<std::size_t> RelayFlow::partsToLookUp(routing::CacheScope scope) const {
   const auto& chain = incoming_.prompt->chain;
-  std::vector<std::size_t> wanted{chain.sharedParts() - 1};
+  std::vector<std::size_t> indexes{chain.sharedParts() - 1};
   const auto& first = chain.parts().front();
-  const bool worthLookingUp = wanted.front() > 0 && first.tokens >= options_.minimumLookupTokens;
+  const bool worthLookingUp = indexes.front() > 0 && first.tokens >= options_.minimumLookupTokens;
   const bool known = knowsAllCaches() && dependencies_.holders.anyHolds(scope, first.id);
-  if (worthLookingUp && !known) wanted.push_back(0);
-  return wanted;
+  if (worthLookingUp && !known) indexes.push_back(0);
+  return indexes;
 }
 
 void RelayFlow::lookUpHolders(routing::CacheScope scope) {
   const auto self = shared_from_this();
   holdersLookedUp_ = true;
-  const auto wanted = partsToLookUp(scope);
-  pendingLookups_ = wanted.size();
-  for (const auto index : wanted) {
+  const auto indexes = partsToLookUp(scope);
+  pendingLookups_ = indexes.size();
+  for (const auto index : indexes) {
     dependencies_.parts.lookup(incoming_.prompt->chain.parts()[index].id, scope,
                                [weak = weak_from_this(), scope, index](const auto& holders) {
                                  const auto flow = weak.lock();
@@ -86,19 +86,19 @@
 }
 
 void RelayFlow::requestPlacement(const routing::ReplicaDecision& decision) {
-  const auto wanted = query();
+  const auto replicaQuery = query();
   routing::PlacementRequest request;
   request.promptTokens = promptTokens();
-  if (wanted.withPrompt()) {
+  if (replicaQuery.withPrompt()) {
     const auto& parts = incoming_.prompt->chain.parts();
-    request.model = wanted.model;
+    request.model = replicaQuery.model;
     request.parts.assign(parts.begin(), parts.end() - 1);
     request.acceptableWait = acceptableWait();
   }
   request.constraints = placementConstraints();
   for (const auto& replica : decision.preferenceOrder) {
     request.candidates.push_back(dependencies_.choice.candidateOf(
-        wanted, replica, request.promptTokens, decision.heldTokens()));
+        replicaQuery, replica, request.promptTokens, decision.heldTokens()));
     auto& candidate = request.candidates.back();
     candidate.prefillTime = replica->prefillSpeed().time(candidate.work.prefillTokens);
   }
--- a/src/request/tenant_check.cc
+++ b/src/request/tenant_check.cc
@@ -44,10 +44,10 @@
   return adapter.empty() || contains(permission.adapters, adapter);
 }
 
-std::uint32_t outputLimit(const config::TenantTemplate& tenant, std::uint32_t wanted) {
+std::uint32_t outputLimit(const config::TenantTemplate& tenant, std::uint32_t requested) {
   const std::uint32_t limit = tenant.limits.maximumOutputTokens;
-  if (limit == 0) return wanted;
-  return wanted == 0 ? limit : std::min(wanted, limit);
+  if (limit == 0) return requested;
+  return requested == 0 ? limit : std::min(requested, limit);
 }
 
 /// The part of a request target before its query.
--- a/tests/request/claim_committer_test.cc
+++ b/tests/request/claim_committer_test.cc
@@ -1,4 +1,4 @@
-// At-most-once claims under lost answers, races, rate limits and time limits.
+// Tests at-most-once claims under lost responses, races, rate limits and time limits.
 #include <boost/test/unit_test.hpp>
 
 #include "request/fakes.h"
@@ -40,7 +40,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(ClaimCommitterTest, ClaimFixture)
 
-BOOST_AUTO_TEST_CASE(LostAnswerIsReadBackAndOwned) {
+BOOST_AUTO_TEST_CASE(LostReplyIsReadBackAndOwned) {
   table.nextBehaviours = {Behaviour::kLoseAnswer};
   claim(store, "r1", "k");
   time.advance(milliseconds(100));
@@ -57,11 +57,11 @@
   BOOST_TEST(table.commits.size() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(FirstCommitLandingLateStillCountsAsOurs) {
+BOOST_AUTO_TEST_CASE(DelayedFirstCommitStillCountsAsOwned) {
   table.nextBehaviours = {Behaviour::kLoseRequest};
   claim(store, "r1", "k");
   time.advance(milliseconds(1));
-  // The read-back sees nothing; then the first transaction takes effect before the second.
+  // The read-back finds no row. Then the first transaction takes effect, before the second one.
   time.schedule(base::Duration::zero(), [this] { table.apply(table.commits.front()); });
   time.advance(milliseconds(100));
   BOOST_TEST((results.at("r1").status == ClaimStatus::kOwned));
@@ -100,7 +100,8 @@
   }
   time.advance(seconds(1));
   BOOST_TEST(owned() == 68U);
-  // Four go out alone at once, the rest together when the first answer comes.
+  // Four are sent at once in transactions of their own, the others together when the first reply
+  // arrives.
   BOOST_TEST(table.commits.size() == 5U);
 }
 
@@ -116,7 +117,7 @@
   BOOST_TEST(owned() == 8U);
 }
 
-BOOST_AUTO_TEST_CASE(AnsweredAtTheLimitAndReleasedWhenItTurnsOutOurs) {
+BOOST_AUTO_TEST_CASE(ReportedAtTheTimeLimitAndReleasedIfCommitted) {
   table.nextBehaviours = {Behaviour::kLoseAnswer};
   table.defaultBehaviour = Behaviour::kUnavailable;
   claim(store, "r1", "k");
@@ -131,7 +132,7 @@
   BOOST_TEST((results.at("r2").status == ClaimStatus::kOwned));
 }
 
-BOOST_AUTO_TEST_CASE(ReleaseNeverRemovesAnothersRow) {
+BOOST_AUTO_TEST_CASE(ReleaseNeverRemovesTheRowOfAnotherRequest) {
   claim(store, "r1", "k");
   time.advance(milliseconds(10));
   const Claim claimed = results.at("r1").claim;
@@ -139,13 +140,13 @@
   time.advance(milliseconds(10));
   claim(otherNode, "r2", "k");
   time.advance(milliseconds(10));
-  // A release whose answer was lost is sent again after another request claimed the key.
+  // A release whose reply was lost is sent again after another request has claimed the key.
   store.release(claimed);
   time.advance(seconds(1));
   BOOST_TEST(table.rows.size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(PacedClaimsWaitAndShare) {
+BOOST_AUTO_TEST_CASE(RateLimitedClaimsShareTransactions) {
   ClaimCommitter paced(table, time, time, random,
                        {.transactionsPerSecond = 4, .transactionBurst = 1});
   for (int number = 0; number < 20; ++number) {
--- a/tests/request/claim_expiry_test.cc
+++ b/tests/request/claim_expiry_test.cc
@@ -1,4 +1,4 @@
-// Removal of old claims by epochs, without a shared clock.
+// Tests the removal of expired claims by epochs, without synchronized clocks.
 #include "request/claim_expiry.h"
 
 #include <boost/test/unit_test.hpp>
@@ -49,7 +49,7 @@
   BOOST_TEST(expiry.removed() == 20U);
 }
 
-BOOST_AUTO_TEST_CASE(YoungClaimsStay) {
+BOOST_AUTO_TEST_CASE(RecentClaimsAreKept) {
   expiry.start();
   time.advance(hours(20));
   addClaims(0, 5);
@@ -57,7 +57,7 @@
   BOOST_TEST(claims() == 5U);
 }
 
-BOOST_AUTO_TEST_CASE(UnavailableServiceIsTriedAgain) {
+BOOST_AUTO_TEST_CASE(RetriesWhileTheServiceIsUnavailable) {
   addClaims(0, 4);
   table.defaultBehaviour = FakeTable::Behaviour::kUnavailable;
   expiry.start();
--- a/tests/request/claim_store_test.cc
+++ b/tests/request/claim_store_test.cc
@@ -1,4 +1,4 @@
-// Claims of many nodes over a lossy network and an unreliable table service.
+// Tests claims of many nodes over a lossy network and an unreliable table service.
 #include <rapidcheck/boost_test.h>
 
 #include <boost/test/unit_test.hpp>
@@ -13,13 +13,13 @@
 using std::chrono::seconds;
 using Behaviour = FakeTable::Behaviour;
 
-/// Nodes with one claim store each, over one table service; messages take a millisecond.
+/// Nodes with one claim store each that share one table service. Messages take one millisecond.
 class ClaimFleet {
  public:
   struct Host;
 
-  /// What the network does to the next message: lost, delivered twice, or much later.
-  enum class Fate : std::uint8_t { kDeliver, kLose, kRepeat, kDelay };
+  /// Fault that the network injects for a message: none, loss, duplication or a long delay.
+  enum class Fault : std::uint8_t { kDeliver, kLose, kDuplicateMessage, kDelay };
 
   explicit ClaimFleet(std::size_t size, ClaimOptions options = {});
   ~ClaimFleet();
@@ -29,21 +29,21 @@
   void claim(std::size_t node, const std::string& request, const std::string& key);
 
   void send(std::size_t from, const base::Endpoint& destination, std::string payload) {
-    const Fate fate = fates.empty() ? Fate::kDeliver : fates.front();
-    if (!fates.empty()) fates.pop_front();
+    const Fault fault = faults.empty() ? Fault::kDeliver : faults.front();
+    if (!faults.empty()) faults.pop_front();
     ++messages;
     bytes += payload.size();
-    if (fate == Fate::kLose) return;
-    const auto delay = fate == Fate::kDelay ? seconds(1) : milliseconds(1);
+    if (fault == Fault::kLose) return;
+    const auto delay = fault == Fault::kDelay ? seconds(1) : milliseconds(1);
     deliver(from, destination, payload, delay);
-    if (fate == Fate::kRepeat) deliver(from, destination, payload, delay * 2);
+    if (fault == Fault::kDuplicateMessage) deliver(from, destination, payload, delay * 2);
   }
 
   VirtualTime time;
   FakeTable table{time};
-  std::deque<Fate> fates;
+  std::deque<Fault> faults;
   std::map<std::string, ClaimResult> results;
-  /// By key: who was told that it owns the claim.
+  /// By key: the nodes that were granted the claim.
   std::map<std::string, std::vector<std::pair<std::size_t, Claim>>> owners;
   std::vector<base::Duration> latencies;
   std::uint64_t messages = 0;
@@ -98,10 +98,10 @@
 
 void ClaimFleet::claim(std::size_t node, const std::string& request, const std::string& key) {
   store(node).claim(base::tenantIdOf("stalls"), key, base::RequestId{request}, seconds(2),
-                    [this, request, key, node, asked = time.now()](ClaimResult result) {
+                    [this, request, key, node, startedAt = time.now()](ClaimResult result) {
                       if (result.status == ClaimStatus::kOwned)
                         owners[key].emplace_back(node, result.claim);
-                      latencies.push_back(time.now() - asked);
+                      latencies.push_back(time.now() - startedAt);
                       results[request] = std::move(result);
                     });
 }
@@ -114,7 +114,7 @@
   });
 }
 
-/// Every claim goes over a collector.
+/// Options with which every claim is forwarded to a collector.
 ClaimOptions alwaysForwarded() {
   ClaimOptions options;
   options.fleetDirectTransactionsPerSecond = 0.001;
@@ -127,7 +127,7 @@
 
 BOOST_AUTO_TEST_SUITE(ClaimStoreTest)
 
-BOOST_AUTO_TEST_CASE(SmallFleetCommitsItself) {
+BOOST_AUTO_TEST_CASE(SmallFleetCommitsDirectly) {
   ClaimFleet fleet(3);
   for (int number = 0; number < 2; ++number)
     fleet.claim(0, std::to_string(number), std::to_string(number));
@@ -158,25 +158,25 @@
   BOOST_TEST(fleet.results.size() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(SilentCollectorIsPassedOver) {
+BOOST_AUTO_TEST_CASE(UnresponsiveCollectorIsBypassed) {
   ClaimFleet fleet(6, alwaysForwarded());
-  fleet.fates = {ClaimFleet::Fate::kLose};
+  fleet.faults = {ClaimFleet::Fault::kLose};
   fleet.claim(1, "r1", "k");
   fleet.time.advance(seconds(2));
   BOOST_TEST((fleet.results.at("r1").status == ClaimStatus::kOwned));
   BOOST_TEST(fleet.store(1).counters().fallbacks == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(LostAnswerOfTheCollectorIsFoundInTheRow) {
+BOOST_AUTO_TEST_CASE(LostResponseOfTheCollectorIsRecoveredFromTheRow) {
   ClaimFleet fleet(6, alwaysForwarded());
-  fleet.fates = {ClaimFleet::Fate::kDeliver, ClaimFleet::Fate::kLose};
+  fleet.faults = {ClaimFleet::Fault::kDeliver, ClaimFleet::Fault::kLose};
   fleet.claim(1, "r1", "k");
   fleet.time.advance(seconds(2));
   BOOST_TEST((fleet.results.at("r1").status == ClaimStatus::kOwned));
   BOOST_TEST(fleet.table.rows.size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(AnswerToAnEarlierRunIsNotTaken) {
+BOOST_AUTO_TEST_CASE(ResponseForAnEarlierIncarnationIsIgnored) {
   ClaimFleet fleet(2, alwaysForwarded());
   fleet.claim(0, "r1", "k");
   ClaimReply stray;
@@ -189,8 +189,9 @@
   BOOST_TEST(fleet.store(0).counters().malformed == 1U);
 }
 
-/// One of two equal regions at the planned size: 170 nodes and 185 claims a second, half of the
-/// table service's share for claims. Figures: --log_level=message.
+/// Simulates one of two equal regions at the planned size: 170 nodes and 185 claims per second,
+/// which may use half of the table service's budget for claims. Prints its measurements with
+/// --log_level=message.
 BOOST_AUTO_TEST_CASE(RegionOfPlannedSizeStaysWithinTheServicesBudget) {
   constexpr std::size_t kNodes = 170;
   constexpr int kClaimsPerSecond = 185;
@@ -221,15 +222,16 @@
   BOOST_TEST(quantile(0.99) < 600.0);
 }
 
-/// Whatever network and table service do, no key has two owners, and each claim is answered.
+/// Under any faults of the network and the table service, no key has two owners, and every claim
+/// gets a result.
 RC_BOOST_PROP(OneOwnerUnderFaults,
               (const std::vector<std::uint8_t>& network, const std::vector<std::uint8_t>& service,
                const std::vector<std::uint8_t>& claims)) {
   ClaimFleet fleet(5, alwaysForwarded());
-  for (const std::uint8_t fate : network) {
-    fleet.fates.push_back(static_cast<ClaimFleet::Fate>(fate % 4));
+  for (const std::uint8_t fault : network) {
+    fleet.faults.push_back(static_cast<ClaimFleet::Fault>(fault % 4));
   }
-  // Silence of the service is left out: its client answers each call.
+  // Calls without any reply are left out, because the table client completes every call.
   for (const std::uint8_t behaviour : service) {
     fleet.table.nextBehaviours.push_back(static_cast<Behaviour>(behaviour % 5));
   }
--- a/tests/request/completion_flow_test.cc
+++ b/tests/request/completion_flow_test.cc
@@ -1,4 +1,5 @@
-// The life of a completion: checks, attempts, resume, refusals and their outcomes.
+// Tests the flow of a completion request: checks, attempts, resumed streams, refusals and their
+// outcomes.
 #include <boost/test/unit_test.hpp>
 
 #include "request/fakes.h"
@@ -12,7 +13,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(CompletionFlowTest, RequestFixture)
 
-BOOST_AUTO_TEST_CASE(WholeAnswerReachesTheCaller) {
+BOOST_AUTO_TEST_CASE(CompleteResponseReachesTheCaller) {
   const auto active = complete();
   BOOST_REQUIRE(engines.streams.size() == 1);
   const clients::EngineRequest& sent = engines.last().request;
@@ -31,8 +32,8 @@
   BOOST_TEST(policy.finished == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(NothingHappensInsideTheCallersCall) {
-  configuration.copyHere = false;
+BOOST_AUTO_TEST_CASE(SinkIsNotCalledInsideTheSubmittingCall) {
+  configuration.copyAvailable = false;
   CompletionRequest request;
   const auto active = manager.complete(std::move(request), sink);
   BOOST_TEST(!sink.final());
@@ -40,7 +41,7 @@
   BOOST_TEST(sink.refused.has_value());
 }
 
-BOOST_AUTO_TEST_CASE(RefusalByAnEngineIsTriedElsewhere) {
+BOOST_AUTO_TEST_CASE(RefusalByAnEngineIsRetriedOnAnother) {
   const auto active = complete();
   engines.last().fail(DispatchFailure::kRefusedNotRun, ResultCode::kBackEndRefused);
   time.advance(milliseconds(50));
@@ -52,7 +53,7 @@
   BOOST_TEST(sink.ended.has_value());
 }
 
-BOOST_AUTO_TEST_CASE(NotRunIsClaimedOnlyWhenEveryAttemptProvesIt) {
+BOOST_AUTO_TEST_CASE(NotRunIsReportedOnlyWhenEveryAttemptProvesIt) {
   const auto active = complete();
   for (int attempt = 0; attempt < 3; ++attempt) {
     engines.last().fail(DispatchFailure::kNotSent, ResultCode::kBackEndUnreachable);
@@ -76,7 +77,7 @@
   BOOST_TEST((sink.refused->outcome == Outcome::kUnknown));
 }
 
-BOOST_AUTO_TEST_CASE(NotRepeatableIsNeverSentAgainAfterAnUnknownOutcome) {
+BOOST_AUTO_TEST_CASE(NotRepeatableIsNeverRetriedAfterAnUnknownOutcome) {
   const auto active = complete(true);
   engines.last().fail(DispatchFailure::kOutcomeUnknown, ResultCode::kBackEndLost);
   time.advance(seconds(20));
@@ -86,7 +87,7 @@
   BOOST_TEST((sink.refused->reason.code == ResultCode::kBackEndLost));
 }
 
-BOOST_AUTO_TEST_CASE(NotRepeatableMayBeSentAgainAfterAProvedRefusal) {
+BOOST_AUTO_TEST_CASE(NotRepeatableMayBeRetriedAfterAProvenRefusal) {
   const auto active = complete(true);
   engines.last().fail(DispatchFailure::kRefusedNotRun, ResultCode::kBackEndRefused);
   time.advance(milliseconds(50));
@@ -102,7 +103,7 @@
   BOOST_TEST(sink.refused.has_value());
 }
 
-BOOST_AUTO_TEST_CASE(BrokenStreamGoesOnAtTheNextPosition) {
+BOOST_AUTO_TEST_CASE(BrokenStreamResumesAtTheNextPosition) {
   const auto active = complete();
   FakeStream& first = engines.last();
   first.chunk(0);
@@ -133,7 +134,7 @@
   BOOST_TEST(engines.last().request.nextPosition == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(EndThatCountsMissingChunksIsABrokenStream) {
+BOOST_AUTO_TEST_CASE(EndMarkerThatCountsMissingChunksIsABrokenStream) {
   configuration.tenant->retry.maximumAttempts = 1;
   const auto active = complete();
   engines.last().chunk(0);
@@ -152,7 +153,7 @@
   BOOST_TEST(sink.refused.has_value());
 }
 
-BOOST_AUTO_TEST_CASE(AbandonedEngineIsNotHeardAnyMore) {
+BOOST_AUTO_TEST_CASE(EventsOfAnAbandonedEngineAreIgnored) {
   const auto active = complete();
   const std::shared_ptr<FakeStream> first = engines.streams.front();
   first->fail(DispatchFailure::kOutcomeUnknown, ResultCode::kBackEndLost);
@@ -162,21 +163,21 @@
   BOOST_TEST(!sink.final());
 }
 
-BOOST_AUTO_TEST_CASE(EngineThatDoesNotTakeTheRequestIsGivenUp) {
+BOOST_AUTO_TEST_CASE(EngineThatDoesNotAcceptTheRequestIsAbandoned) {
   const auto active = complete();
   time.advance(milliseconds(1100));
   BOOST_TEST(engines.streams.size() == 2U);
   BOOST_TEST(backEnds.failed.size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(LiveEnginesQueueIsNotLeft) {
+BOOST_AUTO_TEST_CASE(RequestStaysInTheQueueOfALiveEngine) {
   const auto active = complete();
   engines.last().accept();
   time.advance(seconds(9));
   BOOST_TEST(engines.streams.size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(LostEngineIsGivenUpAtOnce) {
+BOOST_AUTO_TEST_CASE(LostEngineIsAbandonedAtOnce) {
   const auto active = complete();
   engines.last().accept();
   time.advance(seconds(1));
@@ -190,7 +191,7 @@
   BOOST_TEST(engines.last().request.nextPosition == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(EngineInAZoneThatIsCutOffIsGivenUp) {
+BOOST_AUTO_TEST_CASE(EngineInAZoneThatIsCutOffIsAbandoned) {
   fleet.states[0].zone = "hall-b";
   const auto active = complete();
   engines.last().chunk(0);
@@ -200,7 +201,7 @@
   BOOST_TEST(engines.last().request.nextPosition == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(SilenceBetweenChunksResumesElsewhere) {
+BOOST_AUTO_TEST_CASE(TimeoutBetweenChunksResumesOnAnotherEngine) {
   const auto active = complete();
   engines.last().chunk(0);
   time.advance(milliseconds(10100));
@@ -208,7 +209,7 @@
   BOOST_TEST(engines.last().request.nextPosition == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(SlowCallerDoesNotCountAsSilentEngine) {
+BOOST_AUTO_TEST_CASE(SlowCallerDoesNotCountAsEngineTimeout) {
   const auto active = complete();
   engines.last().chunk(0);
   active->setPaused(true);
@@ -220,7 +221,7 @@
   BOOST_TEST(sink.chunks.size() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(DeadlineAnswersAtOnceAndTruly) {
+BOOST_AUTO_TEST_CASE(DeadlineIsReportedAtOnceWithTheCorrectOutcome) {
   configuration.tenant->deadline = milliseconds(500);
   const auto active = complete();
   time.advance(milliseconds(494));
@@ -241,7 +242,7 @@
   BOOST_TEST(engines.streams.empty());
 }
 
-BOOST_AUTO_TEST_CASE(NodesRetryBudgetBounds) {
+BOOST_AUTO_TEST_CASE(RetryBudgetOfTheNodeLimitsRetries) {
   admission.retries = 0;
   const auto active = complete();
   engines.last().fail(DispatchFailure::kNotSent, ResultCode::kBackEndUnreachable);
@@ -250,7 +251,7 @@
   BOOST_TEST((sink.refused->outcome == Outcome::kNotRun));
 }
 
-BOOST_AUTO_TEST_CASE(AdmissionsRefusalCarriesItsAdvice) {
+BOOST_AUTO_TEST_CASE(AdmissionRefusalCarriesItsRetryAfter) {
   admission.verdict = {false, {ResultCode::kShed, "overload"}, seconds(4), {}};
   const auto active = complete();
   BOOST_REQUIRE(sink.refused.has_value());
@@ -307,7 +308,7 @@
 
 BOOST_AUTO_TEST_CASE(CallerMayLeaveFromInsideAChunk) {
   auto active = complete();
-  sink.onEachChunk = [&active] { active.reset(); };
+  sink.onChunkCallback = [&active] { active.reset(); };
   engines.last().chunk(0);
   engines.last().chunk(1);
   BOOST_TEST(sink.chunks.size() == 1U);
@@ -331,7 +332,7 @@
   BOOST_TEST(sink.ended.has_value());
 }
 
-BOOST_AUTO_TEST_CASE(BoundOfThePlannedStopGivesAFinalError) {
+BOOST_AUTO_TEST_CASE(TimeoutOfThePlannedStopGivesAFinalError) {
   const auto active = complete();
   engines.last().chunk(0);
   manager.failOpenRequests({ResultCode::kNodeDraining, "bound"});
@@ -340,7 +341,7 @@
   BOOST_TEST(manager.openRequests() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(UnknownKeyIsNoVerdictWhileTheConfigurationCannotBeConfirmed) {
+BOOST_AUTO_TEST_CASE(UnknownKeyIsNotFinalWhileTheConfigurationIsUnconfirmed) {
   configuration.confirmed = false;
   CompletionRequest request;
   request.bearerKey = "accepted-a-moment-ago";
@@ -351,7 +352,7 @@
   BOOST_TEST((sink.refused->outcome == Outcome::kNotRun));
 }
 
-BOOST_AUTO_TEST_CASE(WaitsForTheCheckAfterAPause) {
+BOOST_AUTO_TEST_CASE(WaitsForTheConfigurationCheckAfterAPause) {
   configuration.checking = true;
   configuration.tenant->whenStale = config::StaleChoice::kRefuse;
   configuration.confirmed = false;
@@ -363,7 +364,7 @@
   BOOST_TEST(engines.streams.size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(RetiredDuringAPauseIsRefusedAfterTheCheck) {
+BOOST_AUTO_TEST_CASE(TenantRetiredDuringAPauseIsRefusedAfterTheCheck) {
   configuration.checking = true;
   const auto active = complete();
   configuration.tenant->retired = true;
@@ -373,7 +374,7 @@
   BOOST_TEST((sink.refused->reason.code == ResultCode::kTenantRetired));
 }
 
-BOOST_AUTO_TEST_CASE(RecordExplainsTheRequest) {
+BOOST_AUTO_TEST_CASE(TraceRecordsTheRequest) {
   const auto active = complete();
   engines.last().fail(DispatchFailure::kNotSent, ResultCode::kBackEndUnreachable);
   time.advance(milliseconds(50));
--- a/tests/request/event_splitter_test.cc
+++ b/tests/request/event_splitter_test.cc
@@ -9,7 +9,7 @@
 
 BOOST_AUTO_TEST_SUITE(EventSplitterTest)
 
-BOOST_AUTO_TEST_CASE(UnfinishedEventIsKeptBack) {
+BOOST_AUTO_TEST_CASE(IncompleteEventIsRetained) {
   EventSplitter splitter;
   BOOST_TEST(splitter.feed("id: 7\ndata: a\n").empty());
   BOOST_TEST(splitter.hasIncomplete());
@@ -26,7 +26,7 @@
   BOOST_TEST(splitter.failed());
 }
 
-RC_BOOST_PROP(HowTheBytesArriveDoesNotMatter, (std::vector<std::string> payloads)) {
+RC_BOOST_PROP(ResultIsIndependentOfHowTheBytesAreSplit, (std::vector<std::string> payloads)) {
   std::string stream;
   for (std::size_t index = 0; index < payloads.size(); ++index) {
     std::string line = payloads[index];
@@ -35,11 +35,11 @@
   }
   EventSplitter splitter;
   std::string out;
-  std::string_view rest = stream;
-  while (!rest.empty()) {
-    const auto size = *rc::gen::inRange<std::size_t>(1, rest.size() + 1);
-    out += splitter.feed(rest.substr(0, size));
-    rest.remove_prefix(size);
+  std::string_view remaining = stream;
+  while (!remaining.empty()) {
+    const auto size = *rc::gen::inRange<std::size_t>(1, remaining.size() + 1);
+    out += splitter.feed(remaining.substr(0, size));
+    remaining.remove_prefix(size);
   }
   RC_ASSERT(out == stream);
   RC_ASSERT(!splitter.hasIncomplete());
--- a/tests/request/fakes.h
+++ b/tests/request/fakes.h
@@ -1,4 +1,4 @@
-// Stand-ins for everything that the request path reaches, driven by the test step by step.
+// Fakes of all services that the request path uses, driven by the test step by step.
 #pragma once
 
 #include <cstdint>
@@ -31,21 +31,24 @@
 
 using test_support::VirtualTime;
 
-/// A table service whose answers the test decides: applied or not, answered or not.
+/// A table service for which the test decides whether calls are applied and whether they are
+/// answered.
 class FakeTable final : public clients::TableClient {
  public:
   enum class Behaviour { kNormal, kLoseAnswer, kLoseRequest, kRateLimit, kUnavailable, kSilent };
 
   explicit FakeTable(VirtualTime& time) : time_(time) {}
 
-  /// The next calls behave like this, one entry a call; then normally.
+  /// Behaviour of the next calls, one entry per call. Once it is empty, the default behaviour
+  /// applies.
   std::deque<Behaviour> nextBehaviours;
   Behaviour defaultBehaviour = Behaviour::kNormal;
   std::map<std::string, clients::TableRow> rows;
   std::vector<clients::TableTransaction> commits;
   std::uint64_t reads = 0;
   base::Duration latency = std::chrono::milliseconds(1);
-  /// The service's clock less that of the nodes; told in answers where it is given.
+  /// Offset of the service's clock from that of the nodes. If it is set, replies to reads contain
+  /// the service's time.
   std::optional<base::Duration> clockOffset;
 
   void read(std::vector<std::string> keys, clients::TableCallback callback) override {
@@ -137,7 +140,7 @@
   base::Revision revision_ = 0;
 };
 
-/// One stream that the code under test opened.
+/// A stream that the code under test opened.
 struct FakeStream {
   clients::BackEndAddress engine;
   clients::EngineRequest request;
@@ -274,7 +277,7 @@
  public:
   explicit FakeAdmission(VirtualTime& time) : time_(time) {}
   admission::AdmissionVerdict verdict{true, {}, {}, {}};
-  /// While held, verdicts wait for `releaseHeld`.
+  /// While set, verdicts are withheld until `releaseHeld` is called.
   bool hold = false;
   std::uint32_t retries = 100;
   std::uint32_t ticketsHeld = 0;
@@ -315,17 +318,17 @@
  public:
   std::shared_ptr<config::TenantTemplate> tenant = std::make_shared<config::TenantTemplate>();
   bool confirmed = true;
-  bool copyHere = true;
+  bool copyAvailable = true;
   bool checking = false;
 
   config::TenantTemplatePtr findByKey(std::string_view bearerKey) const override {
-    return copyHere && bearerKey == "key" ? tenant : nullptr;
+    return copyAvailable && bearerKey == "key" ? tenant : nullptr;
   }
   config::TenantTemplatePtr findByName(std::string_view name) const override {
-    return copyHere && name == tenant->name ? tenant : nullptr;
+    return copyAvailable && name == tenant->name ? tenant : nullptr;
   }
   config::Freshness freshness() const override { return {1, confirmed, {}, checking}; }
-  bool loaded() const override { return copyHere; }
+  bool loaded() const override { return copyAvailable; }
 };
 
 class FakeZones final : public ZoneReachability {
@@ -349,7 +352,7 @@
   }
 };
 
-/// Live members by name, all in one region; the first one is the node itself.
+/// Live members by name, all in one region. The first one is the node itself.
 class FakeMembers final : public membership::MemberDirectory {
  public:
   explicit FakeMembers(const std::string& self) { add(self); }
@@ -394,26 +397,27 @@
   }
 };
 
-/// Records an answer and checks its shape: in order, without gaps, one final call, nothing after.
+/// Records a response, and whether its chunks are in order without gaps and no call follows the
+/// final one.
 class RecordingSink final : public CompletionSink {
  public:
   std::vector<clients::StreamChunk> chunks;
   std::optional<clients::StreamEnd> ended;
   std::optional<Refusal> refused;
-  std::uint32_t callsAfterFinal = 0;
-  std::function<void()> onEachChunk;
+  std::uint32_t callsAfterEnd = 0;
+  std::function<void()> onChunkCallback;
 
   void onChunk(const clients::StreamChunk& chunk) override {
-    noteCall();
+    recordCall();
     chunks.push_back(chunk);
-    if (onEachChunk) onEachChunk();
+    if (onChunkCallback) onChunkCallback();
   }
   void onEnd(const clients::StreamEnd& end) override {
-    noteCall();
+    recordCall();
     ended = end;
   }
   void onRefused(const Refusal& refusal) override {
-    noteCall();
+    recordCall();
     refused = refusal;
   }
   bool final() const { return ended.has_value() || refused.has_value(); }
@@ -425,8 +429,8 @@
   }
 
  private:
-  void noteCall() {
-    if (final()) ++callsAfterFinal;
+  void recordCall() {
+    if (final()) ++callsAfterEnd;
   }
 };
 
@@ -438,7 +442,8 @@
   void onRefused(const Refusal& refusal) override { refused = refusal; }
 };
 
-/// A request manager with fakes all around: three engines, two replicas, one tenant.
+/// A request manager surrounded by fakes, with three engines, two application replicas and one
+/// tenant.
 struct RequestFixture {
   RequestFixture() {
     for (const char* name : {"engine-a", "engine-b", "engine-c"}) {
--- a/tests/request/limited_fleet.h
+++ b/tests/request/limited_fleet.h
@@ -1,6 +1,6 @@
 /// \file
-/// Several nodes that relay requests to the same replicas, which name rate limits in their answers;
-/// in virtual time, with a network between the nodes that a test breaks.
+/// Several nodes that relay requests to the same replicas, which report rate limits in their
+/// responses. Runs in virtual time, with a network between the nodes in which tests inject faults.
 #pragma once
 
 #include <algorithm>
@@ -20,7 +20,7 @@
 
 namespace covewing::request {
 
-/// A replica as the test plays it, and what arrived there.
+/// A simulated replica, and the requests that arrived there.
 struct LimitedReplica {
   struct Arrival {
     base::TimePoint at{};
@@ -28,15 +28,15 @@
   };
 
   base::Endpoint endpoint;
-  /// Requests a second that its answers name; empty: none.
+  /// Rate limit in requests per second that its responses report; empty if they report none.
   std::optional<double> limit;
   base::Duration runTime = std::chrono::milliseconds(20);
   std::vector<Arrival> arrivals;
-  /// When each node had read an answer that names a limit.
-  std::map<std::size_t, base::TimePoint> toldAt;
+  /// Time at which each node first received a response that reports a limit.
+  std::map<std::size_t, base::TimePoint> limitReceivedAt;
 };
 
-/// Replicas that take each request, and answer it after their run time.
+/// Replicas that accept every request and respond after their run time.
 class LimitedReplicas final {
  public:
   explicit LimitedReplicas(test_support::VirtualTime& time) : time_(time) {}
@@ -58,7 +58,7 @@
   }
 
   std::map<std::uint16_t, LimitedReplica> all;
-  /// From the dispatch to the arrival.
+  /// Time from the dispatch of a request to its arrival.
   base::Duration connectTime = std::chrono::milliseconds(1);
 
  private:
@@ -84,7 +84,7 @@
       answer.rateLimit = clients::RateLimitNotice::unlimited();
       if (replica.limit) {
         answer.rateLimit = clients::RateLimitNotice::of(*replica.limit);
-        replica.toldAt.try_emplace(node, time_.now());
+        replica.limitReceivedAt.try_emplace(node, time_.now());
       }
       handler.onHead(std::move(answer));
       if (*open) handler.onEnd();
@@ -94,7 +94,7 @@
   test_support::VirtualTime& time_;
 };
 
-/// The messages on the placement channel; the others do not matter here.
+/// Transports the messages of the placement channel only; others are not needed here.
 class PlacementLink final : public base::PeerTransport {
  public:
   PlacementLink(routing::testing::DelayedNetwork& network, base::PeerIdentity self)
@@ -111,11 +111,11 @@
 
 struct LimitNode : RelayObserver, clients::RelayClient {
   LimitNode(std::size_t place, test_support::VirtualTime& time, test_support::RecordingLog& log,
-            routing::testing::DelayedNetwork& network, LimitedReplicas& playedReplicas,
-            std::vector<membership::Member> ownFirst)
+            routing::testing::DelayedNetwork& network, LimitedReplicas& simulatedReplicas,
+            std::vector<membership::Member> membersOwnFirst)
       : number(place),
-        played(playedReplicas),
-        members(std::move(ownFirst)),
+        simulated(simulatedReplicas),
+        members(std::move(membersOwnFirst)),
         random(place + 1),
         link(network, {members.self().id, 1, members.self().endpoint}),
         table(time, time, members.self().name),
@@ -146,12 +146,12 @@
                                             clients::RelayedRequestPtr /*request*/,
                                             const clients::DispatchTerms& /*terms*/,
                                             clients::RelayHandler& handler) override {
-    return played.start(number, replica, handler);
+    return simulated.start(number, replica, handler);
   }
   void onRelayFinished(const config::Route& /*route*/, const RelayOutcome& /*outcome*/) override {}
 
   std::size_t number;
-  LimitedReplicas& played;
+  LimitedReplicas& simulated;
   routing::testing::FakeMembers members;
   base::SeededRandom random;
   PlacementLink link;
@@ -177,22 +177,22 @@
   RelayService service;
 };
 
-/// What became of the callers' requests.
+/// Results of the callers' requests.
 struct LimitedCalls {
   std::size_t sent = 0;
   std::size_t served = 0;
   std::size_t refused = 0;
-  /// Of those refused, from the request to the refusal, summed.
+  /// Sum of the times from the request to the refusal, over all refused requests.
   base::Duration refusedAfter{};
-  /// When refused callers were told to come back.
-  std::vector<base::TimePoint> comeBackAt;
+  /// Times at which refused callers may retry, according to their refusals.
+  std::vector<base::TimePoint> retryAt;
 };
 
 struct LimitedFleet {
   LimitedFleet(std::size_t nodeCount, std::size_t replicaCount) {
     time.advance(std::chrono::seconds(100));
     for (std::size_t number = 0; number < nodeCount; ++number)
-      everybody.push_back(routing::testing::makeMember("node-" + std::to_string(number), "zone"));
+      allMembers.push_back(routing::testing::makeMember("node-" + std::to_string(number), "zone"));
     for (std::size_t number = 0; number < replicaCount; ++number) {
       const auto port = static_cast<std::uint16_t>(kFirstPort + number);
       replicas.all[port].endpoint = {0x7f000001, port};
@@ -200,13 +200,13 @@
     for (std::size_t number = 0; number < nodeCount; ++number) start(number);
   }
 
-  /// Starts the node, or starts it again with nothing remembered.
+  /// Starts the node, or restarts it without any of its earlier state.
   void start(std::size_t number) {
-    auto ownFirst = everybody;
-    std::swap(ownFirst.front(), ownFirst[number]);
+    auto membersOwnFirst = allMembers;
+    std::swap(membersOwnFirst.front(), membersOwnFirst[number]);
     auto& node = nodes[number];
     node.reset();
-    node = std::make_unique<LimitNode>(number, time, log, network, replicas, ownFirst);
+    node = std::make_unique<LimitNode>(number, time, log, network, replicas, membersOwnFirst);
     node->tables.current = std::make_shared<const config::RouteTable>(RelayFixture::contents());
     node->tables.confirmed = time.now();
     for (const auto& [port, replica] : replicas.all) {
@@ -219,10 +219,10 @@
       node->replicas.onListed(facts);
     }
   }
-  /// The node takes these for the live members.
+  /// Sets the members that the node considers live.
   void setView(std::size_t node, const std::vector<std::size_t>& live) {
     std::vector<membership::Member> members;
-    for (const auto number : live) members.push_back(everybody.at(number));
+    for (const auto number : live) members.push_back(allMembers.at(number));
     nodes.at(node)->members.set(std::move(members));
   }
 
@@ -230,47 +230,50 @@
   LimitedReplica& replica(std::size_t number) {
     return replicas.all.at(static_cast<std::uint16_t>(kFirstPort + number));
   }
-  /// The node that is the home of the replica where all are alive.
+  /// The home node of the replica while all nodes are live.
   std::size_t homeOf(std::size_t number) {
     const auto instance = nameOf(static_cast<std::uint16_t>(kFirstPort + number));
     const auto& home = routing::ReplicaHomes(nodes.begin()->second->members)
                            .homeOf(base::engineIdOf(instance), "zone");
-    const auto found = std::ranges::find(everybody, home.id, &membership::Member::id);
-    return static_cast<std::size_t>(found - everybody.begin());
+    const auto found = std::ranges::find(allMembers, home.id, &membership::Member::id);
+    return static_cast<std::size_t>(found - allMembers.begin());
   }
 
   void request(std::size_t node) {
-    IncomingRequest arrival;
-    arrival.host = "example";
-    arrival.path = "/safe/x";
-    arrival.key = "key";
-    arrival.arrivedAt = time.now();
-    arrival.request = std::make_shared<const clients::RelayedRequest>(clients::RelayedRequest{
-        "id-" + std::to_string(++calls.sent), "POST", arrival.path, {}, {}});
-    nodes.at(node)->service.begin(std::move(arrival), std::make_unique<Caller>(*this));
+    IncomingRequest incoming;
+    incoming.host = "example";
+    incoming.path = "/safe/x";
+    incoming.key = "key";
+    incoming.arrivedAt = time.now();
+    incoming.request = std::make_shared<const clients::RelayedRequest>(clients::RelayedRequest{
+        "id-" + std::to_string(++calls.sent), "POST", incoming.path, {}, {}});
+    nodes.at(node)->service.begin(std::move(incoming), std::make_unique<Caller>(*this));
   }
-  /// Callers send so many requests a second, spread over the nodes.
+  /// Sends `perSecond` requests per second during `span`, spread over the nodes.
   void load(base::Duration span, double perSecond) {
     const auto end = time.now() + span;
     const base::Duration gap{static_cast<base::Duration::rep>(1e6 / perSecond)};
     for (; time.now() < end; time.advance(gap)) {
       auto node = nodes.begin();
       std::advance(node, static_cast<std::ptrdiff_t>(callers.below(nodes.size())));
-      if (!silent.contains(node->first)) request(node->first);
+      if (!idleNodes.contains(node->first)) request(node->first);
     }
   }
 
-  /// Most arrivals in a window of 4 s from nodes that were told half a second before, as a part of
-  /// what the replica's limit allows: one and a half times as many, and 5 more.
-  double worst(std::size_t number, double limit) {
+  /// Maximum number of arrivals at the replica in any window of 4 s, divided by the number that is
+  /// allowed: one and a half times the limit, plus 5. Only counts arrivals from nodes that received
+  /// the limit at least half a second earlier.
+  double peakLoad(std::size_t number, double limit) {
     using std::chrono::milliseconds;
     constexpr base::Duration kWindow = std::chrono::seconds(4);
     const auto& one = replica(number);
     std::vector<base::TimePoint> counted;
     for (const auto& arrival : one.arrivals) {
-      const auto told = one.toldAt.find(arrival.node);
-      if (told == one.toldAt.end() || told->second + milliseconds(500) > arrival.at) continue;
-      if (!excused.contains(arrival.node)) counted.push_back(arrival.at);
+      const auto received = one.limitReceivedAt.find(arrival.node);
+      if (received == one.limitReceivedAt.end() ||
+          received->second + milliseconds(500) > arrival.at)
+        continue;
+      if (!uncountedNodes.contains(arrival.node)) counted.push_back(arrival.at);
     }
     std::size_t most = 0;
     for (std::size_t last = 0; last < counted.size(); ++last) {
@@ -279,7 +282,7 @@
     }
     return static_cast<double>(most) / (1.5 * 4 * limit + 5);
   }
-  /// Arrivals a second at the replica since then.
+  /// Arrivals per second at the replica since that time.
   double rateSince(std::size_t number, base::TimePoint since) {
     const auto& arrivals = replica(number).arrivals;
     const auto count = std::ranges::count_if(
@@ -293,11 +296,12 @@
   test_support::RecordingLog log;
   routing::testing::DelayedNetwork network{time, 3};
   LimitedReplicas replicas{time};
-  std::vector<membership::Member> everybody;
+  std::vector<membership::Member> allMembers;
   std::map<std::size_t, std::unique_ptr<LimitNode>> nodes;
-  /// Nodes that callers send nothing, and nodes whose requests do not count.
-  std::set<std::size_t> silent;
-  std::set<std::size_t> excused;
+  /// `idleNodes`: nodes to which callers send no requests. `uncountedNodes`: nodes whose requests
+  /// are not counted.
+  std::set<std::size_t> idleNodes;
+  std::set<std::size_t> uncountedNodes;
   base::SeededRandom callers{7};
   LimitedCalls calls;
 
@@ -311,7 +315,7 @@
     void refuse(const RelayRefusal& refusal) override {
       ++fleet_.calls.refused;
       fleet_.calls.refusedAfter += fleet_.time.now() - since_;
-      fleet_.calls.comeBackAt.push_back(fleet_.time.now() + refusal.retryAfter);
+      fleet_.calls.retryAt.push_back(fleet_.time.now() + refusal.retryAfter);
     }
     void abort() override {}
     void onPressure(std::function<void(bool)> /*listener*/) override {}
--- a/tests/request/proxied_flow_test.cc
+++ b/tests/request/proxied_flow_test.cc
@@ -1,4 +1,5 @@
-// Proxied calls: repeat rules by method and mark, claims, crossed answers.
+// Tests proxied requests: which methods may be retried, claims, and responses that belong to other
+// requests.
 #include <boost/test/unit_test.hpp>
 
 #include "request/fakes.h"
@@ -13,7 +14,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(ProxiedFlowTest, RequestFixture)
 
-BOOST_AUTO_TEST_CASE(ReadIsTriedAgainAfterAnUnknownOutcome) {
+BOOST_AUTO_TEST_CASE(IdempotentMethodIsRetriedAfterAnUnknownOutcome) {
   const auto active = proxy("GET");
   applications.calls.back().fail(DispatchFailure::kOutcomeUnknown, ResultCode::kBackEndLost);
   time.advance(milliseconds(50));
@@ -23,7 +24,7 @@
   BOOST_TEST(proxiedSink.response.has_value());
 }
 
-BOOST_AUTO_TEST_CASE(MarkedMethodIsSentOnce) {
+BOOST_AUTO_TEST_CASE(NotRepeatableMethodIsSentOnce) {
   const auto active = proxy("POST");
   applications.calls.back().fail(DispatchFailure::kOutcomeUnknown, ResultCode::kBackEndTimeout);
   time.advance(seconds(20));
@@ -32,7 +33,7 @@
   BOOST_TEST((proxiedSink.refused->outcome == Outcome::kUnknown));
 }
 
-BOOST_AUTO_TEST_CASE(MethodThatIsNotIdempotentIsSentOnceThoughNotMarked) {
+BOOST_AUTO_TEST_CASE(NonIdempotentMethodIsSentOnceEvenIfNotMarked) {
   configuration.tenant->applications.front().notRepeatableMethods.clear();
   const auto active = proxy("POST");
   applications.calls.back().fail(DispatchFailure::kOutcomeUnknown, ResultCode::kBackEndLost);
@@ -40,7 +41,7 @@
   BOOST_TEST(applications.calls.size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(CrossedAnswerIsNeverDelivered) {
+BOOST_AUTO_TEST_CASE(ResponseToAnotherRequestIsNeverDelivered) {
   const auto active = proxy("POST");
   applications.calls.back().respond(base::RequestId{"somebody-else"});
   BOOST_TEST(!proxiedSink.response.has_value());
@@ -48,7 +49,7 @@
   BOOST_TEST((proxiedSink.refused->outcome == Outcome::kUnknown));
 }
 
-BOOST_AUTO_TEST_CASE(AnswerAfterTheDeadlineIsDropped) {
+BOOST_AUTO_TEST_CASE(ResponseAfterTheDeadlineIsDropped) {
   configuration.tenant->deadline = milliseconds(200);
   const auto active = proxy("POST");
   time.advance(milliseconds(300));
@@ -76,7 +77,7 @@
   BOOST_TEST((proxiedSink.refused->outcome == Outcome::kNotRun));
 }
 
-BOOST_AUTO_TEST_CASE(NoClaimNoDispatch) {
+BOOST_AUTO_TEST_CASE(NotDispatchedWithoutAClaim) {
   table.defaultBehaviour = Behaviour::kUnavailable;
   const auto active = proxy("POST", "payment-1");
   time.advance(seconds(3));
@@ -95,7 +96,7 @@
   BOOST_TEST(table.rows.empty());
 }
 
-BOOST_AUTO_TEST_CASE(ClaimOfARequestThatMayHaveRunStays) {
+BOOST_AUTO_TEST_CASE(ClaimOfARequestThatMayHaveRunIsKept) {
   const auto active = proxy("POST", "payment-1");
   applications.calls.back().fail(DispatchFailure::kOutcomeUnknown, ResultCode::kBackEndLost);
   time.advance(seconds(1));
@@ -112,7 +113,7 @@
   BOOST_TEST(table.rows.empty());
 }
 
-BOOST_AUTO_TEST_CASE(LongestPathDecides) {
+BOOST_AUTO_TEST_CASE(LongestMatchingPathApplies) {
   ProxiedRequest request;
   request.bearerKey = "key";
   request.method = "POST";
--- a/tests/request/relay_fixture.h
+++ b/tests/request/relay_fixture.h
@@ -1,4 +1,4 @@
-// A relay service among stand-ins: replicas and callers are driven by the test step by step.
+// A relay service with fake replicas and callers that are driven by the test step by step.
 #pragma once
 
 #include <memory>
@@ -19,7 +19,7 @@
 
 namespace covewing::request {
 
-/// One dispatch as the client saw it.
+/// One dispatch as received by the relay client.
 struct Dispatched {
   base::Endpoint replica;
   clients::RelayedRequestPtr request;
@@ -45,16 +45,16 @@
     head(status, true);
     handler->onEnd();
   }
-  /// The head of an answer in which the replica says that it leaves.
-  void leave(unsigned status, bool notExecuted = false) const {
+  /// Responds with headers in which the replica reports that it is leaving.
+  void respondLeaving(unsigned status, bool notExecuted = false) const {
     clients::RelayedAnswer answer;
     answer.status = status;
     answer.notExecuted = notExecuted;
     answer.leaving = true;
     handler->onHead(std::move(answer));
   }
-  /// The request is turned away, and the replica wants no other from this node for so long.
-  void askRest(base::Duration rest) const {
+  /// Refuses the request, and requests that this node backs off for the given time.
+  void requestBackOff(base::Duration rest) const {
     clients::RelayedAnswer answer;
     answer.status = 503;
     answer.notExecuted = true;
@@ -62,7 +62,7 @@
     handler->onHead(std::move(answer));
     handler->onEnd();
   }
-  void breakOff() const {
+  void breakConnection() const {
     handler->onFailure(
         {clients::DispatchFailure::kOutcomeUnknown, {base::ResultCode::kBackEndLost, "reset"}});
   }
@@ -100,7 +100,7 @@
   };
 };
 
-/// What a caller has seen.
+/// The part of the response that a caller has received.
 struct CallerView {
   std::optional<clients::RelayedAnswer> head;
   std::string body;
@@ -135,7 +135,7 @@
   CallerView& view_;
 };
 
-/// Replicas that a test has not ended accept connections.
+/// Accepts connections for all replicas except those that the test has ended.
 class FakeReachability final : public clients::ReachabilityClient {
  public:
   explicit FakeReachability(base::TimerService& timers) : timers_(timers) {}
@@ -163,7 +163,7 @@
 };
 
 struct RelayFixture : RelayObserver {
-  /// The node has run for more than a window of retries.
+  /// Start time of a node that has been running for longer than a retry window.
   static constexpr base::TimePoint kStartedLongAgo{-std::chrono::minutes(1)};
   static std::size_t oneNode() { return 1; }
 
@@ -214,14 +214,15 @@
     tables.confirmed = time.now();
   }
 
-  /// Puts a limit on the only tenant in force.
+  /// Puts a new configuration in force in which the only tenant has a limit.
   void limitTenant(double perSecond, double burst, bool countsTokens = false) {
     auto limited = contents();
     limited.version = tables.current->version() + 1;
     limited.tenants[0].rate = config::TenantRate{perSecond, burst, countsTokens, 7};
     useTable(std::move(limited));
   }
-  /// Gives the only tenant another name, and so another home of its limit.
+  /// Puts a new configuration in force in which the only tenant has another name, and so possibly
+  /// another home node for its limit.
   void renameTenant(const std::string& name) {
     auto renamed = contents();
     renamed.version = tables.current->version() + 1;
@@ -241,17 +242,17 @@
     replicas.onListed(std::move(replica));
   }
 
-  /// This node hears of a version of the model's weights.
-  void nameWeights(base::WeightsVersion version) { targets.onNamed("m", version, time.now()); }
-  /// It becomes known here when the version was named.
-  void dateWeights(base::WeightsVersion version, base::TimePoint namedAt) {
+  /// Announces a version of the model's weights to this node.
+  void announceWeights(base::WeightsVersion version) { targets.onNamed("m", version, time.now()); }
+  /// Lets this node know the time at which the version was announced.
+  void setAnnouncementTime(base::WeightsVersion version, base::TimePoint namedAt) {
     targets.onDated("m", version, namedAt);
-    // What has to begin at once or not at all is taken back by the timer that is due now.
+    // The timer that is due now withdraws requests whose start deadline has passed.
     time.settle();
   }
 
-  /// What the field says in each line of the event, in order.
-  std::vector<std::string> toldBy(base::Event event, std::string_view field) const {
+  /// Values of the field in the log entries of the event, in order.
+  std::vector<std::string> loggedValues(base::Event event, std::string_view field) const {
     std::vector<std::string> values;
     for (const auto& [written, fields] : log.entries) {
       if (written != event) continue;
@@ -261,31 +262,32 @@
     return values;
   }
 
-  /// Takes up a request of the route with this path.
+  /// Starts a request on the route with this path.
   CallerView& request(const std::string& path, const std::string& key = "key",
                       std::string body = {}) {
-    IncomingRequest arrival;
-    arrival.host = "example";
-    arrival.path = '/' + path + "/x";
-    arrival.key = key;
-    arrival.arrivedAt = time.now();
-    arrival.request = std::make_shared<const clients::RelayedRequest>(clients::RelayedRequest{
-        "id-" + std::to_string(++requests), "POST", arrival.path, {}, std::move(body)});
+    IncomingRequest incoming;
+    incoming.host = "example";
+    incoming.path = '/' + path + "/x";
+    incoming.key = key;
+    incoming.arrivedAt = time.now();
+    incoming.request = std::make_shared<const clients::RelayedRequest>(clients::RelayedRequest{
+        "id-" + std::to_string(++requests), "POST", incoming.path, {}, std::move(body)});
     if (path == "once" || path == "resumable") {
       PromptMetadata prompt;
       prompt.model = "m";
       prompt.chain = *prefix::PartChain::parse(promptText);
       prompt.promptTokens = prompt.chain.totalTokens();
       prompt.maximumOutputTokens = 20;
-      arrival.declaredTokens = prompt.promptTokens + prompt.maximumOutputTokens;
-      arrival.prompt = std::move(prompt);
+      incoming.declaredTokens = prompt.promptTokens + prompt.maximumOutputTokens;
+      incoming.prompt = std::move(prompt);
     }
     views.push_back(std::make_unique<CallerView>());
-    flow = service.begin(std::move(arrival), std::make_unique<FakeCaller>(*views.back()));
+    flow = service.begin(std::move(incoming), std::make_unique<FakeCaller>(*views.back()));
     return *views.back();
   }
 
-  /// So many replicas end under runs of the path's request without a body, as other nodes tell.
+  /// Reports, as other nodes would, that `crashes` replicas ended while they executed the path's
+  /// request without a body.
   void quarantineAfter(std::size_t crashes, const std::string& path) {
     const auto run = fingerprintOf({{}, {}, '/' + path + "/x", {}, {}}, "tenant");
     for (std::size_t count = 0; count < crashes; ++count)
@@ -335,7 +337,7 @@
   std::vector<std::unique_ptr<CallerView>> views;
   std::size_t requests = 0;
   std::uint64_t replicasEnded = 0;
-  /// Parts of the prompts of requests.
+  /// Prompt parts of the requests, each with its identifier and number of tokens.
   std::string promptText = "aa:1000,bb:200";
   std::weak_ptr<RelayFlow> flow;
   RelayService service{options(),
--- a/tests/request/relay_flow_test.cc
+++ b/tests/request/relay_flow_test.cc
@@ -1,4 +1,5 @@
-// The life of one relayed request: what may be repeated, what the caller gets, and when.
+// Tests the flow of one relayed request: which attempts may be repeated, and what the caller
+// receives and when.
 #include "request/relay_flow.h"
 
 #include <boost/test/unit_test.hpp>
@@ -14,7 +15,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(RelayFlowTest, RelayFixture)
 
-BOOST_AUTO_TEST_CASE(PlainAnswerIsRelayedWholeWithItsLength) {
+BOOST_AUTO_TEST_CASE(PlainResponseIsRelayedCompletelyWithItsLength) {
   auto& caller = request("unsafe");
   client.last().head(200);
   client.last().handler->onBody("hel");
@@ -27,21 +28,21 @@
   BOOST_TEST(service.openRequests() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(ReplicaIsToldWhoItMustBeAndHowMuchTimeIsLeft) {
+BOOST_AUTO_TEST_CASE(DispatchTermsContainTheExpectedInstanceAndTheTimeLeft) {
   request("unsafe");
   BOOST_TEST(!client.last().terms.expectedInstance.empty());
   BOOST_TEST(client.last().terms.tenant == "tenant");
   BOOST_TEST((client.last().terms.timeLeft == seconds(4)));
 }
 
-BOOST_AUTO_TEST_CASE(UnknownOutcomeOfNotRepeatableRequestIsNotRepeatedAndNotCalledNotRun) {
+BOOST_AUTO_TEST_CASE(NotRepeatableRequestWithUnknownOutcomeIsNeitherRetriedNorReportedAsNotRun) {
   auto& caller = request("unsafe");
-  client.last().breakOff();
+  client.last().breakConnection();
   BOOST_TEST(client.sent.size() == 1U);
   BOOST_TEST(caller.refusal->status == 502U);
 }
 
-BOOST_AUTO_TEST_CASE(NotRepeatableRequestGoesElsewhereWhenItDidNotRun) {
+BOOST_AUTO_TEST_CASE(NotRepeatableRequestThatDidNotRunIsRetriedOnAnotherReplica) {
   auto& caller = request("unsafe");
   client.last().refuseNotExecuted();
   BOOST_TEST(client.sent.size() == 2U);
@@ -50,7 +51,7 @@
   BOOST_TEST(caller.body == "done");
 }
 
-BOOST_AUTO_TEST_CASE(RequestThatNeverLeftGoesElsewhereWithoutBudget) {
+BOOST_AUTO_TEST_CASE(RequestThatWasNotSentIsRetriedWithoutBudget) {
   retries = admission::RetryWindows({seconds(10), 0, 0, 1.0}, kStartedLongAgo, oneNode);
   auto& caller = request("unsafe");
   client.last().refuseConnection();
@@ -59,7 +60,7 @@
   BOOST_TEST(caller.ended);
 }
 
-BOOST_AUTO_TEST_CASE(RefusedByAllIsRefusedAsNotRunWithTimeToComeBack) {
+BOOST_AUTO_TEST_CASE(RequestRefusedByAllReplicasIsRefusedAsNotRunWithRetryAfter) {
   auto& caller = request("unsafe");
   while (caller.open()) client.last().refuseNotExecuted();
   BOOST_TEST(caller.refusal->status == 503U);
@@ -67,7 +68,7 @@
   BOOST_TEST(client.sent.size() <= 5U);
 }
 
-BOOST_AUTO_TEST_CASE(RepeatableRequestRunsAgainWithinItsAttempts) {
+BOOST_AUTO_TEST_CASE(RepeatableRequestIsRetriedWithinItsAttempts) {
   auto& caller = request("safe");
   client.last().answer(500, "oops");
   BOOST_TEST(client.sent.size() == 2U);
@@ -85,15 +86,15 @@
   BOOST_TEST(caller.body == "oops");
 }
 
-BOOST_AUTO_TEST_CASE(WithoutBudgetNothingIsRepeated) {
+BOOST_AUTO_TEST_CASE(NothingIsRetriedWithoutBudget) {
   retries = admission::RetryWindows({seconds(10), 0, 0, 1.0}, kStartedLongAgo, oneNode);
   auto& caller = request("safe");
-  client.last().breakOff();
+  client.last().breakConnection();
   BOOST_TEST(client.sent.size() == 1U);
   BOOST_TEST(caller.refusal->status == 502U);
 }
 
-BOOST_AUTO_TEST_CASE(SilentReplicaIsLeftForAnotherOnlyWhereTheRequestMayRunAgain) {
+BOOST_AUTO_TEST_CASE(UnresponsiveReplicaIsAbandonedOnlyIfTheRequestIsRepeatable) {
   request("safe");
   time.advance(milliseconds(450));
   BOOST_TEST(client.sent.size() == 2U);
@@ -104,8 +105,9 @@
   BOOST_TEST(client.sent[2]->open);
 }
 
-// Long prompts were sent elsewhere while they were being read, and read anew there.
-BOOST_AUTO_TEST_CASE(PromptIsGivenTheTimeThatReadingItTakes) {
+// Guards against long prompts being retried on another replica while they are still being
+// prefilled, which repeats the prefill there.
+BOOST_AUTO_TEST_CASE(ReceiveTimeoutIncludesThePrefillOfThePrompt) {
   for (const char* name : {"m1", "m2", "m3"}) {
     for (int count = 0; count < 60; ++count)
       replicas.find(name)->prefillSpeed().learn(1000, milliseconds(500));
@@ -118,7 +120,7 @@
   BOOST_TEST(client.sent.size() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(AddressThatAnswersForAnotherRunEndsTheReplica) {
+BOOST_AUTO_TEST_CASE(ResponseOfAnotherInstanceAtTheAddressEndsTheReplica) {
   request("unsafe");
   const auto first = client.last().terms.expectedInstance;
   clients::RelayedAnswer other;
@@ -130,7 +132,7 @@
   BOOST_TEST(client.sent.size() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(SilentReplicaIsWaitedForWhereNoAttemptIsLeft) {
+BOOST_AUTO_TEST_CASE(UnresponsiveReplicaIsAwaitedIfNoAttemptIsLeft) {
   auto& caller = request("safe");
   time.advance(milliseconds(450));
   time.advance(milliseconds(900));
@@ -140,14 +142,14 @@
   BOOST_TEST(caller.body == "late");
 }
 
-BOOST_AUTO_TEST_CASE(TimeUpAfterDispatchGivesNoPromise) {
+BOOST_AUTO_TEST_CASE(DeadlineAfterDispatchIsNotReportedAsNotRun) {
   auto& caller = request("unsafe");
   time.advance(seconds(4));
   BOOST_TEST(caller.refusal->status == 504U);
   BOOST_TEST(!client.last().open);
 }
 
-BOOST_AUTO_TEST_CASE(RequestIsHeldForReplicaForPartOfItsTimeAndThenRefusedAsNotRun) {
+BOOST_AUTO_TEST_CASE(RequestIsHeldForAShareOfItsTimeAndThenRefusedAsNotRun) {
   for (const char* name : {"a", "b", "c"}) replicas.onRemoved(name);
   auto& held = request("unsafe");
   time.advance(milliseconds(1800));
@@ -166,26 +168,27 @@
   BOOST_TEST(client.sent.size() == 1U);
 }
 
-// Requests were held longer than their callers waited for a first event.
+// Guards against requests being held for longer than their callers wait for a first event.
 BOOST_AUTO_TEST_CASE(StreamIsNotHeldLongerThanItsCallerWaitsForTheFirstEvent) {
-  auto patient = contents();
-  patient.routes[2].firstEventPatience = seconds(1);
-  useTable(patient);
+  auto adjusted = contents();
+  adjusted.routes[2].firstEventPatience = seconds(1);
+  useTable(adjusted);
   for (const char* name : {"m1", "m2", "m3"}) replicas.onRemoved(name);
   auto& caller = request("once");
   time.advance(milliseconds(550));
   BOOST_TEST(caller.refusal->status == 503U);
 }
 
-BOOST_AUTO_TEST_CASE(RequestIsHeldWhileEveryReplicaHasAsManyAsItShould) {
-  // Eight run at each of the three replicas, and one waits there; what waits more does in order.
+BOOST_AUTO_TEST_CASE(RequestIsHeldWhileEveryReplicaIsAtCapacity) {
+  // Eight requests run at each of the three replicas and one more waits there. Further requests
+  // wait in a queue.
   constexpr std::size_t kMost = 3 * (8 + 1);
   std::map<std::string, std::size_t> sentTo;
   for (std::size_t count = 0; count < kMost; ++count) {
     request("once");
     BOOST_REQUIRE(client.sent.size() == count + 1);
     ++sentTo[client.last().terms.expectedInstance];
-    // Prompts that are still being read would make the next one late.
+    // Prompts that are still being prefilled would delay the next one.
     client.last().head(200);
     client.last().handler->onBody("id: 1\ndata: x\n\n");
   }
@@ -200,7 +203,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(ReplicaThatOtherNodesFoundUnreachableIsNotTried) {
-  // The home, this node, was told by another one.
+  // This node is the home node and was notified by another node.
   const auto first = [&] {
     request("once");
     client.last().answer(200, "id: 1\ndata: x\n\n");
@@ -217,7 +220,7 @@
   BOOST_TEST(first() == usual);
 }
 
-BOOST_AUTO_TEST_CASE(WorkOfOtherNodesAtAReplicaSendsARequestElsewhere) {
+BOOST_AUTO_TEST_CASE(WorkOfOtherNodesAtAReplicaDivertsARequest) {
   request("once");
   const auto usual = client.last().terms.expectedInstance;
   time.advance(milliseconds(30));
@@ -234,8 +237,8 @@
   BOOST_TEST(client.last().terms.expectedInstance == usual);
 }
 
-BOOST_AUTO_TEST_CASE(RequestThatWouldBeLateAtEveryReplicaWaitsForAFreeOne) {
-  // The prompts ahead at each replica take longer to read than the target latency.
+BOOST_AUTO_TEST_CASE(RequestThatWouldBeLateAtEveryReplicaIsQueued) {
+  // At each replica the prefill of the prompts in front takes longer than the target latency.
   const base::PeerIdentity other{base::nodeIdOf("other"), 1, {}};
   const routing::PlacementDemand work{20'000, 20'000, 8, 90'000};
   std::uint64_t id = 0;
@@ -254,7 +257,7 @@
   BOOST_TEST(client.last().terms.expectedInstance == "m2");
 }
 
-BOOST_AUTO_TEST_CASE(CallerThatGoesAwayEndsTheCall) {
+BOOST_AUTO_TEST_CASE(DisconnectOfTheCallerEndsTheCall) {
   auto& caller = request("unsafe");
   flow.lock()->onCallerDisconnected();
   BOOST_TEST(!client.last().open);
@@ -262,7 +265,7 @@
   BOOST_TEST(service.openRequests() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(HeadOfStreamWaitsForItsFirstEvent) {
+BOOST_AUTO_TEST_CASE(HeadersOfAStreamAreHeldUntilItsFirstEvent) {
   auto& caller = request("resumable");
   client.last().head(200);
   BOOST_TEST(!caller.head.has_value());
@@ -271,12 +274,12 @@
   BOOST_TEST(caller.body == "id: 1\ndata: x\n\n");
 }
 
-BOOST_AUTO_TEST_CASE(BrokenResumableStreamGoesOnBehindItsLastWholeEvent) {
+BOOST_AUTO_TEST_CASE(BrokenResumableStreamContinuesAfterItsLastCompleteEvent) {
   auto& caller = request("resumable");
   client.last().head(200);
   const auto signature = client.last().replica;
   client.last().handler->onBody("id: 1\ndata: x\n\nid: 2\nda");
-  client.last().breakOff();
+  client.last().breakConnection();
   BOOST_TEST(client.sent.size() == 2U);
   BOOST_TEST(client.last().terms.lastEventId == "1");
   client.last().head(200);
@@ -296,27 +299,27 @@
   BOOST_TEST(client.sent.size() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(BrokenStreamThatMayNotBeResumedIsCut) {
+BOOST_AUTO_TEST_CASE(BrokenStreamThatMayNotBeResumedIsAborted) {
   auto& caller = request("once");
   client.last().head(200);
   client.last().handler->onBody("id: 1\ndata: x\n\n");
-  client.last().breakOff();
+  client.last().breakConnection();
   BOOST_TEST(client.sent.size() == 1U);
   BOOST_TEST(caller.cut);
   BOOST_TEST(!caller.ended);
 }
 
-BOOST_AUTO_TEST_CASE(ResumedStreamThatIsAnsweredWithFailureIsCut) {
+BOOST_AUTO_TEST_CASE(ResumedStreamThatGetsAnErrorResponseIsAborted) {
   auto& caller = request("resumable");
   client.last().head(200);
   client.last().handler->onBody("id: 1\ndata: x\n\n");
-  client.last().breakOff();
+  client.last().breakConnection();
   client.last().answer(500, "oops");
   BOOST_TEST(caller.cut);
   BOOST_TEST(caller.body == "id: 1\ndata: x\n\n");
 }
 
-BOOST_AUTO_TEST_CASE(ReplicaOfAnotherVersionIsPassedOver) {
+BOOST_AUTO_TEST_CASE(ReplicaOfAnotherVersionIsSkipped) {
   request("once");
   const auto first = client.last().terms.expectedInstance;
   client.last().refuseNotExecuted(421);
@@ -325,7 +328,7 @@
   BOOST_TEST(replicas.find(first)->versionUncertain(time.now()));
 }
 
-BOOST_AUTO_TEST_CASE(KeyThatWasTakenAwayIsNotUsedForAnotherAttempt) {
+BOOST_AUTO_TEST_CASE(RevokedKeyIsNotUsedForAnotherAttempt) {
   auto& caller = request("safe");
   auto without = contents();
   without.version = 2;
@@ -336,11 +339,11 @@
   BOOST_TEST(caller.refusal->status == 401U);
 }
 
-BOOST_AUTO_TEST_CASE(EveryRequestGetsExactlyOneFinalAnswer) {
+BOOST_AUTO_TEST_CASE(EveryRequestGetsExactlyOneFinalResponse) {
   for (int round = 0; round < 3; ++round) {
     for (const char* path : {"safe", "unsafe", "once", "resumable"}) {
       auto& caller = request(path);
-      if (round == 0) client.last().breakOff();
+      if (round == 0) client.last().breakConnection();
       if (round == 1) client.last().refuseNotExecuted();
       if (round == 2) client.last().head(200);
       time.advance(seconds(10));
@@ -351,8 +354,8 @@
   BOOST_TEST(service.openRequests() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(RequestThatHasNotBegunWhenItsWeightsAreOutOfDateEnds) {
-  // Version 1 may begin until 7 s and 0.6 of the margin after version 2 is named.
+BOOST_AUTO_TEST_CASE(RequestThatHasNotStartedWhenItsWeightsAreOutdatedEnds) {
+  // Requests may start on version 1 until 7 s plus 0.6 of the margin after version 2 was announced.
   replicas.find("m3")->recordVersion("m", 2);
   targets.onNamed("m", 2, time.now());
   time.advance(milliseconds(6900));
@@ -374,7 +377,7 @@
   BOOST_TEST(client.last().terms.expectedVersion.value() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(RequestThatHasBegunRunsOnWhenItsWeightsAreOutOfDate) {
+BOOST_AUTO_TEST_CASE(RequestThatHasStartedContinuesWhenItsWeightsAreOutdated) {
   targets.onNamed("m", 2, time.now());
   time.advance(milliseconds(6900));
   tables.confirmed = time.now();
@@ -386,13 +389,14 @@
   BOOST_TEST(client.last().open);
 }
 
-// A node heard of version 2 of the weights after it had sent requests to a replica on version 1.
-// Until when a request may begin was looked up once, when it was sent, and was not known for these:
-// 7.7 s after version 2 was named both still waited there, to begin on version 1.
-BOOST_AUTO_TEST_CASE(RequestSentBeforeItsWeightsWereOutdatedEndsToo) {
-  auto patient = contents();
-  for (auto& one : patient.routes) one.timeout = one.targetLatency = seconds(30);
-  useTable(patient);
+// Guards against requests that start on outdated weights because their start deadline is only
+// determined at the dispatch. Here version 2 of the weights is announced after the requests were
+// sent to a replica on version 1, so that they had no deadline at the dispatch. Without an update
+// both would still be waiting there, free to start on version 1, 7.7 s after the announcement.
+BOOST_AUTO_TEST_CASE(RequestSentBeforeItsWeightsWereOutdatedEndsAsWell) {
+  auto adjusted = contents();
+  for (auto& one : adjusted.routes) one.timeout = one.targetLatency = seconds(30);
+  useTable(adjusted);
   replicas.find("m3")->setAtCapacity(time.now() + seconds(30));
   auto& once = request("once");
   auto& resumable = request("resumable");
@@ -400,7 +404,7 @@
   BOOST_REQUIRE(sent.size() == 2U);
   time.advance(milliseconds(100));
   replicas.find("m3")->recordVersion("m", 2);
-  nameWeights(2);
+  announceWeights(2);
   time.advance(milliseconds(7500));
   tables.confirmed = time.now();
   BOOST_TEST(sent[0]->open);
@@ -414,59 +418,62 @@
   BOOST_TEST(client.last().terms.expectedVersion.value() == 2U);
 }
 
-// A node that was cut from the table service heard of version 2 6 s late, sent a request to a
-// replica on version 1 and learned only then when version 2 had been named. The request kept the
-// later date: 7.65 s after version 2 was named it still waited, free to begin on version 1.
-BOOST_AUTO_TEST_CASE(RequestSentBeforeItsWeightsWereDatedEndsByTheDate) {
+// Guards against requests that keep a start deadline that is too late. A node without contact to
+// the table service receives the announcement of version 2 with a delay of 6 s, sends a request to
+// a replica on version 1, and only then receives the time of the announcement. If the request kept
+// the later deadline, it would still be waiting 7.65 s after the announcement, free to start on
+// version 1.
+BOOST_AUTO_TEST_CASE(RequestSentBeforeTheAnnouncementTimeWasKnownEndsByThatTime) {
   const auto namedAt = time.now();
   time.advance(seconds(6));
   tables.confirmed = time.now();
-  nameWeights(2);
+  announceWeights(2);
   auto& onTime = request("once");
-  dateWeights(2, namedAt);
+  setAnnouncementTime(2, namedAt);
   time.advance(milliseconds(1550));
   BOOST_TEST(onTime.open());
   time.advance(milliseconds(100));
   BOOST_TEST(!onTime.open());
   BOOST_TEST(!client.last().open);
 
-  // Version 3 was named so long ago that nothing may begin on version 2 any more.
+  // Version 3 was announced so long ago that no request may start on version 2 any more.
   for (const char* name : {"m1", "m2", "m3"}) replicas.find(name)->recordVersion("m", 2);
-  nameWeights(3);
+  announceWeights(3);
   auto& late = request("once");
   BOOST_TEST(late.open());
-  dateWeights(3, time.now() - seconds(8));
+  setAnnouncementTime(3, time.now() - seconds(8));
   BOOST_TEST(!late.open());
   BOOST_TEST(!client.last().open);
 }
 
-// Withdrawals could not be told from other losses, nor could one see until when a request might
-// have begun on its version.
-BOOST_AUTO_TEST_CASE(LogTellsUntilWhenARequestMayBeginAndWhenItIsWithdrawn) {
+// The log must distinguish withdrawn attempts from other failed ones, and show until when a request
+// may start on its version of the weights.
+BOOST_AUTO_TEST_CASE(LogContainsStartDeadlinesAndWithdrawals) {
   request("once");
-  const auto told = [this](base::Event event, std::string_view field) {
-    const auto values = toldBy(event, field);
+  const auto lastLogged = [this](base::Event event, std::string_view field) {
+    const auto values = loggedValues(event, field);
     return values.empty() ? "no line" : values.back();
   };
-  BOOST_TEST(told(base::Event::kRelayDispatched, "begin_in_ms").empty());
+  BOOST_TEST(lastLogged(base::Event::kRelayDispatched, "begin_in_ms").empty());
   client.last().answer(200, "x");
-  nameWeights(2);
+  announceWeights(2);
   time.advance(milliseconds(6900));
   tables.confirmed = time.now();
   request("once");
-  BOOST_TEST(told(base::Event::kRelayDispatched, "begin_in_ms") == "700");
+  BOOST_TEST(lastLogged(base::Event::kRelayDispatched, "begin_in_ms") == "700");
   BOOST_TEST(log.count(base::Event::kRelayWithdrawn) == 0U);
-  dateWeights(2, time.now() - milliseconds(8000));
+  setAnnouncementTime(2, time.now() - milliseconds(8000));
   BOOST_REQUIRE(log.count(base::Event::kRelayWithdrawn) == 1U);
-  BOOST_TEST(told(base::Event::kRelayWithdrawn, "weights") == "1");
-  BOOST_TEST(told(base::Event::kRelayWithdrawn, "late_ms") == "400");
-  BOOST_TEST(told(base::Event::kRelayWithdrawn, "after_ms") == "0");
-  BOOST_TEST(told(base::Event::kRelayWithdrawn, "head_seen") == "no");
+  BOOST_TEST(lastLogged(base::Event::kRelayWithdrawn, "weights") == "1");
+  BOOST_TEST(lastLogged(base::Event::kRelayWithdrawn, "late_ms") == "400");
+  BOOST_TEST(lastLogged(base::Event::kRelayWithdrawn, "after_ms") == "0");
+  BOOST_TEST(lastLogged(base::Event::kRelayWithdrawn, "head_seen") == "no");
 }
 
-// Timers wait for the loop, and after a sleep for its next look at the clock.
-BOOST_AUTO_TEST_CASE(RequestWhoseDatePassedWhileTheNodeStoodStillEndsFirstAtTheWake) {
-  nameWeights(2);
+// While the process is paused, no timer fires; afterwards timers wait until the event loop reads
+// the clock.
+BOOST_AUTO_TEST_CASE(RequestWhoseStartDeadlinePassedDuringAPauseEndsAtTheWake) {
+  announceWeights(2);
   time.advance(milliseconds(6900));
   tables.confirmed = time.now();
   auto& caller = request("once");
@@ -478,24 +485,25 @@
   BOOST_TEST(!client.last().open);
 }
 
-BOOST_AUTO_TEST_CASE(RequestWhoseHeadCameBeforeItsFirstTokenHasNotBegun) {
-  auto patient = contents();
-  for (auto& one : patient.routes) one.timeout = one.targetLatency = seconds(30);
-  useTable(patient);
+BOOST_AUTO_TEST_CASE(RequestWithHeadersButNoFirstTokenHasNotStarted) {
+  auto adjusted = contents();
+  for (auto& one : adjusted.routes) one.timeout = one.targetLatency = seconds(30);
+  useTable(adjusted);
   auto& caller = request("once");
   client.last().head(200);
-  nameWeights(2);
+  announceWeights(2);
   time.advance(milliseconds(7500));
   BOOST_TEST(caller.open());
   time.advance(milliseconds(200));
   BOOST_TEST(!caller.open());
 }
 
-// The rest of a refusal was on its way when the date passed. The attempt counted as one that may
-// have run, so a request that may not run twice failed with 502 instead of going elsewhere.
-BOOST_AUTO_TEST_CASE(RequestThatWasRefusedBeforeItsDateGoesElsewhere) {
+// Guards against a refusal being counted as a possible execution. The start deadline passes after
+// the headers of the refusal have arrived but before its end. A request that must not be executed
+// twice then failed with 502 instead of being retried on another replica.
+BOOST_AUTO_TEST_CASE(RequestRefusedBeforeItsStartDeadlineIsRetried) {
   replicas.find("m3")->setAtCapacity(time.now() + seconds(30));
-  nameWeights(2);
+  announceWeights(2);
   time.advance(milliseconds(6900));
   tables.confirmed = time.now();
   auto& caller = request("once");
@@ -510,20 +518,20 @@
   BOOST_TEST(client.last().terms.expectedVersion.value() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(ResumedStreamMustBeginInTimeAsWell) {
-  auto patient = contents();
-  for (auto& one : patient.routes) one.timeout = one.targetLatency = seconds(30);
-  patient.routes[3].attempts = 3;
-  useTable(patient);
+BOOST_AUTO_TEST_CASE(ResumedStreamHasAStartDeadlineAsWell) {
+  auto adjusted = contents();
+  for (auto& one : adjusted.routes) one.timeout = one.targetLatency = seconds(30);
+  adjusted.routes[3].attempts = 3;
+  useTable(adjusted);
   replicas.find("m3")->setAtCapacity(time.now() + seconds(30));
   auto& caller = request("resumable");
   client.last().head(200);
   client.last().handler->onBody("id: 1\ndata: x\n\n");
-  client.last().breakOff();
+  client.last().breakConnection();
   BOOST_REQUIRE(client.sent.size() == 2U);
   const auto resumed = client.sent.back();
   replicas.find("m3")->recordVersion("m", 2);
-  nameWeights(2);
+  announceWeights(2);
   time.advance(milliseconds(7500));
   tables.confirmed = time.now();
   BOOST_TEST(resumed->open);
@@ -535,24 +543,24 @@
   BOOST_TEST(client.last().terms.lastEventId == "1");
 }
 
-// Changes of the weights reach requests in the order in which they arrived, so that what is left of
-// the retry budget goes to the earliest.
+// Changes of the weights are applied to requests in the order of their arrival, so that the
+// earliest requests get the remaining retry budget.
 BOOST_AUTO_TEST_CASE(RequestsAreWithdrawnInTheOrderOfTheirArrival) {
-  auto patient = contents();
-  for (auto& one : patient.routes) one.timeout = one.targetLatency = seconds(30);
-  useTable(patient);
+  auto adjusted = contents();
+  for (auto& one : adjusted.routes) one.timeout = one.targetLatency = seconds(30);
+  useTable(adjusted);
   for (int count = 0; count < 6; ++count) request("once");
-  nameWeights(2);
-  dateWeights(2, time.now() - seconds(8));
-  const auto withdrawn = toldBy(base::Event::kRelayWithdrawn, "request");
+  announceWeights(2);
+  setAnnouncementTime(2, time.now() - seconds(8));
+  const auto withdrawn = loggedValues(base::Event::kRelayWithdrawn, "request");
   const std::vector<std::string> arrived{"id-1", "id-2", "id-3", "id-4", "id-5", "id-6"};
   BOOST_TEST(withdrawn == arrived, boost::test_tools::per_element());
 }
 
-// The part "aa" of the fixture's prompts has its home at the other of two nodes.
+// The part "aa" of the fixture's prompts has its home at the other one of two nodes.
 struct LookupFixture : RelayFixture {
   LookupFixture() {
-    // Some name of a node is the home of the part.
+    // Tries node names until the other node is the home node of the part.
     for (int number = 0; peers.sent.empty(); ++number) {
       members = FakeMembers{"self"};
       members.add("other-" + std::to_string(number));
@@ -590,7 +598,7 @@
   std::string another() const { return chosen() == "m1" ? "m2" : "m1"; }
 };
 
-BOOST_FIXTURE_TEST_CASE(HolderThatOnlyTheHomeKnowsIsFetchedFrom, LookupFixture) {
+BOOST_FIXTURE_TEST_CASE(PartIsFetchedFromAHolderThatOnlyTheHomeKnows, LookupFixture) {
   request("once");
   time.advance(milliseconds(30));
   const auto home = chosen();
@@ -611,7 +619,7 @@
   BOOST_TEST((notice && notice->holder.replica == base::engineIdOf(chosen())));
 }
 
-BOOST_FIXTURE_TEST_CASE(HolderUnderOtherWeightsIsNotFetchedFrom, LookupFixture) {
+BOOST_FIXTURE_TEST_CASE(PartIsNotFetchedFromAHolderWithOtherWeights, LookupFixture) {
   request("once");
   answer("m1", "w2");
   answer("m2", "w2");
@@ -619,19 +627,20 @@
   BOOST_TEST(!client.last().terms.fetchFrom.has_value());
 }
 
-BOOST_FIXTURE_TEST_CASE(SilentHomeHoldsARequestUpForMillisecondsOnly, LookupFixture) {
+BOOST_FIXTURE_TEST_CASE(UnresponsiveHomeDelaysARequestForMillisecondsOnly, LookupFixture) {
   request("once");
   BOOST_TEST(client.sent.empty());
   time.advance(milliseconds(16));
   BOOST_TEST(client.sent.size() == 1U);
-  // The home is passed over for a while.
+  // The unresponsive home node is skipped for a while.
   holders.remove(base::engineIdOf(chosen()));
   request("once");
   BOOST_TEST(client.sent.size() == 2U);
 }
 
-// Every replica read the part that many prompts begin with once for each version of the weights.
-BOOST_AUTO_TEST_CASE(LongFirstPartIsFetchedWhereTheDeeperOnesAreNew) {
+// Guards against every replica having to prefill, for each version of the weights, the first part
+// that many prompts have in common.
+BOOST_AUTO_TEST_CASE(LongFirstPartIsFetchedEvenIfTheDeeperOnesAreNew) {
   parts.announce(prefix::partIdOf("start"),
                  {base::engineIdOf("m1"), routing::cacheScope("w1", "m")});
   std::set<std::string> reached;
@@ -645,7 +654,7 @@
   }
 }
 
-BOOST_FIXTURE_TEST_CASE(CallerThatLeavesDuringTheLookupIsNotServed, LookupFixture) {
+BOOST_FIXTURE_TEST_CASE(RequestIsNotSentIfItsCallerDisconnectsDuringTheLookup, LookupFixture) {
   request("once");
   flow.lock()->onCallerDisconnected();
   answer("m1", "w1");
@@ -653,8 +662,9 @@
   BOOST_TEST(client.sent.empty());
 }
 
-// A request under which replicas ended was sent on, to end the next ones.
-BOOST_AUTO_TEST_CASE(QuarantinedRequestIsRefusedAtOnceAsNotRunAndTheTenantsOthersAreServed) {
+// Guards against a request under which replicas crashed being sent to further replicas, which would
+// crash as well.
+BOOST_AUTO_TEST_CASE(QuarantinedRequestIsRefusedAsNotRunWhileOthersOfTheTenantAreServed) {
   quarantineRequest("unsafe");
   auto& refused = request("unsafe");
   BOOST_TEST(client.sent.empty());
@@ -668,16 +678,16 @@
   BOOST_TEST(other.body == "done");
 }
 
-BOOST_AUTO_TEST_CASE(RequestThatHasRunIsNotCalledNotRunWhenItIsQuarantined) {
+BOOST_AUTO_TEST_CASE(RequestThatHasRunIsNotReportedAsNotRunWhenItIsQuarantined) {
   auto& caller = request("safe");
   quarantineRequest("safe");
-  client.last().breakOff();
+  client.last().breakConnection();
   BOOST_TEST(client.sent.size() == 1U);
   BOOST_REQUIRE(caller.refusal.has_value());
   BOOST_TEST(caller.refusal->status == 502U);
 }
 
-BOOST_AUTO_TEST_CASE(QuarantinedRequestThatIsHeldIsRefusedWhenItLooksAgain) {
+BOOST_AUTO_TEST_CASE(HeldRequestIsRefusedOnceItIsQuarantined) {
   for (const char* name : {"a", "b", "c"}) replicas.onRemoved(name);
   auto& caller = request("unsafe");
   BOOST_TEST(caller.open());
@@ -686,12 +696,12 @@
   BOOST_TEST((caller.refusal->reason.code == base::ResultCode::kRequestQuarantined));
 }
 
-BOOST_AUTO_TEST_CASE(RunsThatEndWithTheirReplicaAreReportedAndThoseThatEndWellAreNot) {
+BOOST_AUTO_TEST_CASE(OnlyRunsThatEndWithTheirReplicaAreReported) {
   std::vector<routing::LostRequests> ended;
   replicaEnds.setListener([&](const routing::LostRequests& runs) { ended.push_back(runs); });
   request("unsafe", "key", "one");
   reachability.ended.insert(client.last().replica);
-  client.last().breakOff();
+  client.last().breakConnection();
   time.advance(seconds(1));
   BOOST_REQUIRE(ended.size() == 1U);
   BOOST_TEST(ended[0].instance == client.last().terms.expectedInstance);
@@ -701,7 +711,7 @@
   BOOST_TEST(ended.size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(AnsweredRunClearsARequestAndARefusalOrAFailureDoesNot) {
+BOOST_AUTO_TEST_CASE(OnlyASuccessfulRunClearsTheCrashesOfARequest) {
   quarantineAfter(2, "unsafe");
   request("unsafe");
   client.last().answer(500, "oops");
--- a/tests/request/relay_queue_test.cc
+++ b/tests/request/relay_queue_test.cc
@@ -1,4 +1,5 @@
-// Requests that wait in the queue of a replica's home: what their callers get, and when.
+// Tests requests that wait in the queue of a replica's home node: what their callers receive, and
+// when.
 #include <boost/test/unit_test.hpp>
 
 #include "relay_fixture.h"
@@ -10,7 +11,7 @@
 
 namespace {
 
-/// All replicas run as much for another node as they take; this node is their home.
+/// All replicas are at capacity with requests of another node. This node is their home node.
 struct QueuedFlowFixture : RelayFixture {
   static constexpr std::uint32_t kSlots = 8;
 
@@ -35,11 +36,11 @@
     placement.onPeerMessage(other, routing::encode(ended));
     time.advance(milliseconds(1));
   }
-  void waitAtMost(base::Duration patience) {
-    auto patient = contents();
-    patient.version = 2;
-    for (auto& route : patient.routes) route.firstEventPatience = patience;
-    useTable(patient);
+  void setFirstEventPatience(base::Duration patience) {
+    auto adjusted = contents();
+    adjusted.version = 2;
+    for (auto& route : adjusted.routes) route.firstEventPatience = patience;
+    useTable(adjusted);
   }
   std::size_t waiting() const { return placement.counters().queuedHere; }
 
@@ -59,15 +60,16 @@
   time.advance(milliseconds(50));
   BOOST_TEST(client.sent.empty());
   endOne();
-  // It waits at one of three replicas, the runs of which end in turn.
+  // The request waits at one of three replicas, whose running requests end one after the other.
   while (client.sent.empty() && !names.empty()) endOne();
   BOOST_REQUIRE(client.sent.size() == 1U);
   client.last().answer(200, "id: 1\ndata: x\n\n");
   BOOST_TEST(views.front()->ended);
 }
 
-// What a replica asked of this node is between the two: the home grants its room all the same.
-BOOST_AUTO_TEST_CASE(PlaceAtAReplicaThatAskedForRestMeanwhileIsNotTaken) {
+// A replica's request for back-off concerns only the node that received it. The home node still
+// grants capacity of that replica.
+BOOST_AUTO_TEST_CASE(GrantOfAReplicaThatRequestedBackOffMeanwhileIsNotUsed) {
   fillReplicas();
   request("once");
   BOOST_TEST(waiting() == 1U);
@@ -81,7 +83,7 @@
   BOOST_TEST(client.last().terms.expectedInstance == "m1");
 }
 
-BOOST_AUTO_TEST_CASE(CallerThatLeavesTheQueueIsForgottenAtOnce) {
+BOOST_AUTO_TEST_CASE(QueuedRequestIsRemovedWhenItsCallerDisconnects) {
   fillReplicas();
   request("once");
   BOOST_TEST(waiting() == 1U);
@@ -92,8 +94,8 @@
   BOOST_TEST(service.openRequests() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(RequestThatCannotBeServedInTimeIsRefusedAsNotRunWithTheTimeOfTheHome) {
-  waitAtMost(milliseconds(150));
+BOOST_AUTO_TEST_CASE(RequestThatCannotBeServedInTimeIsRefusedWithTheRetryAfterOfTheHome) {
+  setFirstEventPatience(milliseconds(150));
   fillReplicas();
   auto& caller = request("once");
   time.advance(milliseconds(180));
@@ -105,12 +107,12 @@
   BOOST_TEST(waiting() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(RequestThatMayHaveRunIsNotCalledNotRunWhenAHomeRefusesIt) {
-  waitAtMost(milliseconds(150));
+BOOST_AUTO_TEST_CASE(RequestThatMayHaveRunIsNotReportedAsNotRunWhenAHomeRefusesIt) {
+  setFirstEventPatience(milliseconds(150));
   auto& caller = request("resumable");
   BOOST_REQUIRE(client.sent.size() == 1U);
   fillReplicas();
-  client.last().breakOff();
+  client.last().breakConnection();
   time.advance(milliseconds(180));
   BOOST_REQUIRE(caller.refusal.has_value());
   BOOST_TEST(caller.refusal->status == 502U);
@@ -125,12 +127,12 @@
   time.advance(milliseconds(100));
   BOOST_TEST(client.sent.empty());
   BOOST_TEST(waiting() == 0U);
-  // It is held without messages until one may take requests again.
+  // The request is held, without messages to home nodes, until a replica accepts requests again.
   time.advance(milliseconds(400));
   BOOST_TEST(client.sent.size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(RequestWhoseKeyWasTakenAwayWhileItWaitedIsNotSent) {
+BOOST_AUTO_TEST_CASE(RequestWhoseKeyWasRevokedWhileItWaitedIsNotSent) {
   fillReplicas();
   auto& caller = request("once");
   auto without = contents();
--- a/tests/request/relay_service_test.cc
+++ b/tests/request/relay_service_test.cc
@@ -1,4 +1,4 @@
-// What a node takes up, and what it refuses for its configuration's sake.
+// Tests which requests a node accepts, and which it refuses because of its configuration.
 #include "request/relay_service.h"
 
 #include <boost/test/unit_test.hpp>
@@ -21,12 +21,12 @@
   BOOST_TEST(caller.refusal->closeConnection);
 }
 
-BOOST_AUTO_TEST_CASE(UnknownRouteAndUnknownKeyAreToldApart) {
+BOOST_AUTO_TEST_CASE(UnknownRouteAndUnknownKeyHaveDifferentStatus) {
   BOOST_TEST(request("nothing").refusal->status == 404U);
   BOOST_TEST(request("safe", "wrong").refusal->status == 401U);
 }
 
-BOOST_AUTO_TEST_CASE(KeysAreRefusedOnceTheConfigurationWasConfirmedTooLongAgo) {
+BOOST_AUTO_TEST_CASE(KeysAreRefusedWhenTheConfirmationHasExpired) {
   time.pause(seconds(5));
   auto& caller = request("safe");
   BOOST_TEST(caller.refusal->status == 503U);
@@ -36,19 +36,20 @@
   BOOST_TEST(client.sent.size() == 1U);
 }
 
-// The second attempt was refused with 503, "not run", though the first one had run.
+// Guards against a refusal of the second attempt with 503, which promises "not run", although the
+// first attempt was executed.
 BOOST_AUTO_TEST_CASE(ConfirmationIsCheckedAgainBeforeEachAttempt) {
   tables.confirmed = time.now() - milliseconds(4500);
   auto& caller = request("safe");
   BOOST_TEST(client.sent.size() == 1U);
   time.pause(seconds(1));
-  client.last().breakOff();
+  client.last().breakConnection();
   BOOST_TEST(client.sent.size() == 1U);
   BOOST_TEST(caller.refusal->status == 502U);
   BOOST_TEST((caller.refusal->reason.code == base::ResultCode::kBackEndLost));
 }
 
-BOOST_AUTO_TEST_CASE(ConfirmationThatLapsedBeforeAnyRunIsRefusedAsNotRun) {
+BOOST_AUTO_TEST_CASE(ConfirmationThatExpiredBeforeAnyRunIsRefusedAsNotRun) {
   tables.confirmed = time.now() - milliseconds(4500);
   auto& caller = request("safe");
   time.pause(seconds(1));
@@ -92,12 +93,12 @@
   BOOST_TEST(sentTo["llm"] == 20);
 }
 
-BOOST_AUTO_TEST_CASE(TenantsPriorityGoesBeforeTheRoutes) {
+BOOST_AUTO_TEST_CASE(TenantPriorityTakesPrecedenceOverThatOfTheRoute) {
   request("unsafe");
   BOOST_TEST(client.last().terms.priority.value() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(WhatIsBeyondTheTenantsLimitIsRefusedAtOnceWithATrueTimeToComeBack) {
+BOOST_AUTO_TEST_CASE(RequestsBeyondTheTenantLimitAreRefusedWithACorrectRetryAfter) {
   limitTenant(10, 2);
   std::size_t refused = 0;
   for (int count = 0; count < 100; ++count) {
@@ -114,7 +115,7 @@
   BOOST_TEST(!request("safe").refusal.has_value());
 }
 
-BOOST_AUTO_TEST_CASE(WhatWasNotSentTakesNothingOfTheLimit) {
+BOOST_AUTO_TEST_CASE(RequestsThatWereNotSentTakeNoQuota) {
   limitTenant(1, 8);
   const auto limited = tables.current;
   auto withoutReplicas = contents();
@@ -123,7 +124,7 @@
   withoutReplicas.services[0].name = "empty";
   withoutReplicas.routes[0].split = {{"empty", 1}};
   useTable(withoutReplicas);
-  // The bucket holds two.
+  // The bucket holds two tokens.
   for (int round = 0; round < 5; ++round) {
     request("safe");
     const auto first = flow;
@@ -155,10 +156,10 @@
 BOOST_AUTO_TEST_CASE(RepeatedAttemptsCountAgainstTheLimit) {
   limitTenant(1, 8);
   request("safe");
-  client.last().breakOff();
+  client.last().breakConnection();
   BOOST_TEST(client.sent.size() == 2U);
   client.last().answer(200, "done");
-  // Of the bucket of two, both attempts took one.
+  // Each of the two attempts took one of the two tokens in the bucket.
   BOOST_TEST(request("safe").refusal->status == 429U);
 }
 
@@ -167,17 +168,17 @@
   auto& large = request("once");
   BOOST_TEST(!large.refusal.has_value());
   client.last().answer(200, "id: 1\n\n");
-  // The prompt of 1,200 and an answer of 20 tokens left a bucket of 800 in debt.
+  // A prompt of 1,200 tokens and a response of up to 20 tokens overdrew the bucket of 800 tokens.
   const auto& refused = request("safe").refusal;
   BOOST_TEST(refused->status == 429U);
   BOOST_TEST(base::toSeconds(refused->retryAfter) == (1220 - 800 + 7) / 1025.0,
              boost::test_tools::tolerance(0.01));
 }
 
-BOOST_AUTO_TEST_CASE(CallerThatLeavesWhileTheLimitIsAskedForIsForgotten) {
+BOOST_AUTO_TEST_CASE(RequestIsDroppedIfItsCallerDisconnectsWhileQuotaIsAcquired) {
   members.add("elsewhere");
   limitTenant(1'000, 1'000, false);
-  // One of the tenants has its home at the other node, which does not answer.
+  // One of the tenants has its home at the other node, which does not respond.
   for (const char* name : {"t1", "t2", "t3", "t4", "t5", "t6", "t7", "t8"}) {
     renameTenant(name);
     request("safe");
@@ -190,7 +191,7 @@
   BOOST_TEST(client.sent.size() == requests - 1);
 }
 
-BOOST_AUTO_TEST_CASE(SilentHomeOfTheLimitDoesNotHoldARequestForLong) {
+BOOST_AUTO_TEST_CASE(UnresponsiveHomeOfTheLimitDelaysARequestOnlyBriefly) {
   members.add("elsewhere");
   limitTenant(1'000, 1'000, false);
   for (const char* name : {"t1", "t2", "t3", "t4", "t5", "t6", "t7", "t8"}) {
--- a/tests/request/replica_notices_test.cc
+++ b/tests/request/replica_notices_test.cc
@@ -1,26 +1,14 @@
-// Requests went on to replicas that had said in their answers that they leave, or that they want
-// rest.
+// Tests that nodes respect the notices that replicas send along with their responses: that they are
+// leaving, or for how long nodes should back off.
 //
-// The table service was silent when a replica began to leave, so that its entry stayed "ready". Its
-// answers said so, one of them was passed on to a caller, and 12.6 s later the same node sent it a
-// new request:
+// Guards against two faults that occurred when a replica's state was taken from its entry in the
+// table service alone:
 //
-//      7.731 s  node-a  passes on an answer of replica-1 in which it says that it leaves
-//     20.246 s  node-a  event=7001 name=PlatformRecovered service="configuration feed"
-//     20.301 s  node-a  event=5005 name=RelayDispatched replica="replica-1" attempt="1"
-//     cause="first" homes_asked="1" 20.520 s  node-a  event=6008 name=ReplicaRemoved
-//     replica="replica-1"
-//
-// Another replica turned requests away and asked for 3 s of rest. It was passed over for 100 ms,
-// and then it was the first choice again, for first attempts as for retries:
-//
-//      6.023 s  node-c  event=5001 name=RequestRetried replica="replica-2" why="the replica refused
-//      with 503" 6.901 s  node-c  event=5005 name=RelayDispatched replica="replica-2" cause="first"
-//      rank="0" 7.044 s  node-c  event=5005 name=RelayDispatched replica="replica-2"
-//      cause="refused" rank="2" 7.440 s  node-c  event=5005 name=RelayDispatched
-//      replica="replica-2" cause="first" rank="1"
-//
-// What a replica says of itself in an answer was knowledge to nobody: its entry alone counted.
+// - While the table service was unresponsive, the entry of a leaving replica stayed "ready". A node
+//   passed on a response in which the replica reported that it was leaving, and still sent it a new
+//   request 12.6 s later.
+// - A replica refused requests with status 503 and requested back-off for 3 s. It was skipped for
+//   100 ms only, and then became the first choice again, for first attempts as well as for retries.
 #include <boost/test/unit_test.hpp>
 
 #include "relay_fixture.h"
@@ -34,7 +22,8 @@
 
 struct NoticesFixture : RelayFixture {
   /// Sends requests that are all served, and counts those that reach the replica.
-  std::size_t reaching(const base::Endpoint& replica, std::size_t count, const std::string& path) {
+  std::size_t countReaching(const base::Endpoint& replica, std::size_t count,
+                            const std::string& path) {
     std::size_t reached = 0;
     for (std::size_t sent = 0; sent < count; ++sent) {
       const auto before = client.sent.size();
@@ -53,63 +42,63 @@
 
 BOOST_FIXTURE_TEST_SUITE(ReplicaNoticesTest, NoticesFixture)
 
-BOOST_AUTO_TEST_CASE(ReplicaThatSaidThatItLeavesGetsNoNewRequest) {
+BOOST_AUTO_TEST_CASE(LeavingReplicaGetsNoNewRequests) {
   request("safe");
-  const auto leaver = client.last().replica;
-  client.last().leave(200);
+  const auto leavingReplica = client.last().replica;
+  client.last().respondLeaving(200);
   client.last().handler->onEnd();
   for (int second = 0; second < 15; ++second) {
-    BOOST_TEST(reaching(leaver, kManyRequests, "safe") == 0U);
+    BOOST_TEST(countReaching(leavingReplica, kManyRequests, "safe") == 0U);
     time.advance(seconds(1));
   }
 }
 
-BOOST_AUTO_TEST_CASE(LeavingIsHeardInAnswersOfAnyKind) {
+BOOST_AUTO_TEST_CASE(LeavingIsRecognizedInResponsesOfAnyStatus) {
   const auto refused = [this] {
     request("unsafe");
-    client.last().leave(503, true);
+    client.last().respondLeaving(503, true);
     client.last().handler->onEnd();
     return client.sent[client.sent.size() - 2]->replica;
   };
   const auto first = refused();
   client.last().answer(200, "done");
-  BOOST_TEST(reaching(first, kManyRequests, "safe") == 0U);
+  BOOST_TEST(countReaching(first, kManyRequests, "safe") == 0U);
   request("unsafe");
   const auto second = client.last().replica;
-  client.last().leave(404);
+  client.last().respondLeaving(404);
   client.last().handler->onEnd();
-  BOOST_TEST(reaching(second, kManyRequests, "safe") == 0U);
-  BOOST_TEST(
-      (toldBy(base::Event::kReplicaLeaving, "status") == std::vector<std::string>{"503", "404"}));
+  BOOST_TEST(countReaching(second, kManyRequests, "safe") == 0U);
+  BOOST_TEST((loggedValues(base::Event::kReplicaLeaving, "status") ==
+              std::vector<std::string>{"503", "404"}));
 }
 
-BOOST_AUTO_TEST_CASE(StreamUnderWayGoesOnWhereItsReplicaLeaves) {
+BOOST_AUTO_TEST_CASE(OpenStreamContinuesWhileItsReplicaIsLeaving) {
   auto& caller = request("resumable");
-  const auto leaver = client.last().replica;
-  client.last().leave(200);
+  const auto leavingReplica = client.last().replica;
+  client.last().respondLeaving(200);
   client.last().handler->onBody("id: 1\ndata: a\n\n");
   const auto stream = client.sent.back();
-  BOOST_TEST(reaching(leaver, kManyRequests, "once") == 0U);
+  BOOST_TEST(countReaching(leavingReplica, kManyRequests, "once") == 0U);
   stream->handler->onBody("id: 2\ndata: b\n\n");
   stream->handler->onEnd();
   BOOST_TEST(caller.ended);
   BOOST_TEST(caller.body == "id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
 }
 
-BOOST_AUTO_TEST_CASE(BrokenStreamIsNotTakenUpAgainWhereItsReplicaLeaves) {
+BOOST_AUTO_TEST_CASE(BrokenStreamIsNotResumedAtALeavingReplica) {
   request("resumable");
-  const auto leaver = client.last().replica;
+  const auto leavingReplica = client.last().replica;
   request("resumable");
   const auto other = client.sent.back();
-  if (other->replica == leaver) other->leave(200);
-  client.sent.front()->leave(200);
+  if (other->replica == leavingReplica) other->respondLeaving(200);
+  client.sent.front()->respondLeaving(200);
   client.sent.front()->handler->onBody("id: 1\ndata: a\n\n");
-  client.sent.front()->breakOff();
-  BOOST_TEST((client.last().replica != leaver));
+  client.sent.front()->breakConnection();
+  BOOST_TEST((client.last().replica != leavingReplica));
   BOOST_TEST(client.last().terms.lastEventId == "1");
 }
 
-BOOST_AUTO_TEST_CASE(WhereAllLeaveARequestIsRefusedAsNotRun) {
+BOOST_AUTO_TEST_CASE(RequestIsRefusedAsNotRunIfAllReplicasAreLeaving) {
   for (const char* name : {"a", "b", "c"}) replicas.find(name)->notices().recordLeaving();
   auto& caller = request("unsafe");
   time.advance(seconds(4));
@@ -118,18 +107,19 @@
   BOOST_TEST(caller.refusal->reason.detail == "every replica leaves or was tried");
 }
 
-// "What failed once is better than nothing" must not lead back to a replica that leaves.
-BOOST_AUTO_TEST_CASE(RequestThatWasHeldDoesNotGoBackToAReplicaThatLeaves) {
+// At the end of its hold time a request may go back to a replica that failed it, but not to one
+// that is leaving.
+BOOST_AUTO_TEST_CASE(HeldRequestIsNotSentBackToALeavingReplica) {
   for (const char* name : {"b", "c"}) replicas.onRemoved(name);
   auto& caller = request("unsafe");
-  client.last().leave(503, true);
+  client.last().respondLeaving(503, true);
   client.last().handler->onEnd();
   time.advance(seconds(4));
   BOOST_TEST(client.sent.size() == 1U);
   BOOST_TEST(caller.refusal->status == 503U);
 }
 
-BOOST_AUTO_TEST_CASE(LeavingOutlivesTheEntryButNotTheRun) {
+BOOST_AUTO_TEST_CASE(LeavingStateOutlivesTheEntryButNotTheInstance) {
   const auto facts = replicas.find("a")->facts();
   replicas.find("a")->notices().recordLeaving();
   for (int outage = 0; outage < 3; ++outage) {
@@ -137,7 +127,7 @@
     replicas.onListed(facts);
     BOOST_TEST(!replicas.find("a")->inService());
   }
-  // An entry that was written before it began to leave.
+  // This entry was written before the replica began to leave.
   replicas.onListed(facts);
   BOOST_TEST(!replicas.find("a")->inService());
   replicas.onEnded("a");
@@ -145,7 +135,7 @@
   BOOST_TEST(replicas.find("a")->inService());
 }
 
-BOOST_AUTO_TEST_CASE(LateAnswerOfAnOlderRunSaysNothingOfTheNewOne) {
+BOOST_AUTO_TEST_CASE(LateResponseOfAnOlderInstanceDoesNotAffectTheNewOne) {
   for (const char* name : {"b", "c"}) replicas.onRemoved(name);
   request("safe");
   auto facts = replicas.find("a")->facts();
@@ -153,12 +143,12 @@
   replicas.onEnded("a");
   facts.instance = "a@2";
   replicas.onListed(facts);
-  client.last().leave(200);
+  client.last().respondLeaving(200);
   client.last().handler->onEnd();
   BOOST_TEST(replicas.find("a@2")->inService());
 }
 
-BOOST_AUTO_TEST_CASE(WhatRunsWithoutAnEntryHaveSaidIsBounded) {
+BOOST_AUTO_TEST_CASE(NoticesOfInstancesWithoutAnEntryAreBounded) {
   const auto facts = replicas.find("a")->facts();
   replicas.find("a")->notices().recordLeaving();
   replicas.onRemoved("a");
@@ -173,35 +163,35 @@
   BOOST_TEST(replicas.find("a")->inService());
 }
 
-BOOST_AUTO_TEST_CASE(ReplicaThatWantsRestGetsNothingUntilItsEnd) {
+BOOST_AUTO_TEST_CASE(ReplicaInBackOffGetsNoRequests) {
   request("safe");
   const auto resting = client.last().replica;
-  client.last().askRest(seconds(3));
+  client.last().requestBackOff(seconds(3));
   client.last().answer(200, "done");
   for (int step = 0; step < 29; ++step) {
-    BOOST_TEST(reaching(resting, kManyRequests, "safe") == 0U);
+    BOOST_TEST(countReaching(resting, kManyRequests, "safe") == 0U);
     time.advance(milliseconds(100));
   }
   time.advance(milliseconds(200));
-  BOOST_TEST(reaching(resting, kManyRequests, "safe") > 0U);
+  BOOST_TEST(countReaching(resting, kManyRequests, "safe") > 0U);
 }
 
-// The replica that holds a prompt's shared parts is asked first for all requests with them.
-BOOST_AUTO_TEST_CASE(FirstChoiceThatWantsRestGetsNothingUntilItsEnd) {
+// All requests with the same shared parts prefer the replica that holds these parts.
+BOOST_AUTO_TEST_CASE(PreferredReplicaInBackOffGetsNoRequests) {
   request("once");
   const auto resting = client.last().replica;
-  client.last().askRest(seconds(3));
+  client.last().requestBackOff(seconds(3));
   client.last().answer(200, "done");
   for (int step = 0; step < 29; ++step) {
-    BOOST_TEST(reaching(resting, 1, "once") == 0U);
+    BOOST_TEST(countReaching(resting, 1, "once") == 0U);
     time.advance(milliseconds(100));
   }
   time.advance(milliseconds(200));
-  BOOST_TEST(reaching(resting, 1, "once") == 1U);
+  BOOST_TEST(countReaching(resting, 1, "once") == 1U);
 }
 
-// A retry that goes where rest was asked for spends the budget of retries for nothing.
-BOOST_AUTO_TEST_CASE(RetriesDoNotGoToReplicasThatWantRest) {
+// A retry on a replica that has requested back-off would waste the retry budget.
+BOOST_AUTO_TEST_CASE(RetriesAreNotSentToReplicasInBackOff) {
   for (const char* name : {"a", "b"})
     replicas.find(name)->notices().startBackOff(time.now() + seconds(3));
   request("unsafe");
@@ -213,19 +203,19 @@
     BOOST_TEST((sent->replica == replicas.find("c")->facts().endpoint));
 }
 
-BOOST_AUTO_TEST_CASE(RestIsNoFailureOfHealth) {
+BOOST_AUTO_TEST_CASE(BackOffDoesNotCountAsFailure) {
   for (const char* name : {"b", "c"}) replicas.onRemoved(name);
   const auto replica = replicas.find("a");
   for (int rest = 0; rest < 10; ++rest) {
     request("unsafe");
-    client.last().askRest(milliseconds(200));
+    client.last().requestBackOff(milliseconds(200));
     time.advance(milliseconds(250));
   }
   BOOST_TEST(replica->health().failureRate() == 0.0);
   BOOST_TEST(replica->health().available(time.now()));
 }
 
-BOOST_AUTO_TEST_CASE(LatestEndOfARestCounts) {
+BOOST_AUTO_TEST_CASE(LatestEndOfABackOffApplies) {
   const auto replica = replicas.find("a");
   const auto began = time.now();
   replica->notices().startBackOff(began + seconds(3));
@@ -237,7 +227,7 @@
   BOOST_TEST(replica->acceptsRequests(time.now()));
 }
 
-BOOST_AUTO_TEST_CASE(RestIsKeptWhileTheEntryGoesAndComesAgain) {
+BOOST_AUTO_TEST_CASE(BackOffIsKeptWhileTheEntryIsRemovedAndListedAgain) {
   const auto facts = replicas.find("a")->facts();
   replicas.find("a")->notices().startBackOff(time.now() + seconds(3));
   replicas.onRemoved("a");
@@ -245,7 +235,7 @@
   BOOST_TEST(!replicas.find("a")->acceptsRequests(time.now()));
 }
 
-BOOST_AUTO_TEST_CASE(RequestIsHeldForARestThatEndsInTime) {
+BOOST_AUTO_TEST_CASE(RequestIsHeldForABackOffThatEndsInTime) {
   for (const char* name : {"a", "b", "c"})
     replicas.find(name)->notices().startBackOff(time.now() + milliseconds(900));
   auto& caller = request("unsafe");
@@ -258,10 +248,10 @@
   BOOST_TEST(caller.ended);
 }
 
-BOOST_AUTO_TEST_CASE(RequestThatWasTurnedAwayByAllComesBackWhenARestEnds) {
+BOOST_AUTO_TEST_CASE(RequestRefusedByAllReplicasIsRetriedWhenABackOffEnds) {
   for (const char* name : {"b", "c"}) replicas.onRemoved(name);
   auto& caller = request("unsafe");
-  client.last().askRest(milliseconds(500));
+  client.last().requestBackOff(milliseconds(500));
   time.advance(milliseconds(490));
   BOOST_TEST(client.sent.size() == 1U);
   time.advance(milliseconds(20));
@@ -270,7 +260,7 @@
   BOOST_TEST(caller.body == "done");
 }
 
-BOOST_AUTO_TEST_CASE(BrokenStreamWaitsForARestForAsLongAsItMayLast) {
+BOOST_AUTO_TEST_CASE(BrokenStreamWaitsForABackOffUpToItsDeadline) {
   auto& caller = request("resumable");
   const auto first = client.sent.back();
   first->head(200);
@@ -280,7 +270,7 @@
   time.advance(milliseconds(1000));
   for (const char* name : {"m1", "m2", "m3"})
     replicas.find(name)->notices().startBackOff(time.now() + milliseconds(900));
-  first->breakOff();
+  first->breakConnection();
   time.advance(milliseconds(880));
   BOOST_TEST(caller.open());
   BOOST_TEST(client.sent.size() == 1U);
@@ -289,7 +279,7 @@
   BOOST_TEST(client.last().terms.lastEventId == "2");
 }
 
-BOOST_AUTO_TEST_CASE(UnreadableRestAsksForNone) {
+BOOST_AUTO_TEST_CASE(UnreadableBackOffIsIgnored) {
   request("unsafe");
   const auto replica = replicas.find(client.last().terms.expectedInstance);
   clients::RelayedAnswer answer;
@@ -299,11 +289,11 @@
   client.last().handler->onHead(std::move(answer));
   client.last().handler->onEnd();
   BOOST_TEST(replica->acceptsRequests(time.now()));
-  BOOST_TEST((toldBy(base::Event::kReplicaRests, "why") ==
+  BOOST_TEST((loggedValues(base::Event::kReplicaRests, "why") ==
               std::vector<std::string>{"the requested back-off time cannot be parsed"}));
 }
 
-BOOST_AUTO_TEST_CASE(RequestIsRefusedAtOnceWhereAllRestForLongerThanItCanWait) {
+BOOST_AUTO_TEST_CASE(RequestIsRefusedAtOnceIfAllBackOffsOutlastItsHoldTime) {
   replicas.find("a")->notices().startBackOff(time.now() + seconds(9));
   replicas.find("b")->notices().startBackOff(time.now() + seconds(3));
   replicas.find("c")->notices().startBackOff(time.now() + seconds(5));
@@ -315,7 +305,7 @@
   BOOST_TEST(caller.refusal->reason.detail == "every replica has asked this node for rest");
 }
 
-BOOST_AUTO_TEST_CASE(ReplicaThatHasRestedIsTriedWithOneRequest) {
+BOOST_AUTO_TEST_CASE(ReplicaIsProbedWithOneRequestAfterItsBackOff) {
   for (const char* name : {"b", "c"}) replicas.onRemoved(name);
   replicas.find("a")->notices().startBackOff(time.now() + milliseconds(500));
   for (int held = 0; held < 6; ++held) request("unsafe");
@@ -326,32 +316,32 @@
   BOOST_TEST(client.sent.size() == 6U);
 }
 
-BOOST_AUTO_TEST_CASE(TrialThatEndsWithoutAnAnswerIsFollowedByAnother) {
+BOOST_AUTO_TEST_CASE(ProbeWithoutAResponseIsFollowedByAnother) {
   for (const char* name : {"b", "c"}) replicas.onRemoved(name);
   replicas.find("a")->notices().startBackOff(time.now() + milliseconds(500));
   request("unsafe");
   request("unsafe");
   time.advance(milliseconds(600));
   BOOST_REQUIRE(client.sent.size() == 1U);
-  client.last().breakOff();
+  client.last().breakConnection();
   time.advance(milliseconds(50));
   BOOST_TEST(client.sent.size() == 2U);
   BOOST_TEST(replicas.find("a")->notices().probing());
 }
 
-BOOST_AUTO_TEST_CASE(TrialThatIsTurnedAwayBeginsAnotherRest) {
+BOOST_AUTO_TEST_CASE(RefusedProbeStartsAnotherBackOff) {
   for (const char* name : {"b", "c"}) replicas.onRemoved(name);
   replicas.find("a")->notices().startBackOff(time.now() + milliseconds(500));
   for (int held = 0; held < 5; ++held) request("unsafe");
   time.advance(milliseconds(600));
-  client.last().askRest(milliseconds(600));
+  client.last().requestBackOff(milliseconds(600));
   time.advance(milliseconds(590));
   BOOST_TEST(client.sent.size() == 1U);
   time.advance(milliseconds(30));
   BOOST_TEST(client.sent.size() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(WhatWaitsForAConnectionIsNotSentWhereRestIsAsked) {
+BOOST_AUTO_TEST_CASE(RequestWaitingForAConnectionIsNotSentToAReplicaInBackOff) {
   request("safe");
   const auto waiting = client.sent.back();
   const auto replica = waiting->terms.expectedInstance;
@@ -364,9 +354,9 @@
   BOOST_TEST(replicas.find(replica)->health().available(time.now()));
 }
 
-// It tells of a limit, of calls at once or of a tenant, that is used up: others may still be
-// served.
-BOOST_AUTO_TEST_CASE(TooManyRequestsIsNoRestAndPassesTheReplicaOverForAsLong) {
+// Status 429 reports that a limit on concurrent calls or of one tenant is used up, while other
+// requests may still be served.
+BOOST_AUTO_TEST_CASE(TooManyRequestsIsNoBackOffButSkipsTheReplicaForAsLong) {
   request("unsafe");
   const auto limited = replicas.find(client.last().terms.expectedInstance);
   clients::RelayedAnswer answer;
@@ -377,13 +367,13 @@
   client.last().handler->onEnd();
   client.last().answer(200, "done");
   time.advance(milliseconds(900));
-  BOOST_TEST(reaching(limited->facts().endpoint, kManyRequests, "safe") == 0U);
+  BOOST_TEST(countReaching(limited->facts().endpoint, kManyRequests, "safe") == 0U);
   for (const char* name : {"a", "b", "c"})
     if (name != limited->facts().instance) replicas.onRemoved(name);
-  BOOST_TEST(reaching(limited->facts().endpoint, 1, "safe") == 1U);
+  BOOST_TEST(countReaching(limited->facts().endpoint, 1, "safe") == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(RefusalOfAReplicaWithARateLimitIsNoFailureOfHealth) {
+BOOST_AUTO_TEST_CASE(RefusalOfAReplicaWithARateLimitDoesNotCountAsFailure) {
   for (int count = 0; count < 12; ++count) {
     const auto& caller = request("safe");
     for (std::size_t sent = 0; caller.open() && sent < client.sent.size();
@@ -404,19 +394,19 @@
     BOOST_TEST(replicas.find(name)->health().available(time.now()), name);
 }
 
-BOOST_AUTO_TEST_CASE(BrokenStreamIsTakenUpAgainOnlyWithinTheRate) {
+BOOST_AUTO_TEST_CASE(BrokenStreamIsResumedOnlyWithinTheRateLimit) {
   request("resumable");
   const auto first = client.sent.back();
   for (const char* name : {"m1", "m2", "m3"}) {
     replicas.find(name)->notices().rateLimit().update(
         {clients::RateLimitNotice::of(0.1), time.now(), time.now()});
   }
-  // The others have had all that they take for now.
+  // These requests use up what the other replicas accept for now.
   for (int count = 0; count < 6; ++count) request("once");
   const auto sent = client.sent.size();
   first->head(200);
   first->handler->onBody("id: 1\ndata: a\n\n");
-  first->breakOff();
+  first->breakConnection();
   time.advance(milliseconds(300));
   BOOST_TEST(client.sent.size() == sent);
 }
--- a/tests/request/replica_rate_limit_test.cc
+++ b/tests/request/replica_rate_limit_test.cc
@@ -1,4 +1,5 @@
-// Replicas got many times the requests that they had said in their answers to take.
+// Tests that replicas receive no more requests than the rate limits that they report in their
+// responses. Guards against nodes that ignore these limits and send many times as much.
 #include <boost/test/unit_test.hpp>
 
 #include "request/limited_fleet.h"
@@ -10,10 +11,10 @@
 
 namespace {
 
-/// Requests a second that callers send in all.
+/// Total number of requests per second that callers send.
 constexpr double kDemand = 100;
 
-/// All replicas name the limit, and callers want more of them for a while.
+/// Sets the rate limit that each of the replicas reports.
 void limitAll(LimitedFleet& fleet, std::size_t replicas, double limit) {
   for (std::size_t number = 0; number < replicas; ++number) fleet.replica(number).limit = limit;
 }
@@ -22,32 +23,33 @@
 
 BOOST_AUTO_TEST_SUITE(ReplicaRateLimitTest)
 
-BOOST_AUTO_TEST_CASE(NodesTogetherSendNoMoreThanAReplicaTakes) {
+BOOST_AUTO_TEST_CASE(NodesTogetherStayWithinTheLimitOfAReplica) {
   for (const double limit : {0.2, 1.0, 4.0, 20.0}) {
     LimitedFleet fleet(7, 4);
     fleet.load(seconds(1), kDemand);
     fleet.replica(0).limit = limit;
     fleet.load(seconds(12), kDemand);
-    BOOST_TEST(fleet.worst(0, limit) <= 1.0, "limit " << limit << ": " << fleet.worst(0, limit));
+    BOOST_TEST(fleet.peakLoad(0, limit) <= 1.0,
+               "limit " << limit << ": " << fleet.peakLoad(0, limit));
   }
 }
 
-BOOST_AUTO_TEST_CASE(OneNodeSendsNoMoreThanAReplicaTakes) {
+BOOST_AUTO_TEST_CASE(OneNodeStaysWithinTheLimitOfAReplica) {
   LimitedFleet fleet(1, 4);
   fleet.replica(0).limit = 1;
   fleet.load(seconds(12), kDemand);
-  BOOST_TEST(fleet.worst(0, 1) <= 1.0, fleet.worst(0, 1));
+  BOOST_TEST(fleet.peakLoad(0, 1) <= 1.0, fleet.peakLoad(0, 1));
 }
 
-BOOST_AUTO_TEST_CASE(WhereAllReplicasAreLimitedNoneGetsMoreThanItTakes) {
+BOOST_AUTO_TEST_CASE(LimitsHoldWhenAllReplicasAreLimited) {
   LimitedFleet fleet(5, 4);
   limitAll(fleet, 4, 2);
   fleet.load(seconds(12), kDemand);
   for (std::size_t number = 0; number < 4; ++number)
-    BOOST_TEST(fleet.worst(number, 2) <= 1.0, fleet.worst(number, 2));
+    BOOST_TEST(fleet.peakLoad(number, 2) <= 1.0, fleet.peakLoad(number, 2));
 }
 
-BOOST_AUTO_TEST_CASE(LimitedReplicaGetsNearlyWhatItTakes) {
+BOOST_AUTO_TEST_CASE(LimitedReplicaIsUsedNearlyToItsLimit) {
   for (const std::size_t nodes : {3U, 20U, 90U}) {
     for (const double limit : {0.5, 3.0, 20.0}) {
       LimitedFleet fleet(nodes, 3);
@@ -62,8 +64,8 @@
   }
 }
 
-// One in four replicas names a limit: the others take what it does not.
-BOOST_AUTO_TEST_CASE(OtherReplicasTakeWhatALimitedOneDoesNot) {
+// One of four replicas reports a limit. The others take the requests that exceed it.
+BOOST_AUTO_TEST_CASE(OtherReplicasTakeTheExcessOfALimitedOne) {
   LimitedFleet fleet(5, 4);
   fleet.replica(0).limit = 1;
   fleet.load(seconds(10), kDemand);
@@ -75,7 +77,7 @@
   BOOST_TEST(fleet.rateSince(0, since) >= 0.9);
 }
 
-// More replicas name limits than a request asks homes.
+// The number of replicas with limits exceeds the number of home nodes that one request queries.
 BOOST_AUTO_TEST_CASE(RequestsFindTheOneReplicaWithoutALimit) {
   LimitedFleet fleet(5, 9);
   for (std::size_t number = 0; number < 8; ++number) fleet.replica(number).limit = 0.5;
@@ -85,20 +87,21 @@
   BOOST_TEST(fleet.calls.refused == refused);
 }
 
-BOOST_AUTO_TEST_CASE(WhatCannotBeServedIsRefusedAtOnceWithATimeToComeBack) {
+BOOST_AUTO_TEST_CASE(ExcessRequestsAreRefusedAtOnceWithARetryAfter) {
   LimitedFleet fleet(5, 4);
   limitAll(fleet, 4, 2);
   fleet.load(seconds(5), kDemand);
   const auto refusedBefore = fleet.calls.refused;
   const auto timeBefore = fleet.calls.refusedAfter;
-  fleet.calls.comeBackAt.clear();
+  fleet.calls.retryAt.clear();
   fleet.load(seconds(5), kDemand);
   const auto refused = fleet.calls.refused - refusedBefore;
   BOOST_REQUIRE(refused > 300U);
   const auto mean = (fleet.calls.refusedAfter - timeBefore) / static_cast<int>(refused);
   BOOST_TEST((mean < milliseconds(150)), "refused after " << mean.count() << " us");
-  // Not in one moment: none of ten equal parts of the span holds more than a third.
-  auto returns = fleet.calls.comeBackAt;
+  // The retry times are spread out: if their span is divided into ten equal parts, none of them
+  // contains more than a third of the retries.
+  auto returns = fleet.calls.retryAt;
   std::ranges::sort(returns);
   const auto width = (returns.back() - returns.front()) / 10 + base::Duration{1};
   std::map<std::int64_t, std::size_t> parts;
@@ -106,7 +109,7 @@
   for (const auto& [part, count] : parts) BOOST_TEST(count <= returns.size() / 3, part);
 }
 
-BOOST_AUTO_TEST_CASE(LowerLimitHoldsAtOnce) {
+BOOST_AUTO_TEST_CASE(LowerLimitAppliesAtOnce) {
   LimitedFleet fleet(5, 4);
   fleet.replica(0).limit = 20;
   fleet.load(seconds(6), 2 * kDemand);
@@ -117,7 +120,7 @@
   BOOST_TEST(fleet.rateSince(0, since) <= 0.75);
 }
 
-BOOST_AUTO_TEST_CASE(LimitEndsWithTheFirstAnswerThatNamesNone) {
+BOOST_AUTO_TEST_CASE(LimitEndsWithTheFirstResponseThatReportsNone) {
   LimitedFleet fleet(5, 4);
   fleet.replica(0).limit = 1;
   fleet.load(seconds(6), kDemand);
@@ -128,7 +131,7 @@
   BOOST_TEST(fleet.rateSince(0, since) > 10);
 }
 
-BOOST_AUTO_TEST_CASE(ReplicaThatTakesNothingIsAskedNowAndThenWhetherThatHolds) {
+BOOST_AUTO_TEST_CASE(ReplicaWithALimitOfZeroIsProbedOccasionally) {
   LimitedFleet fleet(5, 4);
   fleet.replica(0).limit = 0;
   fleet.load(seconds(5), kDemand);
@@ -144,46 +147,48 @@
   BOOST_TEST(fleet.rateSince(0, ended) > 10);
 }
 
-BOOST_AUTO_TEST_CASE(NodeThatReachesNoHomeSendsALimitedReplicaNothing) {
+BOOST_AUTO_TEST_CASE(NodeWithoutContactToTheHomeSendsNothingToALimitedReplica) {
   LimitedFleet fleet(5, 4);
   fleet.replica(0).limit = 5;
   fleet.load(seconds(6), kDemand);
   const auto home = fleet.homeOf(0);
-  fleet.network.cut.insert(fleet.everybody[home].endpoint.address);
-  fleet.silent.insert(home);
+  fleet.network.cut.insert(fleet.allMembers[home].endpoint.address);
+  fleet.idleNodes.insert(home);
   const auto since = fleet.time.now();
   fleet.load(seconds(5), kDemand);
   BOOST_TEST(fleet.rateSince(0, since) <= 0.4);
 }
 
-BOOST_AUTO_TEST_CASE(HomeThatFollowsAnotherGrantsNoMoreThanTheRate) {
+BOOST_AUTO_TEST_CASE(NewHomeNodeGrantsNoMoreThanTheRate) {
   for (const double limit : {1.0, 5.0, 20.0}) {
     LimitedFleet fleet(5, 4);
     fleet.replica(0).limit = limit;
     fleet.load(seconds(8), kDemand);
     const auto home = fleet.homeOf(0);
-    fleet.network.detach(fleet.everybody[home].endpoint.address);
-    fleet.silent.insert(home);
+    fleet.network.detach(fleet.allMembers[home].endpoint.address);
+    fleet.idleNodes.insert(home);
     std::vector<std::size_t> left;
     for (std::size_t node = 0; node < 5; ++node)
       if (node != home) left.push_back(node);
     for (const auto node : left) fleet.setView(node, left);
     fleet.load(seconds(8), kDemand);
-    // It comes back, with nothing remembered, and the others learn of that one after the other.
+    // The home node restarts without its earlier state, and the others detect this one after the
+    // other.
     fleet.start(home);
-    fleet.silent.erase(home);
-    fleet.excused.insert(home);
+    fleet.idleNodes.erase(home);
+    fleet.uncountedNodes.insert(home);
     for (const auto node : left) {
       fleet.setView(node, {0, 1, 2, 3, 4});
       fleet.load(milliseconds(200), kDemand);
     }
     fleet.load(seconds(8), kDemand);
-    BOOST_TEST(fleet.worst(0, limit) <= 1.0, "limit " << limit << ": " << fleet.worst(0, limit));
+    BOOST_TEST(fleet.peakLoad(0, limit) <= 1.0,
+               "limit " << limit << ": " << fleet.peakLoad(0, limit));
   }
 }
 
-// Each side holds the other dead, and has a home of its own.
-BOOST_AUTO_TEST_CASE(TwoHomesTogetherGrantNoMoreThanAllowed) {
+// Each side of the partition considers the other side dead and has a home node of its own.
+BOOST_AUTO_TEST_CASE(TwoHomeNodesTogetherGrantNoMoreThanAllowed) {
   const std::vector<std::pair<std::vector<std::size_t>, std::vector<std::size_t>>> splits = {
       {{0, 1, 2}, {3, 4, 5}}, {{0, 1, 2, 3}, {4, 5}}, {{0}, {1, 2, 3, 4, 5}}};
   for (const auto& [one, other] : splits) {
@@ -198,13 +203,13 @@
         }
       }
       fleet.load(seconds(12), 2 * kDemand);
-      BOOST_TEST(fleet.worst(0, limit) <= 1.0,
-                 one.size() << " nodes alone, limit " << limit << ": " << fleet.worst(0, limit));
+      BOOST_TEST(fleet.peakLoad(0, limit) <= 1.0,
+                 one.size() << " nodes alone, limit " << limit << ": " << fleet.peakLoad(0, limit));
     }
   }
 }
 
-// What was granted over seconds must not arrive at once.
+// Requests that were granted over several seconds must not arrive all at once.
 BOOST_AUTO_TEST_CASE(GrantThatWaitsLongForAConnectionIsNotUsed) {
   LimitedFleet fleet(5, 4);
   limitAll(fleet, 4, 4);
@@ -216,19 +221,20 @@
     BOOST_TEST(fleet.rateSince(number, since) <= 1.5, fleet.rateSince(number, since));
 }
 
-BOOST_AUTO_TEST_CASE(LostMessagesBreakNoLimit) {
+BOOST_AUTO_TEST_CASE(LimitsHoldUnderMessageLoss) {
   for (const double loss : {0.05, 0.3}) {
     LimitedFleet fleet(7, 4);
     limitAll(fleet, 4, 3);
     fleet.network.loss = loss;
     fleet.load(seconds(15), kDemand);
     for (std::size_t number = 0; number < 4; ++number)
-      BOOST_TEST(fleet.worst(number, 3) <= 1.0, fleet.worst(number, 3));
+      BOOST_TEST(fleet.peakLoad(number, 3) <= 1.0, fleet.peakLoad(number, 3));
   }
 }
 
-// Its attempt was given up for others that took no more, and the request refused as lost.
-BOOST_AUTO_TEST_CASE(SlowAttemptIsNotGivenUpWhereAllOthersAreLimited) {
+// Guards against abandoning a slow attempt although all other replicas are at their limits, after
+// which the request was refused as lost.
+BOOST_AUTO_TEST_CASE(SlowAttemptIsNotAbandonedIfAllOthersAreLimited) {
   LimitedFleet fleet(5, 4);
   limitAll(fleet, 4, 2);
   fleet.load(seconds(4), kDemand);
--- a/tests/request/request_fingerprint_test.cc
+++ b/tests/request/request_fingerprint_test.cc
@@ -1,4 +1,4 @@
-// Which requests ask the same of a replica.
+// Tests which requests have the same fingerprint.
 #include "request/request_fingerprint.h"
 
 #include <boost/test/unit_test.hpp>
@@ -29,7 +29,7 @@
   changed = sample();
   changed.target = "/path?other";
   BOOST_TEST((usual != fingerprintOf(changed, "tenant")));
-  // Text that moves from one field to the next makes another request.
+  // Moving text from one field to the next changes the fingerprint.
   auto shifted = sample();
   shifted.target = "/path?querytenant";
   BOOST_TEST((usual != fingerprintOf(shifted, "")));
--- a/tests/request/retry_bound_test.cc
+++ b/tests/request/retry_bound_test.cc
@@ -1,4 +1,4 @@
-// What relayed requests send beyond their first attempt, against the bound on retries.
+// Tests that the retries of relayed requests stay within the retry budget.
 #include <boost/test/unit_test.hpp>
 
 #include "relay_fixture.h"
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Two retries within two seconds, however many requests there are.
+/// A budget of two retries within two seconds, independent of the number of requests.
 struct TightBoundFixture : RelayFixture {
   static constexpr double kMostRetries = 2;
 
@@ -18,7 +18,7 @@
     retries = admission::RetryWindows({seconds(2), 0, kMostRetries, 1.0}, kStartedLongAgo, oneNode);
   }
 
-  /// Attempts under way, in the order of their dispatch.
+  /// Starts two requests and returns their attempts in the order of dispatch.
   std::vector<std::shared_ptr<Dispatched>> requestTwo() {
     for (int count = 0; count < 2; ++count) request("safe");
     return {client.sent.end() - 2, client.sent.end()};
@@ -33,7 +33,7 @@
         attempt.refuseNotExecuted();
         return;
       case 2:
-        attempt.breakOff();
+        attempt.breakConnection();
         return;
       case 3:
         attempt.answer(500, "oops");
@@ -46,7 +46,7 @@
         attempt.answer(200, "done");
     }
   }
-  std::vector<std::string> causesLogged() const {
+  std::vector<std::string> loggedCauses() const {
     std::vector<std::string> causes;
     for (const auto& [event, fields] : log.entries) {
       if (event != base::Event::kRequestRetried) continue;
@@ -56,8 +56,8 @@
     }
     return causes;
   }
-  static void breakOff(const std::vector<std::shared_ptr<Dispatched>>& attempts) {
-    for (const auto& attempt : attempts) attempt->breakOff();
+  static void breakConnection(const std::vector<std::shared_ptr<Dispatched>>& attempts) {
+    for (const auto& attempt : attempts) attempt->breakConnection();
   }
 };
 
@@ -65,14 +65,15 @@
 
 BOOST_FIXTURE_TEST_SUITE(RetryBoundTest, TightBoundFixture)
 
-// Retries were counted when they were taken from the budget, and sent when a replica had room,
-// seconds later. By then the window in which they were taken was nearly over: what it allowed anew
-// arrived at the service together with them. Here two retries wait from 0 s to 1.5 s, and two more
-// are taken at 2.3 s: four arrive within 0.8 s, where two are allowed within 2 s.
-BOOST_AUTO_TEST_CASE(RetriesThatWaitCountWhenTheyAreSent) {
+// Guards against counting retries when they are reserved instead of when they are sent. A retry may
+// wait for a replica with free capacity for seconds. By then its window is nearly over, and retries
+// that the next window allows would arrive at the service together with it. Here two retries wait
+// from 0 s to 1.5 s, and two more are reserved at 2.3 s: four would arrive within 0.8 s, although
+// only two are allowed within 2 s.
+BOOST_AUTO_TEST_CASE(WaitingRetriesAreCountedWhenTheyAreSent) {
   const auto firstAttempts = requestTwo();
   for (const char* name : {"a", "b", "c"}) replicas.onRemoved(name);
-  breakOff(firstAttempts);
+  breakConnection(firstAttempts);
   BOOST_TEST(client.sent.size() == 2U);
   time.advance(milliseconds(1500));
   for (const char* name : {"d", "e", "f"}) addReplica(name, "app");
@@ -82,15 +83,15 @@
   client.sent[3]->answer(200, "done");
 
   time.advance(milliseconds(750));
-  breakOff(requestTwo());
+  breakConnection(requestTwo());
   const std::size_t firstAttemptsSent = 4;
   BOOST_TEST(client.sent.size() - firstAttemptsSent <= kMostRetries);
 }
 
-// A retry that never reached its replica is sent in place of the one that was counted.
-BOOST_AUTO_TEST_CASE(RetryThatNeverArrivedIsCountedOnce) {
+// A retry that replaces one which never reached its replica is not counted again.
+BOOST_AUTO_TEST_CASE(RetryThatWasNotSentAndItsReplacementCountOnce) {
   request("safe");
-  client.last().breakOff();
+  client.last().breakConnection();
   client.last().refuseConnection();
   BOOST_REQUIRE(client.sent.size() == 3U);
   BOOST_TEST(retries.use("app", time.now()).sent == 1U);
@@ -98,15 +99,15 @@
   BOOST_TEST(retries.use("app", time.now()).sent == 1U);
 }
 
-// Whatever becomes of the attempts of a request, what reached replicas beyond the first is counted,
-// and nothing else.
+// For any outcome of the attempts of a request, exactly those that reached a replica are counted,
+// except the first of them.
 BOOST_AUTO_TEST_CASE(EveryArrivalBeyondTheFirstIsCountedOnce) {
-  auto patient = contents();
-  patient.version = 2;
-  patient.routes.front().attempts = 6;
-  useTable(patient);
+  auto adjusted = contents();
+  adjusted.version = 2;
+  adjusted.routes.front().attempts = 6;
+  useTable(adjusted);
   for (const char* name : {"d", "e", "f", "g", "h"}) addReplica(name, "app");
-  for (int play = 0; play < 500; ++play) {
+  for (int round = 0; round < 500; ++round) {
     retries = admission::RetryWindows({seconds(10), 0, 100, 1.0}, kStartedLongAgo, oneNode);
     const auto before = client.sent.size();
     const auto& caller = request("safe");
@@ -118,7 +119,7 @@
       endAttempt(*attempt, outcome);
       if (caller.open() && client.sent.back() == attempt) time.advance(milliseconds(50));
     }
-    BOOST_TEST_CONTEXT("play " << play << ", " << client.sent.size() - before << " attempts") {
+    BOOST_TEST_CONTEXT("round " << round << ", " << client.sent.size() - before << " attempts") {
       const auto use = retries.use("app", time.now());
       BOOST_TEST(use.sent == (arrived == 0 ? 0 : arrived - 1));
       BOOST_TEST(use.reserved == 0U);
@@ -127,26 +128,26 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(RetryWhoseCallerLeavesBeforeItIsSentTakesNothing) {
+BOOST_AUTO_TEST_CASE(RetryWhoseCallerDisconnectsBeforeItIsSentTakesNoBudget) {
   request("safe");
   for (const char* name : {"a", "b", "c"}) replicas.onRemoved(name);
-  client.last().breakOff();
+  client.last().breakConnection();
   BOOST_TEST(retries.use("app", time.now()).reserved == 1U);
   flow.lock()->onCallerDisconnected();
   BOOST_TEST(retries.use("app", time.now()).reserved == 0U);
   BOOST_TEST(retries.use("app", time.now()).sent == 0U);
 }
 
-// Twelve requests of one moment, of which a third counts, with a ratio of one half allow two
-// retries. These wait until the requests have left the window: sent then, they would be two where
-// none is allowed.
+// Twelve requests at one time, of which a third counts, allow two retries at a ratio of one half.
+// The retries wait until these requests have left the window. Sent then, they would be two retries
+// where none is allowed.
 BOOST_AUTO_TEST_CASE(RetryIsNotSentWhenItsRequestsHaveLeftTheWindow) {
   retries = admission::RetryWindows({milliseconds(500), 0.5, 0, 1.0}, kStartedLongAgo, oneNode);
   constexpr std::size_t kRequests = 12;
   for (std::size_t count = 0; count < kRequests - 2; ++count) request("unsafe");
   const auto attempts = requestTwo();
   for (const char* name : {"a", "b", "c"}) replicas.onRemoved(name);
-  breakOff(attempts);
+  breakConnection(attempts);
   BOOST_TEST(retries.use("app", time.now()).reserved == 2U);
   time.advance(milliseconds(1800));
   addReplica("d", "app");
@@ -155,12 +156,12 @@
   BOOST_TEST(views.back()->refusal->status == 502U);
 }
 
-BOOST_AUTO_TEST_CASE(LogAndOutcomeTellWhyARequestWasRepeated) {
+BOOST_AUTO_TEST_CASE(LogAndOutcomeContainTheCausesOfRetries) {
   request("safe");
   client.last().refuseNotExecuted();
   client.last().refuseConnection();
   client.last().answer(200, "done");
-  BOOST_TEST(causesLogged() == std::vector<std::string>({"refused", "never_arrived"}),
+  BOOST_TEST(loggedCauses() == std::vector<std::string>({"refused", "never_arrived"}),
              boost::test_tools::per_element());
   const auto& counts = outcomes.back().retries;
   BOOST_TEST(counts.at(static_cast<std::size_t>(RetryCause::kRefused)) == 1U);
--- a/tests/request/stream_resume_property_test.cc
+++ b/tests/request/stream_resume_property_test.cc
@@ -1,5 +1,5 @@
-// Property: whatever engines do in whatever order, the caller's stream is gapless, ends once, and
-// every claim about the outcome is true.
+// Property test: for any sequence of engine events, the caller's stream has no gaps and ends
+// exactly once, and the reported outcome is correct.
 #include <rapidcheck/boost_test.h>
 
 #include <boost/test/unit_test.hpp>
@@ -13,7 +13,7 @@
 using base::ResultCode;
 using clients::DispatchFailure;
 
-/// Length of the whole answer in the model.
+/// Number of tokens of the complete response in the model.
 constexpr std::uint32_t kAnswerTokens = 6;
 
 enum class Step : std::uint8_t {
@@ -30,11 +30,11 @@
   kWaitLong,
   kPause,
   kUnpause,
-  kLostThenHeard,
+  kLostThenMoreData,
 };
 constexpr std::uint8_t kStepCount = 14;
 
-/// Drives one request and remembers what really happened.
+/// Drives one request and records whether it was really executed.
 struct StreamModel : RequestFixture {
   explicit StreamModel(bool repeatable) {
     configuration.tenant->retry.maximumAttempts = 4;
@@ -59,8 +59,8 @@
       case Step::kWaitShort:
         return waitFor(std::chrono::milliseconds(20));
       case Step::kWaitLong:
-        // The engine did take the request and may have run it, though it was never heard of.
-        if (open && !paused) noteRan();
+        // The engine did receive the request and may have executed it, although it sent nothing.
+        if (open && !paused) recordRun();
         return waitFor(std::chrono::seconds(11));
       case Step::kPause:
       case Step::kUnpause:
@@ -77,26 +77,26 @@
       case Step::kAccept:
         return stream.accept();
       case Step::kNextChunk:
-        noteRan();
+        recordRun();
         if (next < kAnswerTokens) stream.chunk(next);
         return;
       case Step::kOldChunk:
         if (next == 0) return;
-        noteRan();
+        recordRun();
         return stream.chunk(next - 1);
       case Step::kSkippedChunk:
-        noteRan();
+        recordRun();
         return stream.chunk(next + 1);
       case Step::kEnd:
-        noteRan();
+        recordRun();
         return stream.end(kAnswerTokens);
       case Step::kShortEnd:
-        noteRan();
+        recordRun();
         return stream.end(static_cast<std::uint32_t>(next) + 1);
-      case Step::kLostThenHeard:
-        noteRan();
+      case Step::kLostThenMoreData:
+        recordRun();
         stream.fail(DispatchFailure::kOutcomeUnknown, ResultCode::kBackEndLost);
-        // Its client had more of it in hand.
+        // The engine client had already received more of the stream.
         stream.chunk(next);
         return stream.end(kAnswerTokens);
       case Step::kNotSent:
@@ -104,21 +104,21 @@
       case Step::kRefused:
         return stream.fail(DispatchFailure::kRefusedNotRun, ResultCode::kBackEndRefused);
       default:
-        noteRan();
+        recordRun();
         return stream.fail(DispatchFailure::kOutcomeUnknown, ResultCode::kBackEndLost);
     }
   }
 
-  void noteRan() {
+  void recordRun() {
     ran = true;
     if (notRepeatable()) mayResend = false;
   }
-  bool notRepeatable() const { return marked; }
+  bool notRepeatable() const { return markedNotRepeatable; }
   void waitFor(base::Duration span) { time.advance(span); }
 
   void check() const {
     RC_ASSERT(sink.gapless());
-    RC_ASSERT(sink.callsAfterFinal == 0U);
+    RC_ASSERT(sink.callsAfterEnd == 0U);
     if (sink.ended.has_value()) RC_ASSERT(sink.chunks.size() == sink.ended->outputTokens);
     if (sink.refused.has_value() && sink.refused->outcome == Outcome::kNotRun) RC_ASSERT(!ran);
     std::size_t running = 0;
@@ -127,7 +127,7 @@
   }
 
   std::unique_ptr<ActiveRequest> active;
-  bool marked = false;
+  bool markedNotRepeatable = false;
   bool ran = false;
   bool mayResend = true;
   bool paused = false;
@@ -135,12 +135,12 @@
 
 void runModel(bool repeatable, const std::vector<std::uint8_t>& steps) {
   StreamModel model(repeatable);
-  model.marked = !repeatable;
+  model.markedNotRepeatable = !repeatable;
   for (const std::uint8_t step : steps) model.apply(static_cast<Step>(step % kStepCount));
   model.active->setPaused(false);
-  // An engine that still has the request may run it, though it is never heard of. After the final
-  // answer nobody has it.
-  if (!model.sink.final()) model.noteRan();
+  // An engine that still has the request may execute it, even if it sends nothing. After the final
+  // response no engine has it.
+  if (!model.sink.final()) model.recordRun();
   model.time.advance(std::chrono::minutes(2));
   model.check();
   RC_ASSERT(model.sink.final());
@@ -159,8 +159,9 @@
   runModel(false, steps);
 }
 
-// Four attempts that were never sent: refused as not run, which the model then took for a run.
-BOOST_AUTO_TEST_CASE(RequestThatNeverLeftIsRefusedAsNotRun) {
+// Guards the model itself: after four attempts that were never sent, the request is refused as not
+// run. The model used to count it as executed.
+BOOST_AUTO_TEST_CASE(RequestThatWasNeverSentIsRefusedAsNotRun) {
   const auto notSent = static_cast<std::uint8_t>(Step::kNotSent);
   const auto waitShort = static_cast<std::uint8_t>(Step::kWaitShort);
   const std::vector<std::uint8_t> steps{notSent, waitShort, notSent, waitShort,
