--- a/tests/request/claim_committer_test.cc
+++ b/tests/request/claim_committer_test.cc
@@ -147,10 +147,10 @@
 }
 
 BOOST_AUTO_TEST_CASE(RateLimitedClaimsShareTransactions) {
-  ClaimCommitter paced(table, time, time, random,
-                       {.transactionsPerSecond = 4, .transactionBurst = 1});
+  ClaimCommitter rateLimited(table, time, time, random,
+                             {.transactionsPerSecond = 4, .transactionBurst = 1});
   for (int number = 0; number < 20; ++number) {
-    claim(paced, "r" + std::to_string(number), "k" + std::to_string(number));
+    claim(rateLimited, "r" + std::to_string(number), "k" + std::to_string(number));
     time.advance(milliseconds(25));
   }
   time.advance(seconds(1));
--- a/tests/request/fakes.h
+++ b/tests/request/fakes.h
@@ -35,7 +35,7 @@
 /// answered.
 class FakeTable final : public clients::TableClient {
  public:
-  enum class Behaviour { kNormal, kLoseAnswer, kLoseRequest, kRateLimit, kUnavailable, kSilent };
+  enum class Behaviour { kNormal, kLoseAnswer, kLoseRequest, kRateLimit, kUnavailable, kNoReply };
 
   explicit FakeTable(VirtualTime& time) : time_(time) {}
 
@@ -131,7 +131,7 @@
     return {clients::TableStatus::kOk, revision, std::move(found)};
   }
   void answer(Behaviour behaviour, clients::TableReply reply, clients::TableCallback callback) {
-    if (behaviour == Behaviour::kSilent) return;
+    if (behaviour == Behaviour::kNoReply) return;
     time_.schedule(latency,
                    [reply = std::move(reply), callback = std::move(callback)] { callback(reply); });
   }
--- a/tests/request/limited_fleet.h
+++ b/tests/request/limited_fleet.h
@@ -275,12 +275,12 @@
         continue;
       if (!uncountedNodes.contains(arrival.node)) counted.push_back(arrival.at);
     }
-    std::size_t most = 0;
+    std::size_t maximum = 0;
     for (std::size_t last = 0; last < counted.size(); ++last) {
       const auto first = std::ranges::lower_bound(counted, counted[last] - kWindow);
-      most = std::max(most, last + 1 - static_cast<std::size_t>(first - counted.begin()));
+      maximum = std::max(maximum, last + 1 - static_cast<std::size_t>(first - counted.begin()));
     }
-    return static_cast<double>(most) / (1.5 * 4 * limit + 5);
+    return static_cast<double>(maximum) / (1.5 * 4 * limit + 5);
   }
   /// Arrivals per second at the replica since that time.
   double rateSince(std::size_t number, base::TimePoint since) {
--- a/tests/request/relay_flow_test.cc
+++ b/tests/request/relay_flow_test.cc
@@ -182,9 +182,9 @@
 BOOST_AUTO_TEST_CASE(RequestIsHeldWhileEveryReplicaIsAtCapacity) {
   // Eight requests run at each of the three replicas and one more waits there. Further requests
   // wait in a queue.
-  constexpr std::size_t kMost = 3 * (8 + 1);
+  constexpr std::size_t kFleetCapacity = 3 * (8 + 1);
   std::map<std::string, std::size_t> sentTo;
-  for (std::size_t count = 0; count < kMost; ++count) {
+  for (std::size_t count = 0; count < kFleetCapacity; ++count) {
     request("once");
     BOOST_REQUIRE(client.sent.size() == count + 1);
     ++sentTo[client.last().terms.expectedInstance];
@@ -192,13 +192,13 @@
     client.last().head(200);
     client.last().handler->onBody("id: 1\ndata: x\n\n");
   }
-  for (const auto& [name, count] : sentTo) BOOST_TEST(count == kMost / 3);
+  for (const auto& [name, count] : sentTo) BOOST_TEST(count == kFleetCapacity / 3);
   request("once");
-  BOOST_TEST(client.sent.size() == kMost);
+  BOOST_TEST(client.sent.size() == kFleetCapacity);
   const auto ended = client.sent.front();
   ended->handler->onEnd();
   time.advance(milliseconds(60));
-  BOOST_REQUIRE(client.sent.size() == kMost + 1);
+  BOOST_REQUIRE(client.sent.size() == kFleetCapacity + 1);
   BOOST_TEST(client.last().terms.expectedInstance == ended->terms.expectedInstance);
 }
 
--- a/tests/request/relay_queue_test.cc
+++ b/tests/request/relay_queue_test.cc
@@ -36,10 +36,10 @@
     placement.onPeerMessage(other, routing::encode(ended));
     time.advance(milliseconds(1));
   }
-  void setFirstEventPatience(base::Duration patience) {
+  void setFirstEventPatience(base::Duration firstEventPatience) {
     auto adjusted = contents();
     adjusted.version = 2;
-    for (auto& route : adjusted.routes) route.firstEventPatience = patience;
+    for (auto& route : adjusted.routes) route.firstEventPatience = firstEventPatience;
     useTable(adjusted);
   }
   std::size_t waiting() const { return placement.counters().queuedHere; }
--- a/tests/request/replica_notices_test.cc
+++ b/tests/request/replica_notices_test.cc
@@ -206,7 +206,7 @@
 BOOST_AUTO_TEST_CASE(BackOffDoesNotCountAsFailure) {
   for (const char* name : {"b", "c"}) replicas.onRemoved(name);
   const auto replica = replicas.find("a");
-  for (int rest = 0; rest < 10; ++rest) {
+  for (int round = 0; round < 10; ++round) {
     request("unsafe");
     client.last().requestBackOff(milliseconds(200));
     time.advance(milliseconds(250));
--- a/tests/request/replica_rate_limit_test.cc
+++ b/tests/request/replica_rate_limit_test.cc
@@ -137,9 +137,9 @@
   fleet.load(seconds(5), kDemand);
   const auto since = fleet.time.now();
   fleet.load(seconds(40), kDemand);
-  const auto asked = fleet.rateSince(0, since) * 40;
-  BOOST_TEST(asked >= 3.0);
-  BOOST_TEST(asked <= 5.0);
+  const auto probes = fleet.rateSince(0, since) * 40;
+  BOOST_TEST(probes >= 3.0);
+  BOOST_TEST(probes <= 5.0);
   fleet.replica(0).limit.reset();
   fleet.load(seconds(11), kDemand);
   const auto ended = fleet.time.now();
--- a/tests/request/retry_bound_test.cc
+++ b/tests/request/retry_bound_test.cc
@@ -12,10 +12,11 @@
 
 /// A budget of two retries within two seconds, independent of the number of requests.
 struct TightBoundFixture : RelayFixture {
-  static constexpr double kMostRetries = 2;
+  static constexpr double kMaximumRetries = 2;
 
   TightBoundFixture() {
-    retries = admission::RetryWindows({seconds(2), 0, kMostRetries, 1.0}, kStartedLongAgo, oneNode);
+    retries =
+        admission::RetryWindows({seconds(2), 0, kMaximumRetries, 1.0}, kStartedLongAgo, oneNode);
   }
 
   /// Starts two requests and returns their attempts in the order of dispatch.
@@ -85,7 +86,7 @@
   time.advance(milliseconds(750));
   breakConnection(requestTwo());
   const std::size_t firstAttemptsSent = 4;
-  BOOST_TEST(client.sent.size() - firstAttemptsSent <= kMostRetries);
+  BOOST_TEST(client.sent.size() - firstAttemptsSent <= kMaximumRetries);
 }
 
 // A retry that replaces one which never reached its replica is not counted again.
