--- a/src/request/claim.h
+++ b/src/request/claim.h
@@ -47,7 +47,8 @@
   std::string key;
   /// Value of the row. It is unique to this claim and therefore identifies who created the row.
   std::string value;
-  /// Another node may already have committed the row, so it must be looked up before it is written.
+  /// Another node may already have committed the row. So if the claim is abandoned, the row still
+  /// has to be read back and released.
   bool uncertain = false;
 };
 
--- a/src/request/claim_store.h
+++ b/src/request/claim_store.h
@@ -6,7 +6,8 @@
 /// forwarded to one of a few collector nodes of the region, selected by the key; the collector
 /// commits the claims of many nodes in one transaction. Only the row decides who owns a claim, and
 /// its value identifies the owner. If a collector does not reply in time, the node commits the
-/// claim itself, after looking up whether the row was already written.
+/// claim itself. That commit is conditional on the row not existing yet, and a row that the
+/// collector has written in the meantime is recognized as the node's own by its value.
 #pragma once
 
 #include <cstdint>
--- a/src/request/relay_request.h
+++ b/src/request/relay_request.h
@@ -71,7 +71,7 @@
   virtual ~ResponseWriter() = default;
   /// Starts the response. If its length is known, the body is sent unchanged; otherwise it is sent
   /// in chunks.
-  virtual void begin(const clients::RelayedAnswer& answer) = 0;
+  virtual void begin(const clients::RelayedAnswer& response) = 0;
   virtual void write(std::string_view bytes) = 0;
   /// Ends the response as complete.
   virtual void end() = 0;
