--- a/tests/request/fakes.h
+++ b/tests/request/fakes.h
@@ -61,14 +61,14 @@
       reply.rows = currentRows(keys);
       if (clockOffset) reply.serviceTime = time_.now().time_since_epoch() + *clockOffset;
     }
-    answer(behaviour, std::move(reply), std::move(callback));
+    deliverReply(behaviour, std::move(reply), std::move(callback));
   }
   void scan(std::string prefix, base::Revision after, std::size_t limit,
             clients::TableCallback callback) override {
     const Behaviour behaviour = next();
     clients::TableReply reply = refusalOf(behaviour);
     if (behaviour == Behaviour::kNormal) reply = scanned(prefix, after, limit);
-    answer(behaviour, std::move(reply), std::move(callback));
+    deliverReply(behaviour, std::move(reply), std::move(callback));
   }
   void commit(clients::TableTransaction transaction, clients::TableCallback callback) override {
     const Behaviour behaviour = next();
@@ -76,7 +76,7 @@
     if (behaviour == Behaviour::kNormal) reply = apply(transaction);
     if (behaviour == Behaviour::kLoseAnswer) apply(transaction);
     commits.push_back(std::move(transaction));
-    answer(behaviour, std::move(reply), std::move(callback));
+    deliverReply(behaviour, std::move(reply), std::move(callback));
   }
   clients::TableReply apply(const clients::TableTransaction& transaction) {
     std::vector<std::string> keys;
@@ -130,7 +130,8 @@
     const base::Revision revision = complete ? revision_ : found.back().revision;
     return {clients::TableStatus::kOk, revision, std::move(found)};
   }
-  void answer(Behaviour behaviour, clients::TableReply reply, clients::TableCallback callback) {
+  void deliverReply(Behaviour behaviour, clients::TableReply reply,
+                    clients::TableCallback callback) {
     if (behaviour == Behaviour::kNoReply) return;
     time_.schedule(latency,
                    [reply = std::move(reply), callback = std::move(callback)] { callback(reply); });
@@ -438,7 +439,7 @@
  public:
   std::optional<clients::ApplicationResponse> response;
   std::optional<Refusal> refused;
-  void onResponse(const clients::ApplicationResponse& answer) override { response = answer; }
+  void onResponse(const clients::ApplicationResponse& received) override { response = received; }
   void onRefused(const Refusal& refusal) override { refused = refusal; }
 };
 
--- a/tests/request/limited_fleet.h
+++ b/tests/request/limited_fleet.h
@@ -79,14 +79,14 @@
     replica.arrivals.push_back({time_.now(), node});
     time_.schedule(replica.runTime, [this, node, &replica, &handler, open] {
       if (!*open) return;
-      clients::RelayedAnswer answer;
-      answer.status = 200;
-      answer.rateLimit = clients::RateLimitNotice::unlimited();
+      clients::RelayedAnswer response;
+      response.status = 200;
+      response.rateLimit = clients::RateLimitNotice::unlimited();
       if (replica.limit) {
-        answer.rateLimit = clients::RateLimitNotice::of(*replica.limit);
+        response.rateLimit = clients::RateLimitNotice::of(*replica.limit);
         replica.limitReceivedAt.try_emplace(node, time_.now());
       }
-      handler.onHead(std::move(answer));
+      handler.onHead(std::move(response));
       if (*open) handler.onEnd();
     });
   }
@@ -309,7 +309,7 @@
   class Caller final : public ResponseWriter {
    public:
     explicit Caller(LimitedFleet& fleet) : fleet_(fleet), since_(fleet.time.now()) {}
-    void begin(const clients::RelayedAnswer& /*answer*/) override {}
+    void begin(const clients::RelayedAnswer& /*response*/) override {}
     void write(std::string_view /*bytes*/) override {}
     void end() override { ++fleet_.calls.served; }
     void refuse(const RelayRefusal& refusal) override {
--- a/tests/request/relay_fixture.h
+++ b/tests/request/relay_fixture.h
@@ -29,14 +29,14 @@
 
   void head(unsigned status, bool notExecuted = false,
             std::optional<base::WeightsVersion> version = std::nullopt) const {
-    clients::RelayedAnswer answer;
-    answer.status = status;
-    answer.headers = {{"Signature", base::toString(replica)}};
-    answer.notExecuted = notExecuted;
-    answer.version = version;
-    handler->onHead(std::move(answer));
+    clients::RelayedAnswer response;
+    response.status = status;
+    response.headers = {{"Signature", base::toString(replica)}};
+    response.notExecuted = notExecuted;
+    response.version = version;
+    handler->onHead(std::move(response));
   }
-  void answer(unsigned status, std::string_view body) const {
+  void respond(unsigned status, std::string_view body) const {
     head(status);
     if (!body.empty()) handler->onBody(body);
     handler->onEnd();
@@ -47,19 +47,19 @@
   }
   /// Responds with headers in which the replica reports that it is leaving.
   void respondLeaving(unsigned status, bool notExecuted = false) const {
-    clients::RelayedAnswer answer;
-    answer.status = status;
-    answer.notExecuted = notExecuted;
-    answer.leaving = true;
-    handler->onHead(std::move(answer));
+    clients::RelayedAnswer response;
+    response.status = status;
+    response.notExecuted = notExecuted;
+    response.leaving = true;
+    handler->onHead(std::move(response));
   }
   /// Refuses the request, and requests that this node backs off for the given time.
   void requestBackOff(base::Duration rest) const {
-    clients::RelayedAnswer answer;
-    answer.status = 503;
-    answer.notExecuted = true;
-    answer.rest = rest;
-    handler->onHead(std::move(answer));
+    clients::RelayedAnswer response;
+    response.status = 503;
+    response.notExecuted = true;
+    response.rest = rest;
+    handler->onHead(std::move(response));
     handler->onEnd();
   }
   void breakConnection() const {
@@ -105,17 +105,17 @@
   std::optional<clients::RelayedAnswer> head;
   std::string body;
   bool ended = false;
-  bool cut = false;
+  bool aborted = false;
   std::optional<RelayRefusal> refusal;
   int finals = 0;
 
   bool open() const { return finals == 0; }
 };
 
-class FakeCaller final : public ResponseWriter {
+class FakeResponseWriter final : public ResponseWriter {
  public:
-  explicit FakeCaller(CallerView& view) : view_(view) {}
-  void begin(const clients::RelayedAnswer& answer) override { view_.head = answer; }
+  explicit FakeResponseWriter(CallerView& view) : view_(view) {}
+  void begin(const clients::RelayedAnswer& response) override { view_.head = response; }
   void write(std::string_view bytes) override { view_.body += bytes; }
   void end() override {
     view_.ended = true;
@@ -126,7 +126,7 @@
     ++view_.finals;
   }
   void abort() override {
-    view_.cut = true;
+    view_.aborted = true;
     ++view_.finals;
   }
   void onPressure(std::function<void(bool)> /*listener*/) override {}
@@ -282,7 +282,7 @@
       incoming.prompt = std::move(prompt);
     }
     views.push_back(std::make_unique<CallerView>());
-    flow = service.begin(std::move(incoming), std::make_unique<FakeCaller>(*views.back()));
+    flow = service.begin(std::move(incoming), std::make_unique<FakeResponseWriter>(*views.back()));
     return *views.back();
   }
 
--- a/tests/request/relay_flow_test.cc
+++ b/tests/request/relay_flow_test.cc
@@ -47,7 +47,7 @@
   client.last().refuseNotExecuted();
   BOOST_TEST(client.sent.size() == 2U);
   BOOST_TEST((client.sent[0]->replica != client.sent[1]->replica));
-  client.last().answer(200, "done");
+  client.last().respond(200, "done");
   BOOST_TEST(caller.body == "done");
 }
 
@@ -56,7 +56,7 @@
   auto& caller = request("unsafe");
   client.last().refuseConnection();
   BOOST_TEST(client.sent.size() == 2U);
-  client.last().answer(200, "done");
+  client.last().respond(200, "done");
   BOOST_TEST(caller.ended);
 }
 
@@ -70,9 +70,9 @@
 
 BOOST_AUTO_TEST_CASE(RepeatableRequestIsRetriedWithinItsAttempts) {
   auto& caller = request("safe");
-  client.last().answer(500, "oops");
+  client.last().respond(500, "oops");
   BOOST_TEST(client.sent.size() == 2U);
-  client.last().answer(500, "again");
+  client.last().respond(500, "again");
   BOOST_TEST(client.sent.size() == 2U);
   BOOST_TEST(caller.head->status == 500U);
   BOOST_TEST(caller.body == "again");
@@ -80,7 +80,7 @@
 
 BOOST_AUTO_TEST_CASE(FailureOfNotRepeatableRequestIsPassedOnUnchanged) {
   auto& caller = request("unsafe");
-  client.last().answer(500, "oops");
+  client.last().respond(500, "oops");
   BOOST_TEST(client.sent.size() == 1U);
   BOOST_TEST(caller.head->status == 500U);
   BOOST_TEST(caller.body == "oops");
@@ -138,7 +138,7 @@
   time.advance(milliseconds(900));
   BOOST_TEST(client.sent.size() == 2U);
   BOOST_TEST(client.last().open);
-  client.last().answer(200, "late");
+  client.last().respond(200, "late");
   BOOST_TEST(caller.body == "late");
 }
 
@@ -156,7 +156,7 @@
   addReplica("d", "app");
   time.advance(milliseconds(40));
   BOOST_TEST(client.sent.size() == 1U);
-  client.last().answer(200, "ok");
+  client.last().respond(200, "ok");
   BOOST_TEST(held.ended);
   replicas.onRemoved("d");
   auto& refused = request("unsafe");
@@ -206,7 +206,7 @@
   // This node is the home node and was notified by another node.
   const auto first = [&] {
     request("once");
-    client.last().answer(200, "id: 1\ndata: x\n\n");
+    client.last().respond(200, "id: 1\ndata: x\n\n");
     return client.last().terms.expectedInstance;
   };
   const auto usual = first();
@@ -224,7 +224,7 @@
   request("once");
   const auto usual = client.last().terms.expectedInstance;
   time.advance(milliseconds(30));
-  client.last().answer(200, "id: 1\ndata: x\n\n");
+  client.last().respond(200, "id: 1\ndata: x\n\n");
   const base::PeerIdentity other{base::nodeIdOf("other"), 1, {}};
   const routing::PlacementDemand work{20'000, 20'000, 8, 90'000};
   placement.onPeerMessage(
@@ -305,7 +305,7 @@
   client.last().handler->onBody("id: 1\ndata: x\n\n");
   client.last().breakConnection();
   BOOST_TEST(client.sent.size() == 1U);
-  BOOST_TEST(caller.cut);
+  BOOST_TEST(caller.aborted);
   BOOST_TEST(!caller.ended);
 }
 
@@ -314,8 +314,8 @@
   client.last().head(200);
   client.last().handler->onBody("id: 1\ndata: x\n\n");
   client.last().breakConnection();
-  client.last().answer(500, "oops");
-  BOOST_TEST(caller.cut);
+  client.last().respond(500, "oops");
+  BOOST_TEST(caller.aborted);
   BOOST_TEST(caller.body == "id: 1\ndata: x\n\n");
 }
 
@@ -334,7 +334,7 @@
   without.version = 2;
   without.tenants.front().keys = {"other"};
   useTable(without);
-  client.last().answer(500, "oops");
+  client.last().respond(500, "oops");
   BOOST_TEST(client.sent.size() == 1U);
   BOOST_TEST(caller.refusal->status == 401U);
 }
@@ -424,12 +424,12 @@
 // the later deadline, it would still be waiting 7.65 s after the announcement, free to start on
 // version 1.
 BOOST_AUTO_TEST_CASE(RequestSentBeforeTheAnnouncementTimeWasKnownEndsByThatTime) {
-  const auto namedAt = time.now();
+  const auto announcedAt = time.now();
   time.advance(seconds(6));
   tables.confirmed = time.now();
   announceWeights(2);
   auto& onTime = request("once");
-  setAnnouncementTime(2, namedAt);
+  setAnnouncementTime(2, announcedAt);
   time.advance(milliseconds(1550));
   BOOST_TEST(onTime.open());
   time.advance(milliseconds(100));
@@ -455,7 +455,7 @@
     return values.empty() ? "no line" : values.back();
   };
   BOOST_TEST(lastLogged(base::Event::kRelayDispatched, "begin_in_ms").empty());
-  client.last().answer(200, "x");
+  client.last().respond(200, "x");
   announceWeights(2);
   time.advance(milliseconds(6900));
   tables.confirmed = time.now();
@@ -578,13 +578,13 @@
     return std::nullopt;
   }
 
-  void answer(const std::string& replica, const std::string& salt) {
-    const auto question = lastSent<routing::PartQuery>();
+  void replyWithHolder(const std::string& replica, const std::string& salt) {
+    const auto query = lastSent<routing::PartQuery>();
     const auto& home = members.liveMembers().back();
     parts.onPeerMessage(
         {home.id, 1, home.endpoint},
         routing::encode(routing::PartReply{
-            question->nonce, {{base::engineIdOf(replica), routing::cacheScope(salt, "m")}}}));
+            query->nonce, {{base::engineIdOf(replica), routing::cacheScope(salt, "m")}}}));
   }
 
   std::string chosen() const {
@@ -603,26 +603,26 @@
   time.advance(milliseconds(30));
   const auto home = chosen();
   const auto holder = another();
-  client.last().answer(200, "x");
+  client.last().respond(200, "x");
   holders.remove(base::engineIdOf(home));
   time.advance(milliseconds(2000));
   peers.sent.clear();
 
   request("once");
   BOOST_TEST(client.sent.size() == 1U);
-  answer(holder, "w1");
+  replyWithHolder(holder, "w1");
   BOOST_TEST(client.sent.size() == 2U);
   BOOST_TEST((client.last().terms.fetchFrom == replicas.find(holder)->facts().endpoint));
   BOOST_TEST(!lastSent<routing::PartUpdate>().has_value());
-  client.last().answer(200, "x");
+  client.last().respond(200, "x");
   const auto notice = lastSent<routing::PartUpdate>();
   BOOST_TEST((notice && notice->holder.replica == base::engineIdOf(chosen())));
 }
 
 BOOST_FIXTURE_TEST_CASE(PartIsNotFetchedFromAHolderWithOtherWeights, LookupFixture) {
   request("once");
-  answer("m1", "w2");
-  answer("m2", "w2");
+  replyWithHolder("m1", "w2");
+  replyWithHolder("m2", "w2");
   BOOST_TEST(client.sent.size() == 1U);
   BOOST_TEST(!client.last().terms.fetchFrom.has_value());
 }
@@ -657,7 +657,7 @@
 BOOST_FIXTURE_TEST_CASE(RequestIsNotSentIfItsCallerDisconnectsDuringTheLookup, LookupFixture) {
   request("once");
   flow.lock()->onCallerDisconnected();
-  answer("m1", "w1");
+  replyWithHolder("m1", "w1");
   time.advance(milliseconds(50));
   BOOST_TEST(client.sent.empty());
 }
@@ -674,7 +674,7 @@
   BOOST_TEST((refused.refusal->retryAfter > std::chrono::minutes(59)));
   BOOST_TEST(log.count(base::Event::kRequestRefused) == 1U);
   auto& other = request("unsafe", "key", "another body");
-  client.last().answer(200, "done");
+  client.last().respond(200, "done");
   BOOST_TEST(other.body == "done");
 }
 
@@ -706,7 +706,7 @@
   BOOST_REQUIRE(ended.size() == 1U);
   BOOST_TEST(ended[0].instance == client.last().terms.expectedInstance);
   request("unsafe", "key", "two");
-  client.last().answer(200, "done");
+  client.last().respond(200, "done");
   time.advance(seconds(1));
   BOOST_TEST(ended.size() == 1U);
 }
@@ -714,15 +714,15 @@
 BOOST_AUTO_TEST_CASE(OnlyASuccessfulRunClearsTheCrashesOfARequest) {
   quarantineAfter(2, "unsafe");
   request("unsafe");
-  client.last().answer(500, "oops");
+  client.last().respond(500, "oops");
   quarantineAfter(1, "unsafe");
   BOOST_TEST((request("unsafe").refusal->reason.code == base::ResultCode::kRequestQuarantined));
   quarantineAfter(2, "safe");
   request("safe");
-  client.last().answer(200, "done");
+  client.last().respond(200, "done");
   quarantineAfter(2, "safe");
   auto& served = request("safe");
-  client.last().answer(200, "done");
+  client.last().respond(200, "done");
   BOOST_TEST(served.ended);
 }
 
--- a/tests/request/relay_queue_test.cc
+++ b/tests/request/relay_queue_test.cc
@@ -63,7 +63,7 @@
   // The request waits at one of three replicas, whose running requests end one after the other.
   while (client.sent.empty() && !names.empty()) endOne();
   BOOST_REQUIRE(client.sent.size() == 1U);
-  client.last().answer(200, "id: 1\ndata: x\n\n");
+  client.last().respond(200, "id: 1\ndata: x\n\n");
   BOOST_TEST(views.front()->ended);
 }
 
--- a/tests/request/relay_service_test.cc
+++ b/tests/request/relay_service_test.cc
@@ -75,7 +75,7 @@
   BOOST_TEST(after.refusal->status == 503U);
   BOOST_TEST(after.refusal->closeConnection);
   BOOST_TEST((after.refusal->retryAfter > milliseconds(0)));
-  client.last().answer(200, "done");
+  client.last().respond(200, "done");
   BOOST_TEST(before.ended);
 }
 
@@ -87,7 +87,7 @@
   for (int count = 0; count < 200; ++count) {
     request("safe");
     ++sentTo[replicas.find(client.last().terms.expectedInstance)->facts().service];
-    client.last().answer(200, "");
+    client.last().respond(200, "");
   }
   BOOST_TEST(sentTo["app"] == 180);
   BOOST_TEST(sentTo["llm"] == 20);
@@ -158,7 +158,7 @@
   request("safe");
   client.last().breakConnection();
   BOOST_TEST(client.sent.size() == 2U);
-  client.last().answer(200, "done");
+  client.last().respond(200, "done");
   // Each of the two attempts took one of the two tokens in the bucket.
   BOOST_TEST(request("safe").refusal->status == 429U);
 }
@@ -167,7 +167,7 @@
   limitTenant(1'000, 1'000, true);
   auto& large = request("once");
   BOOST_TEST(!large.refusal.has_value());
-  client.last().answer(200, "id: 1\n\n");
+  client.last().respond(200, "id: 1\n\n");
   // A prompt of 1,200 tokens and a response of up to 20 tokens overdrew the bucket of 800 tokens.
   const auto& refused = request("safe").refusal;
   BOOST_TEST(refused->status == 429U);
--- a/tests/request/replica_notices_test.cc
+++ b/tests/request/replica_notices_test.cc
@@ -30,7 +30,7 @@
       request(path);
       if (client.sent.size() == before) continue;
       if (client.last().replica == replica) ++reached;
-      client.last().answer(200, "done");
+      client.last().respond(200, "done");
     }
     return reached;
   }
@@ -61,7 +61,7 @@
     return client.sent[client.sent.size() - 2]->replica;
   };
   const auto first = refused();
-  client.last().answer(200, "done");
+  client.last().respond(200, "done");
   BOOST_TEST(countReaching(first, kManyRequests, "safe") == 0U);
   request("unsafe");
   const auto second = client.last().replica;
@@ -167,7 +167,7 @@
   request("safe");
   const auto resting = client.last().replica;
   client.last().requestBackOff(seconds(3));
-  client.last().answer(200, "done");
+  client.last().respond(200, "done");
   for (int step = 0; step < 29; ++step) {
     BOOST_TEST(countReaching(resting, kManyRequests, "safe") == 0U);
     time.advance(milliseconds(100));
@@ -181,7 +181,7 @@
   request("once");
   const auto resting = client.last().replica;
   client.last().requestBackOff(seconds(3));
-  client.last().answer(200, "done");
+  client.last().respond(200, "done");
   for (int step = 0; step < 29; ++step) {
     BOOST_TEST(countReaching(resting, 1, "once") == 0U);
     time.advance(milliseconds(100));
@@ -244,7 +244,7 @@
   BOOST_TEST(caller.open());
   time.advance(milliseconds(20));
   BOOST_TEST(client.sent.size() == 1U);
-  client.last().answer(200, "done");
+  client.last().respond(200, "done");
   BOOST_TEST(caller.ended);
 }
 
@@ -256,7 +256,7 @@
   BOOST_TEST(client.sent.size() == 1U);
   time.advance(milliseconds(20));
   BOOST_TEST(client.sent.size() == 2U);
-  client.last().answer(200, "done");
+  client.last().respond(200, "done");
   BOOST_TEST(caller.body == "done");
 }
 
@@ -282,11 +282,11 @@
 BOOST_AUTO_TEST_CASE(UnreadableBackOffIsIgnored) {
   request("unsafe");
   const auto replica = replicas.find(client.last().terms.expectedInstance);
-  clients::RelayedAnswer answer;
-  answer.status = 503;
-  answer.notExecuted = true;
-  answer.restUnreadable = true;
-  client.last().handler->onHead(std::move(answer));
+  clients::RelayedAnswer response;
+  response.status = 503;
+  response.notExecuted = true;
+  response.restUnreadable = true;
+  client.last().handler->onHead(std::move(response));
   client.last().handler->onEnd();
   BOOST_TEST(replica->acceptsRequests(time.now()));
   BOOST_TEST((loggedValues(base::Event::kReplicaRests, "why") ==
@@ -311,7 +311,7 @@
   for (int held = 0; held < 6; ++held) request("unsafe");
   time.advance(milliseconds(600));
   BOOST_TEST(client.sent.size() == 1U);
-  client.last().answer(200, "done");
+  client.last().respond(200, "done");
   time.advance(milliseconds(50));
   BOOST_TEST(client.sent.size() == 6U);
 }
@@ -359,13 +359,13 @@
 BOOST_AUTO_TEST_CASE(TooManyRequestsIsNoBackOffButSkipsTheReplicaForAsLong) {
   request("unsafe");
   const auto limited = replicas.find(client.last().terms.expectedInstance);
-  clients::RelayedAnswer answer;
-  answer.status = 429;
-  answer.notExecuted = true;
-  answer.rest = seconds(1);
-  client.last().handler->onHead(std::move(answer));
+  clients::RelayedAnswer response;
+  response.status = 429;
+  response.notExecuted = true;
+  response.rest = seconds(1);
+  client.last().handler->onHead(std::move(response));
   client.last().handler->onEnd();
-  client.last().answer(200, "done");
+  client.last().respond(200, "done");
   time.advance(milliseconds(900));
   BOOST_TEST(countReaching(limited->facts().endpoint, kManyRequests, "safe") == 0U);
   for (const char* name : {"a", "b", "c"})
@@ -379,13 +379,13 @@
     for (std::size_t sent = 0; caller.open() && sent < client.sent.size();
          time.advance(milliseconds(20))) {
       sent = client.sent.size();
-      clients::RelayedAnswer answer;
-      answer.status = 429;
-      answer.notExecuted = true;
-      answer.rateLimit = clients::RateLimitNotice::of(50);
+      clients::RelayedAnswer response;
+      response.status = 429;
+      response.notExecuted = true;
+      response.rateLimit = clients::RateLimitNotice::of(50);
       const auto last = client.sent.back();
       if (!last->open) break;
-      last->handler->onHead(answer);
+      last->handler->onHead(response);
       if (last->open) last->handler->onEnd();
     }
     time.advance(milliseconds(30));
--- a/tests/request/retry_bound_test.cc
+++ b/tests/request/retry_bound_test.cc
@@ -37,14 +37,14 @@
         attempt.breakConnection();
         return;
       case 3:
-        attempt.answer(500, "oops");
+        attempt.respond(500, "oops");
         return;
       case 4:
         time.advance(milliseconds(450));
-        if (attempt.open) attempt.answer(200, "late");
+        if (attempt.open) attempt.respond(200, "late");
         return;
       default:
-        attempt.answer(200, "done");
+        attempt.respond(200, "done");
     }
   }
   std::vector<std::string> loggedCauses() const {
@@ -80,8 +80,8 @@
   for (const char* name : {"d", "e", "f"}) addReplica(name, "app");
   time.advance(milliseconds(50));
   BOOST_REQUIRE(client.sent.size() == 4U);
-  client.sent[2]->answer(200, "done");
-  client.sent[3]->answer(200, "done");
+  client.sent[2]->respond(200, "done");
+  client.sent[3]->respond(200, "done");
 
   time.advance(milliseconds(750));
   breakConnection(requestTwo());
@@ -96,7 +96,7 @@
   client.last().refuseConnection();
   BOOST_REQUIRE(client.sent.size() == 3U);
   BOOST_TEST(retries.use("app", time.now()).sent == 1U);
-  client.last().answer(200, "done");
+  client.last().respond(200, "done");
   BOOST_TEST(retries.use("app", time.now()).sent == 1U);
 }
 
@@ -161,7 +161,7 @@
   request("safe");
   client.last().refuseNotExecuted();
   client.last().refuseConnection();
-  client.last().answer(200, "done");
+  client.last().respond(200, "done");
   BOOST_TEST(loggedCauses() == std::vector<std::string>({"refused", "never_arrived"}),
              boost::test_tools::per_element());
   const auto& counts = outcomes.back().retries;
