--- a/src/routing/cache_index_home.cc
+++ b/src/routing/cache_index_home.cc
@@ -12,7 +12,7 @@
 /// Reports older than this say nothing about load and cache any more.
 constexpr base::Duration kReportLifetime = std::chrono::seconds(5);
 /// An engine without reports for this long is followed by other homes now.
-constexpr base::Duration kFollowedLifetime = std::chrono::seconds(30);
+constexpr base::Duration kTrackingTimeout = std::chrono::seconds(30);
 constexpr double kJitter = 0.2;
 
 bool stillLoaded(const clients::LoadedWeights& before,
@@ -35,114 +35,116 @@
 
 // --- lookups
 
-CacheIndexHome::Followed* CacheIndexHome::find(EngineTag32 engine) {
-  const auto found = followed_.find(engine);
-  return found == followed_.end() ? nullptr : &found->second;
+CacheIndexHome::TrackedEngine* CacheIndexHome::find(ShortEngineId engine) {
+  const auto found = trackedEngines_.find(engine);
+  return found == trackedEngines_.end() ? nullptr : &found->second;
 }
 
-LookupReply CacheIndexHome::answer(base::NodeId asker, const LookupRequest& request) {
+LookupReply CacheIndexHome::handleLookup(base::NodeId requester, const LookupRequest& request) {
   ++counters_.lookups;
   const auto now = environment_.clock.now();
   LookupReply reply;
   reply.lookupId = request.lookupId;
-  reply.sharedBlocks = depthIn(asked_, request.checkpoints, options_.sharedMemory);
-  reply.exportedBlocks = depthIn(exported_, request.checkpoints, options_.exportMemory);
+  reply.recentlyRequestedBlocks =
+      matchedDepth(requested_, request.checkpoints, options_.recentRequestWindow);
+  reply.exportedBlocks = matchedDepth(exported_, request.checkpoints, options_.exportRetention);
   for (const auto engine : request.engines) reply.entries.push_back(entryFor(engine, request));
   for (const auto fingerprint : request.checkpoints.fingerprints) {
-    asked_.insert(fingerprint, stampOf(now));
+    requested_.insert(fingerprint, stampOf(now));
   }
-  lookups_.push_back({asker, request.lookupId, now + options_.lookupMemory, request.checkpoints});
+  lookups_.push_back(
+      {requester, request.lookupId, now + options_.lookupRetention, request.checkpoints});
   return reply;
 }
 
-LookupEntry CacheIndexHome::entryFor(EngineTag32 engine, const LookupRequest& request) {
+LookupEntry CacheIndexHome::entryFor(ShortEngineId engine, const LookupRequest& request) {
   LookupEntry entry;
   entry.engine = engine;
-  Followed* followed = find(engine);
-  if (followed == nullptr) return entry;
-  const EngineState* state = environment_.directory.find(followed->id);
+  TrackedEngine* tracked = find(engine);
+  if (tracked == nullptr) return entry;
+  const EngineState* state = environment_.directory.find(tracked->id);
   const auto now = environment_.clock.now();
-  if (state == nullptr || state->unreachable || now - followed->reportedAt > kReportLifetime)
+  if (state == nullptr || state->unreachable || now - tracked->reportedAt > kReportLifetime)
     return entry;
-  const auto match = followed->index.match(request.checkpoints);
+  const auto match = tracked->index.match(request.checkpoints);
   entry.known = true;
   entry.doubtful = match.doubtful;
   entry.matchedBlocks = match.blocks;
-  entry.tokensAhead = tokensAhead(*followed, request, match.blocks);
-  entry.requests = followed->queue.requests();
+  entry.tokensAhead = tokensAhead(*tracked, request, match.blocks);
+  entry.requests = tracked->queue.requests();
   entry.incarnation = state->incarnation;
   return entry;
 }
 
-std::uint32_t CacheIndexHome::tokensAhead(Followed& followed, const LookupRequest& request,
+std::uint32_t CacheIndexHome::tokensAhead(TrackedEngine& tracked, const LookupRequest& request,
                                           std::uint32_t matchedBlocks) const {
   double tokens =
-      static_cast<double>(followed.queue.tokensAhead(request.priority, environment_.clock.now()));
+      static_cast<double>(tracked.queue.tokensAhead(request.priority, environment_.clock.now()));
   if (request.checkpoints.fingerprints.empty()) return static_cast<std::uint32_t>(tokens);
-  followed.memory.keepLatest(followed.queue.requests());
+  tracked.memory.keepLatest(tracked.queue.requests());
   const auto missing =
-      followed.memory.missingBlocks(footprintOf(request.checkpoints, matchedBlocks));
+      tracked.memory.missingBlocks(footprintOf(request.checkpoints, matchedBlocks));
   if (missing > 0)
     tokens += options_.memoryWaitTokens + options_.memoryWaitTokensPerBlock * missing;
   return static_cast<std::uint32_t>(tokens);
 }
 
-std::uint32_t CacheIndexHome::depthIn(const prefix::BlockTable& table,
-                                      const prefix::Checkpoints& checkpoints,
-                                      base::Duration memory) const {
+std::uint32_t CacheIndexHome::matchedDepth(const prefix::BlockTable& table,
+                                           const prefix::Checkpoints& checkpoints,
+                                           base::Duration retention) const {
   const auto now = stampOf(environment_.clock.now());
   for (std::size_t index = checkpoints.fingerprints.size(); index-- > 0;) {
     const auto stamp = table.find(checkpoints.fingerprints[index]);
     if (!stamp) continue;
     const auto age = kStampUnit * static_cast<prefix::BlockTable::Mark>(now - *stamp);
-    if (age <= memory) return checkpoints.depth(index);
+    if (age <= retention) return checkpoints.depth(index);
   }
   return 0;
 }
 
 void CacheIndexHome::onDispatch(base::NodeId router, const DispatchNotice& notice) {
-  Followed* followed = find(notice.engine);
-  if (followed == nullptr) return;
+  TrackedEngine* tracked = find(notice.engine);
+  if (tracked == nullptr) return;
   const auto now = environment_.clock.now();
-  followed->queue.onDispatched(notice.priority, notice.uncachedTokens, now);
+  tracked->queue.onDispatched(notice.priority, notice.uncachedTokens, now);
   const auto lookup =
       std::find_if(lookups_.begin(), lookups_.end(), [&](const PendingLookup& pending) {
-        return pending.asker == router && pending.lookupId == notice.lookupId;
+        return pending.requester == router && pending.lookupId == notice.lookupId;
       });
   if (lookup == lookups_.end()) return;
-  const auto matched = followed->index.match(lookup->checkpoints).blocks;
-  followed->memory.onDispatched(footprintOf(lookup->checkpoints, matched));
-  followed->index.announce(lookup->checkpoints, now);
+  const auto matched = tracked->index.match(lookup->checkpoints).blocks;
+  tracked->memory.onDispatched(footprintOf(lookup->checkpoints, matched));
+  tracked->index.announce(lookup->checkpoints, now);
 }
 
 // --- reports
 
 void CacheIndexHome::onReport(const EngineState& engine, const clients::EngineReport& report) {
-  const auto tag = shortIdOf(engine.address.id);
+  const auto shortId = shortIdOf(engine.address.id);
   const auto now = environment_.clock.now();
-  auto [position, added] = followed_.try_emplace(
-      tag, Followed{engine.address.id, report.weights, EngineCacheIndex(options_.index),
-                    QueueEstimate(options_.queue), MemoryEstimate{}, now});
-  Followed& followed = position->second;
-  dropOnWeightsChange(followed, engine);
-  followed.reportedAt = now;
-  followed.queue.onReport(report.load, now);
-  followed.memory.setCapacity(report.load.capacityBlocks);
-  noteExports(report);
-  if (followed.index.apply(report, now) || added) return;
+  auto [position, added] = trackedEngines_.try_emplace(
+      shortId, TrackedEngine{engine.address.id, report.weights, EngineCacheIndex(options_.index),
+                             QueueEstimate(options_.queue), MemoryEstimate{}, now});
+  TrackedEngine& tracked = position->second;
+  dropOnWeightsChange(tracked, engine);
+  tracked.reportedAt = now;
+  tracked.queue.onReport(report.load, now);
+  tracked.memory.setCapacity(report.load.capacityBlocks);
+  recordExports(report);
+  if (tracked.index.apply(report, now) || added) return;
   ++counters_.gaps;
   environment_.log.write(base::Event::kCacheEventGap, {{"engine", engine.address.name}});
 }
 
-void CacheIndexHome::dropOnWeightsChange(Followed& followed, const EngineState& engine) {
+void CacheIndexHome::dropOnWeightsChange(TrackedEngine& tracked, const EngineState& engine) {
   const bool removed = std::any_of(
-      followed.weights.begin(), followed.weights.end(),
+      tracked.weights.begin(), tracked.weights.end(),
       [&](const clients::LoadedWeights& before) { return !stillLoaded(before, engine.weights); });
-  followed.weights = engine.weights;
-  if (removed) followed.index.clear();
+  tracked.weights = engine.weights;
+  if (removed) tracked.index.clear();
 }
 
-void CacheIndexHome::noteExports(const clients::EngineReport& report) {
+void CacheIndexHome::recordExports(const clients::EngineReport& report) {
   const auto stamp = stampOf(environment_.clock.now());
   for (const auto& event : report.events) {
     if (event.kind != clients::CacheEventKind::kExported) continue;
@@ -151,14 +153,16 @@
 }
 
 void CacheIndexHome::onRestarted(const EngineState& engine) {
-  Followed* followed = find(shortIdOf(engine.address.id));
-  if (followed == nullptr) return;
-  followed->index.clear();
-  followed->queue.clear();
-  followed->memory.clear();
+  TrackedEngine* tracked = find(shortIdOf(engine.address.id));
+  if (tracked == nullptr) return;
+  tracked->index.clear();
+  tracked->queue.clear();
+  tracked->memory.clear();
 }
 
-void CacheIndexHome::onForgotten(base::EngineId engine) { followed_.erase(shortIdOf(engine)); }
+void CacheIndexHome::onForgotten(base::EngineId engine) {
+  trackedEngines_.erase(shortIdOf(engine));
+}
 
 // --- maintenance
 
@@ -173,35 +177,35 @@
 
 void CacheIndexHome::maintain() {
   const auto now = environment_.clock.now();
-  std::erase_if(followed_, [&](const auto& entry) {
-    return now - entry.second.reportedAt > kFollowedLifetime;
+  std::erase_if(trackedEngines_, [&](const auto& entry) {
+    return now - entry.second.reportedAt > kTrackingTimeout;
   });
-  for (auto& [tag, followed] : followed_) followed.index.expire(now);
-  expireMemories(now);
+  for (auto& [shortId, tracked] : trackedEngines_) tracked.index.expire(now);
+  expireTables(now);
   if (!resyncOutstanding_ && now >= nextResync_) startResync();
 }
 
-void CacheIndexHome::expireMemories(base::TimePoint now) {
+void CacheIndexHome::expireTables(base::TimePoint now) {
   while (!lookups_.empty() && lookups_.front().expiry <= now) lookups_.pop_front();
   const auto stamp = stampOf(now);
-  const auto expire = [&](prefix::BlockTable& table, base::Duration memory) {
+  const auto expire = [&](prefix::BlockTable& table, base::Duration retention) {
     table.eraseIf([&](prefix::BlockTable::Mark mark) {
-      return kStampUnit * static_cast<prefix::BlockTable::Mark>(stamp - mark) > memory;
+      return kStampUnit * static_cast<prefix::BlockTable::Mark>(stamp - mark) > retention;
     });
   };
-  expire(asked_, options_.sharedMemory);
-  expire(exported_, options_.exportMemory);
+  expire(requested_, options_.recentRequestWindow);
+  expire(exported_, options_.exportRetention);
 }
 
 void CacheIndexHome::startResync() {
-  for (auto& [tag, followed] : followed_) {
-    const EngineState* state = environment_.directory.find(followed.id);
-    if (!followed.index.resyncDue() || state == nullptr || state->unreachable) continue;
+  for (auto& [shortId, tracked] : trackedEngines_) {
+    const EngineState* state = environment_.directory.find(tracked.id);
+    if (!tracked.index.resyncDue() || state == nullptr || state->unreachable) continue;
     // After a start a node takes itself for the home of engines that others turn out to be.
-    if (!environment_.directory.polls(followed.id)) continue;
+    if (!environment_.directory.polls(tracked.id)) continue;
     resyncOutstanding_ = true;
     environment_.engines.snapshot(state->address,
-                                  [this, engine = tag, alive = std::weak_ptr(lifetime_)](
+                                  [this, engine = shortId, alive = std::weak_ptr(lifetime_)](
                                       const std::optional<clients::EngineReport>& snapshot) {
                                     if (!alive.expired()) onSnapshot(engine, snapshot);
                                   });
@@ -209,20 +213,20 @@
   }
 }
 
-void CacheIndexHome::onSnapshot(EngineTag32 engine,
+void CacheIndexHome::onSnapshot(ShortEngineId engine,
                                 const std::optional<clients::EngineReport>& snapshot) {
   resyncOutstanding_ = false;
   const auto now = environment_.clock.now();
   nextResync_ = now + options_.maintenanceInterval;
-  Followed* followed = find(engine);
-  if (!snapshot || followed == nullptr) return;
+  TrackedEngine* tracked = find(engine);
+  if (!snapshot || tracked == nullptr) return;
   const auto bytes = snapshot->events.size() * kBytesPerSnapshotBlock;
   const double pause = static_cast<double>(bytes) / options_.resyncBytesPerSecond;
   nextResync_ =
       now + std::chrono::duration_cast<base::Duration>(std::chrono::duration<double>(pause));
-  const EngineState* state = environment_.directory.find(followed->id);
+  const EngineState* state = environment_.directory.find(tracked->id);
   if (state == nullptr || state->incarnation != snapshot->incarnation) return;
-  followed->index.resync(*snapshot);
+  tracked->index.resync(*snapshot);
   ++counters_.resyncs;
   counters_.resyncBytes += bytes;
   environment_.log.write(base::Event::kCacheResynced, {{"engine", state->address.name}});
@@ -234,13 +238,13 @@
 
 std::size_t CacheIndexHome::entries() const {
   std::size_t count = 0;
-  for (const auto& [tag, followed] : followed_) count += followed.index.entries();
+  for (const auto& [shortId, tracked] : trackedEngines_) count += tracked.index.entries();
   return count;
 }
 
 std::size_t CacheIndexHome::memoryBytes() const {
-  std::size_t bytes = asked_.memoryBytes() + exported_.memoryBytes();
-  for (const auto& [tag, followed] : followed_) bytes += followed.index.memoryBytes();
+  std::size_t bytes = requested_.memoryBytes() + exported_.memoryBytes();
+  for (const auto& [shortId, tracked] : trackedEngines_) bytes += tracked.index.memoryBytes();
   return bytes;
 }
 
--- a/src/routing/cache_index_home.h
+++ b/src/routing/cache_index_home.h
@@ -35,11 +35,11 @@
   /// Mean rate of snapshot bytes that this node asks for.
   double resyncBytesPerSecond = 32'768;
   /// A lookup waits this long for the announcement that belongs to it.
-  base::Duration lookupMemory = std::chrono::seconds(2);
+  base::Duration lookupRetention = std::chrono::seconds(2);
   /// How long a prefix counts as lately asked for.
-  base::Duration sharedMemory = std::chrono::seconds(60);
+  base::Duration recentRequestWindow = std::chrono::seconds(60);
   /// How long an export is believed to be in the store.
-  base::Duration exportMemory = std::chrono::seconds(60);
+  base::Duration exportRetention = std::chrono::seconds(60);
 };
 
 struct CacheIndexHomeEnvironment {
@@ -69,7 +69,7 @@
   void start();
 
   /// Answers for the engines that this node follows; others are marked as not known.
-  LookupReply answer(base::NodeId asker, const LookupRequest& request);
+  LookupReply handleLookup(base::NodeId requester, const LookupRequest& request);
   void onDispatch(base::NodeId router, const DispatchNotice& notice);
 
   void onReport(const EngineState& engine, const clients::EngineReport& report) override;
@@ -81,7 +81,7 @@
   std::size_t memoryBytes() const;
 
  private:
-  struct Followed {
+  struct TrackedEngine {
     base::EngineId id;
     std::vector<clients::LoadedWeights> weights;
     EngineCacheIndex index;
@@ -90,34 +90,35 @@
     base::TimePoint reportedAt{};
   };
   struct PendingLookup {
-    base::NodeId asker;
+    base::NodeId requester;
     std::uint64_t lookupId = 0;
     base::TimePoint expiry;
     prefix::Checkpoints checkpoints;
   };
 
-  Followed* find(EngineTag32 engine);
+  TrackedEngine* find(ShortEngineId engine);
   /// Tokens computed ahead, and the wait for memory in the same unit.
-  std::uint32_t tokensAhead(Followed& followed, const LookupRequest& request,
+  std::uint32_t tokensAhead(TrackedEngine& tracked, const LookupRequest& request,
                             std::uint32_t matchedBlocks) const;
-  LookupEntry entryFor(EngineTag32 engine, const LookupRequest& request);
-  void dropOnWeightsChange(Followed& followed, const EngineState& engine);
-  void noteExports(const clients::EngineReport& report);
-  std::uint32_t depthIn(const prefix::BlockTable& table, const prefix::Checkpoints& checkpoints,
-                        base::Duration memory) const;
+  LookupEntry entryFor(ShortEngineId engine, const LookupRequest& request);
+  void dropOnWeightsChange(TrackedEngine& tracked, const EngineState& engine);
+  void recordExports(const clients::EngineReport& report);
+  std::uint32_t matchedDepth(const prefix::BlockTable& table,
+                             const prefix::Checkpoints& checkpoints,
+                             base::Duration retention) const;
   void scheduleMaintenance();
   void maintain();
-  void expireMemories(base::TimePoint now);
+  void expireTables(base::TimePoint now);
   void startResync();
-  void onSnapshot(EngineTag32 engine, const std::optional<clients::EngineReport>& snapshot);
+  void onSnapshot(ShortEngineId engine, const std::optional<clients::EngineReport>& snapshot);
   prefix::BlockTable::Mark stampOf(base::TimePoint time) const;
 
   CacheIndexHomeOptions options_;
   CacheIndexHomeEnvironment environment_;
-  std::map<EngineTag32, Followed> followed_;
+  std::map<ShortEngineId, TrackedEngine> trackedEngines_;
   std::deque<PendingLookup> lookups_;
   /// Checkpoints of lookups, and of exports, stamped with their time.
-  prefix::BlockTable asked_;
+  prefix::BlockTable requested_;
   prefix::BlockTable exported_;
   bool resyncOutstanding_ = false;
   base::TimePoint nextResync_{};
--- a/src/routing/cache_lookup.h
+++ b/src/routing/cache_lookup.h
@@ -28,7 +28,7 @@
 struct LookupResult {
   std::uint64_t lookupId = 0;
   /// Leading blocks that other requests asked for lately.
-  std::uint32_t sharedBlocks = 0;
+  std::uint32_t recentlyRequestedBlocks = 0;
   /// Leading blocks believed to be in the store of kept KV cache.
   std::uint32_t exportedBlocks = 0;
   /// One element for each engine asked about, in that order.
--- a/src/routing/cache_lookup_client.cc
+++ b/src/routing/cache_lookup_client.cc
@@ -17,27 +17,27 @@
 
 // --- asking
 
-bool CacheLookupClient::isAvoided(base::NodeId home) const {
-  const auto found = avoidedUntil_.find(home);
-  return found != avoidedUntil_.end() && environment_.clock.now() < found->second;
+bool CacheLookupClient::isBackingOff(base::NodeId home) const {
+  const auto found = backOffUntil_.find(home);
+  return found != backOffUntil_.end() && environment_.clock.now() < found->second;
 }
 
-std::optional<base::NodeId> CacheLookupClient::homeToAsk(base::EngineId engine) const {
-  if (options_.ownIndexOnly) return environment_.members.self().id;
+std::optional<base::NodeId> CacheLookupClient::homeToQuery(base::EngineId engine) const {
+  if (options_.localIndexOnly) return environment_.members.self().id;
   const auto homes = environment_.directory.homes(engine);
   for (const auto home : homes) {
-    if (!isAvoided(home)) return home;
+    if (!isBackingOff(home)) return home;
   }
   return std::nullopt;
 }
 
-CacheLookupClient::HomePlan CacheLookupClient::planHomes(
+CacheLookupClient::EnginesByHome CacheLookupClient::groupByHome(
     const std::vector<base::EngineId>& engines) const {
-  HomePlan plan;
+  EnginesByHome grouped;
   for (const auto engine : engines) {
-    if (const auto home = homeToAsk(engine)) plan[*home].push_back(shortIdOf(engine));
+    if (const auto home = homeToQuery(engine)) grouped[*home].push_back(shortIdOf(engine));
   }
-  return plan;
+  return grouped;
 }
 
 void CacheLookupClient::lookup(base::PriorityClass priority,
@@ -49,28 +49,28 @@
   pending.result.lookupId = lookupId;
   pending.callback = std::move(callback);
   for (const auto engine : engines) {
-    EngineLookupResult knowledge;
-    knowledge.engine = engine;
-    pending.result.engines.push_back(knowledge);
+    EngineLookupResult engineResult;
+    engineResult.engine = engine;
+    pending.result.engines.push_back(engineResult);
   }
   LookupRequest request;
   request.lookupId = lookupId;
   request.priority = priority;
   request.checkpoints = checkpoints;
   const auto self = environment_.members.self().id;
-  for (auto& [home, tags] : planHomes(engines)) {
-    request.engines = std::move(tags);
+  for (auto& [home, shortIds] : groupByHome(engines)) {
+    request.engines = std::move(shortIds);
     if (home == self) {
-      merge(pending.result, environment_.home.answer(self, request));
+      merge(pending.result, environment_.home.handleLookup(self, request));
       continue;
     }
     const membership::Member* member = environment_.members.find(home);
     std::string payload = encode(request);
-    if (member == nullptr || !takeBudget(payload.size())) continue;
+    if (member == nullptr || !consumeBudget(payload.size())) continue;
     send(*member, std::move(payload));
-    pending.asked.push_back(home);
+    pending.awaitedHomes.push_back(home);
   }
-  if (pending.asked.empty()) {
+  if (pending.awaitedHomes.empty()) {
     pending.callback(std::move(pending.result));
     return;
   }
@@ -86,14 +86,14 @@
   const DispatchNotice notice{lookupId, shortIdOf(engine), priority, uncachedTokens};
   const auto self = environment_.members.self().id;
   environment_.home.onDispatch(self, notice);
-  const auto home = homeToAsk(engine);
+  const auto home = homeToQuery(engine);
   if (!home || *home == self) return;
   const membership::Member* member = environment_.members.find(*home);
   std::string payload = encode(notice);
-  if (member != nullptr && takeBudget(payload.size())) send(*member, std::move(payload));
+  if (member != nullptr && consumeBudget(payload.size())) send(*member, std::move(payload));
 }
 
-bool CacheLookupClient::takeBudget(std::size_t bytes) {
+bool CacheLookupClient::consumeBudget(std::size_t bytes) {
   const auto now = environment_.clock.now();
   budget_ += options_.bytesPerSecond * base::toSeconds(now - budgetAt_);
   budget_ = std::min(budget_, options_.burstBytes);
@@ -122,7 +122,7 @@
     return;
   }
   if (const auto* request = std::get_if<LookupRequest>(&*message)) {
-    std::string reply = encode(environment_.home.answer(sender.node, *request));
+    std::string reply = encode(environment_.home.handleLookup(sender.node, *request));
     ++counters_.messagesSent;
     counters_.bytesSent += reply.size();
     environment_.peers.send(sender.endpoint, base::Channel::kCacheIndex, std::move(reply));
@@ -134,30 +134,31 @@
 }
 
 void CacheLookupClient::onReply(base::NodeId home, const LookupReply& reply) {
-  avoidedUntil_.erase(home);
+  backOffUntil_.erase(home);
   const auto found = pending_.find(reply.lookupId);
   if (found == pending_.end()) return;
   Pending& pending = found->second;
-  const auto asked = std::find(pending.asked.begin(), pending.asked.end(), home);
-  if (asked == pending.asked.end()) return;
-  pending.asked.erase(asked);
+  const auto awaited = std::find(pending.awaitedHomes.begin(), pending.awaitedHomes.end(), home);
+  if (awaited == pending.awaitedHomes.end()) return;
+  pending.awaitedHomes.erase(awaited);
   merge(pending.result, reply);
-  if (pending.asked.empty()) finish(reply.lookupId);
+  if (pending.awaitedHomes.empty()) finish(reply.lookupId);
 }
 
 void CacheLookupClient::merge(LookupResult& result, const LookupReply& reply) const {
-  result.sharedBlocks = std::max(result.sharedBlocks, reply.sharedBlocks);
+  result.recentlyRequestedBlocks =
+      std::max(result.recentlyRequestedBlocks, reply.recentlyRequestedBlocks);
   result.exportedBlocks = std::max(result.exportedBlocks, reply.exportedBlocks);
   for (const auto& entry : reply.entries) {
     if (!entry.known) continue;
-    for (auto& knowledge : result.engines) {
-      if (shortIdOf(knowledge.engine) != entry.engine) continue;
-      knowledge.known = true;
-      knowledge.doubtful = entry.doubtful;
-      knowledge.matchedBlocks = entry.matchedBlocks;
-      knowledge.tokensAhead = entry.tokensAhead;
-      knowledge.requests = entry.requests;
-      knowledge.incarnation = entry.incarnation;
+    for (auto& engineResult : result.engines) {
+      if (shortIdOf(engineResult.engine) != entry.engine) continue;
+      engineResult.known = true;
+      engineResult.doubtful = entry.doubtful;
+      engineResult.matchedBlocks = entry.matchedBlocks;
+      engineResult.tokensAhead = entry.tokensAhead;
+      engineResult.requests = entry.requests;
+      engineResult.incarnation = entry.incarnation;
     }
   }
 }
@@ -166,8 +167,8 @@
   const auto found = pending_.find(lookupId);
   if (found == pending_.end()) return;
   ++counters_.timeouts;
-  for (const auto home : found->second.asked) {
-    avoidedUntil_[home] = environment_.clock.now() + options_.avoidFor;
+  for (const auto home : found->second.awaitedHomes) {
+    backOffUntil_[home] = environment_.clock.now() + options_.unresponsiveHomeBackoff;
   }
   finish(lookupId);
 }
--- a/src/routing/cache_lookup_client.h
+++ b/src/routing/cache_lookup_client.h
@@ -24,11 +24,11 @@
 struct CacheLookupOptions {
   /// Answer everything from this node's own index and announce to no other node: the way of
   /// policies that keep the whole index on each node.
-  bool ownIndexOnly = false;
+  bool localIndexOnly = false;
   /// Longest wait for the homes' answers.
   base::Duration timeout = std::chrono::milliseconds(15);
   /// A home that did not answer is passed over for this long.
-  base::Duration avoidFor = std::chrono::seconds(1);
+  base::Duration unresponsiveHomeBackoff = std::chrono::seconds(1);
   /// Bytes of lookups and announcements that this node sends a second on average, and at once.
   double bytesPerSecond = 14'000;
   double burstBytes = 28'000;
@@ -72,28 +72,28 @@
  private:
   struct Pending {
     LookupResult result;
-    std::vector<base::NodeId> asked;
+    std::vector<base::NodeId> awaitedHomes;
     base::TimerId timer = 0;
     LookupCallback callback;
   };
   /// Engines grouped by the home that is asked about them.
-  using HomePlan = std::map<base::NodeId, std::vector<EngineTag32>>;
+  using EnginesByHome = std::map<base::NodeId, std::vector<ShortEngineId>>;
 
-  HomePlan planHomes(const std::vector<base::EngineId>& engines) const;
-  std::optional<base::NodeId> homeToAsk(base::EngineId engine) const;
-  bool isAvoided(base::NodeId home) const;
+  EnginesByHome groupByHome(const std::vector<base::EngineId>& engines) const;
+  std::optional<base::NodeId> homeToQuery(base::EngineId engine) const;
+  bool isBackingOff(base::NodeId home) const;
   void onReply(base::NodeId home, const LookupReply& reply);
   void merge(LookupResult& result, const LookupReply& reply) const;
   void onTimeout(std::uint64_t lookupId);
   void finish(std::uint64_t lookupId);
-  bool takeBudget(std::size_t bytes);
+  bool consumeBudget(std::size_t bytes);
   void send(const membership::Member& destination, std::string payload);
 
   CacheLookupOptions options_;
   CacheLookupEnvironment environment_;
   std::uint64_t lastLookupId_ = 0;
   std::map<std::uint64_t, Pending> pending_;
-  std::map<base::NodeId, base::TimePoint> avoidedUntil_;
+  std::map<base::NodeId, base::TimePoint> backOffUntil_;
   double budget_;
   base::TimePoint budgetAt_;
   CacheLookupCounters counters_;
--- a/src/routing/cache_messages.cc
+++ b/src/routing/cache_messages.cc
@@ -88,7 +88,7 @@
 std::optional<CacheMessage> readReply(base::Reader& reader) {
   LookupReply reply;
   reply.lookupId = reader.unsignedInteger();
-  reply.sharedBlocks = readWord(reader);
+  reply.recentlyRequestedBlocks = readWord(reader);
   reply.exportedBlocks = readWord(reader);
   const std::uint32_t fields = reader.beginArray();
   for (std::uint32_t read = 0; read < fields && reader.ok(); read += kEntryFields) {
@@ -124,7 +124,7 @@
 std::string encode(const LookupReply& reply) {
   base::Writer writer;
   begin(writer, kReplyFields, MessageType::kLookupReply).unsignedInteger(reply.lookupId);
-  writer.unsignedInteger(reply.sharedBlocks).unsignedInteger(reply.exportedBlocks);
+  writer.unsignedInteger(reply.recentlyRequestedBlocks).unsignedInteger(reply.exportedBlocks);
   writer.array(static_cast<std::uint32_t>(reply.entries.size()) * kEntryFields);
   for (const auto& entry : reply.entries) {
     const std::uint64_t flags =
--- a/src/routing/cache_messages.h
+++ b/src/routing/cache_messages.h
@@ -18,9 +18,9 @@
 namespace covewing::routing {
 
 /// Short form of an engine's id on this channel.
-using EngineTag32 = std::uint32_t;
-constexpr EngineTag32 shortIdOf(base::EngineId engine) {
-  return static_cast<EngineTag32>(engine.value >> 32U);
+using ShortEngineId = std::uint32_t;
+constexpr ShortEngineId shortIdOf(base::EngineId engine) {
+  return static_cast<ShortEngineId>(engine.value >> 32U);
 }
 
 /// What a home knows of some engines and one prompt.
@@ -28,12 +28,12 @@
   /// Chosen by the router; the answer and the announcement carry it.
   std::uint64_t lookupId = 0;
   base::PriorityClass priority = base::PriorityClass::kStandard;
-  std::vector<EngineTag32> engines;
+  std::vector<ShortEngineId> engines;
   prefix::Checkpoints checkpoints;
 };
 
 struct LookupEntry {
-  EngineTag32 engine = 0;
+  ShortEngineId engine = 0;
   /// The home follows this engine and it answers; nothing else counts when false.
   bool known = false;
   bool doubtful = false;
@@ -48,7 +48,7 @@
 struct LookupReply {
   std::uint64_t lookupId = 0;
   /// Leading blocks that other requests asked for lately: a prefix worth keeping.
-  std::uint32_t sharedBlocks = 0;
+  std::uint32_t recentlyRequestedBlocks = 0;
   /// Leading blocks believed to be in the store of kept KV cache.
   std::uint32_t exportedBlocks = 0;
   std::vector<LookupEntry> entries;
@@ -58,7 +58,7 @@
 /// tokens are queued there.
 struct DispatchNotice {
   std::uint64_t lookupId = 0;
-  EngineTag32 engine = 0;
+  ShortEngineId engine = 0;
   base::PriorityClass priority = base::PriorityClass::kStandard;
   std::uint32_t uncachedTokens = 0;
 };
--- a/src/routing/cache_stores.cc
+++ b/src/routing/cache_stores.cc
@@ -16,9 +16,9 @@
 
 bool CacheStoreState::available() const {
   if (localAvailability) return *localAvailability;
-  const auto yes =
+  const auto availableReports =
       std::ranges::count_if(reportedAvailability, [](const auto& entry) { return entry.second; });
-  return 2 * static_cast<std::size_t>(yes) > reportedAvailability.size();
+  return 2 * static_cast<std::size_t>(availableReports) > reportedAvailability.size();
 }
 
 void CacheStores::update(const config::RouteTable& table) {
@@ -48,11 +48,11 @@
   return found == stores_.end() ? nullptr : &*found;
 }
 
-void CacheStores::setLocalAvailability(std::string_view name, bool answered) {
+void CacheStores::setLocalAvailability(std::string_view name, bool available) {
   auto* store = find(name);
-  if (store == nullptr || store->localAvailability == answered) return;
-  store->localAvailability = answered;
-  if (listener_) listener_(store->name, answered);
+  if (store == nullptr || store->localAvailability == available) return;
+  store->localAvailability = available;
+  if (listener_) listener_(store->name, available);
 }
 
 void CacheStores::clearLocalAvailability(std::string_view name) {
@@ -60,8 +60,8 @@
 }
 
 void CacheStores::onReportedAvailability(std::string_view name, std::string_view node,
-                                         bool answered) {
-  if (auto* store = find(name)) store->reportedAvailability[std::string{node}] = answered;
+                                         bool available) {
+  if (auto* store = find(name)) store->reportedAvailability[std::string{node}] = available;
 }
 
 const CacheStoreState* CacheStores::choose(std::uint64_t part) const {
--- a/src/routing/cache_stores.h
+++ b/src/routing/cache_stores.h
@@ -38,15 +38,15 @@
   const std::vector<CacheStoreState>& all() const { return stores_; }
   const CacheStoreState* find(std::string_view name) const;
   /// What this node's own watch sees. The listener is told when it changes.
-  void setLocalAvailability(std::string_view name, bool answered);
+  void setLocalAvailability(std::string_view name, bool available);
   /// This node watches the store no longer.
   void clearLocalAvailability(std::string_view name);
   void onLocalAvailabilityChanged(
-      std::function<void(const std::string& name, bool answered)> listener) {
+      std::function<void(const std::string& name, bool available)> listener) {
     listener_ = std::move(listener);
   }
   /// Another node says whether the store answers it.
-  void onReportedAvailability(std::string_view name, std::string_view node, bool answered);
+  void onReportedAvailability(std::string_view name, std::string_view node, bool available);
   /// The available store of a part; null when none is available.
   const CacheStoreState* choose(std::uint64_t part) const;
 
--- a/src/routing/cache_watch.cc
+++ b/src/routing/cache_watch.cc
@@ -21,7 +21,7 @@
     : options_(options),
       environment_(environment),
       homes_(environment.members),
-      limit_(std::move(limit)) {}
+      watcherLimit_(std::move(limit)) {}
 
 CacheWatch::~CacheWatch() {
   environment_.timers.cancel(reviewTimer_);
@@ -35,45 +35,45 @@
   return record ? record->notices().rateLimit().perSecond() : std::nullopt;
 }
 
-base::Duration CacheWatch::pauseFor(std::optional<double> rateLimit) const {
-  if (!rateLimit) return options_.pause;
-  return std::clamp(RatePacer::intervalOf(rateLimit) * options_.limitedIntervals,
-                    options_.leastLimitedPause, options_.longestLimitedPause);
+base::Duration CacheWatch::delayFor(std::optional<double> rateLimit) const {
+  if (!rateLimit) return options_.pollDelay;
+  return std::clamp(RatePacer::intervalOf(rateLimit) * options_.rateLimitIntervals,
+                    options_.minimumRateLimitedDelay, options_.maximumRateLimitedDelay);
 }
 
-void CacheWatch::hastenUnlimited() {
+void CacheWatch::pollNoLongerLimited() {
   for (auto& [name, watch] : watches_) {
-    if (!watch.limited || rateLimitOf(name)) continue;
-    watch.limited = false;
+    if (!watch.rateLimited || rateLimitOf(name)) continue;
+    watch.rateLimited = false;
     environment_.timers.cancel(watch.timer);
-    poll(name, watch.number);
+    poll(name, watch.id);
   }
 }
 
-CacheWatch::Wanted CacheWatch::wanted() const {
-  Wanted wanted;
+CacheWatch::Targets CacheWatch::selectTargets() const {
+  Targets targets;
   for (const auto& [instance, record] : environment_.replicas.all()) {
     const auto& facts = record->facts();
     // What lists no model keeps no cache of prompts.
     if (facts.models.empty()) continue;
-    const auto limit = limit_(facts.service);
+    const auto limit = watcherLimit_(facts.service);
     const bool watches =
         rateLimitOf(instance)
             ? homes_.isAmongFirst(base::engineIdOf(instance), facts.zone, 1) && limit > 0
-            : isWatcher(instance, facts.zone, limit);
-    if (watches) wanted.emplace(instance, Target{facts.endpoint, facts.zone, limit});
+            : shouldWatch(instance, facts.zone, limit);
+    if (watches) targets.emplace(instance, Target{facts.endpoint, facts.zone, limit});
   }
   for (const auto& store : environment_.stores.all()) {
-    if (isWatcher(store.name, {}, store.eventWatchers))
-      wanted.emplace(store.name, Target{store.endpoint, {}, store.eventWatchers});
+    if (shouldWatch(store.name, {}, store.eventWatchers))
+      targets.emplace(store.name, Target{store.endpoint, {}, store.eventWatchers});
   }
-  return wanted;
+  return targets;
 }
 
 void CacheWatch::review() {
-  const auto now = settled(wanted());
+  const auto stable = stableTargets(selectTargets());
   for (auto watch = watches_.begin(); watch != watches_.end();) {
-    if (now.contains(watch->first)) {
+    if (stable.contains(watch->first)) {
       ++watch;
       continue;
     }
@@ -81,79 +81,79 @@
     environment_.stores.clearLocalAvailability(watch->first);
     watch = watches_.erase(watch);
   }
-  hastenUnlimited();
-  for (const auto& [name, target] : now) {
+  pollNoLongerLimited();
+  for (const auto& [name, target] : stable) {
     const auto [watch, added] = watches_.try_emplace(name);
     if (!added) continue;
-    watch->second.number = ++lastNumber_;
+    watch->second.id = ++lastWatchId_;
     watch->second.endpoint = target.endpoint;
     watch->second.zone = target.zone;
     watch->second.limit = target.limit;
-    poll(name, watch->second.number);
+    poll(name, watch->second.id);
   }
-  reviewTimer_ = environment_.timers.schedule(options_.review, [this] { review(); });
+  reviewTimer_ = environment_.timers.schedule(options_.reviewInterval, [this] { review(); });
 }
 
-bool CacheWatch::isWatcher(const std::string& name, std::string_view zone,
-                           std::uint32_t limit) const {
+bool CacheWatch::shouldWatch(const std::string& name, std::string_view zone,
+                             std::uint32_t limit) const {
   if (environment_.members.liveMembers().size() <= limit) return true;
-  const auto count = std::min(limit, options_.watchersOfEach);
+  const auto count = std::min(limit, options_.watchersPerTarget);
   return homes_.isAmongFirst(base::engineIdOf(name), zone, count);
 }
 
-CacheWatch::Wanted CacheWatch::settled(const Wanted& wanted) {
+CacheWatch::Targets CacheWatch::stableTargets(const Targets& targets) {
   const auto now = environment_.clock.now();
-  std::erase_if(inLineSince_, [&](const auto& entry) { return !wanted.contains(entry.first); });
-  Wanted settled;
-  for (const auto& [name, target] : wanted) {
-    const auto since = inLineSince_.try_emplace(name, now).first->second;
-    if (now - since >= options_.settle) settled.emplace(name, target);
+  std::erase_if(eligibleSince_, [&](const auto& entry) { return !targets.contains(entry.first); });
+  Targets stable;
+  for (const auto& [name, target] : targets) {
+    const auto since = eligibleSince_.try_emplace(name, now).first->second;
+    if (now - since >= options_.eligibilityDelay) stable.emplace(name, target);
   }
-  return settled;
+  return stable;
 }
 
-CacheWatch::Watch* CacheWatch::find(const std::string& name, std::uint64_t number) {
+CacheWatch::Watch* CacheWatch::find(const std::string& name, std::uint64_t watchId) {
   const auto found = watches_.find(name);
-  return found == watches_.end() || found->second.number != number ? nullptr : &found->second;
+  return found == watches_.end() || found->second.id != watchId ? nullptr : &found->second;
 }
 
 void CacheWatch::schedule(const std::string& name, Watch& watch, base::Duration delay) {
   watch.timer =
       environment_.timers.schedule(environment_.random.jittered(delay, kJitter),
-                                   [this, name, number = watch.number] { poll(name, number); });
+                                   [this, name, watchId = watch.id] { poll(name, watchId); });
 }
 
-void CacheWatch::poll(const std::string& name, std::uint64_t number) {
-  const Watch* watch = find(name, number);
+void CacheWatch::poll(const std::string& name, std::uint64_t watchId) {
+  const Watch* watch = find(name, watchId);
   if (watch == nullptr) return;
-  if (limitedCall_ && rateLimitOf(name)) limitedCall_(*environment_.replicas.find(name));
-  const auto askedAt = environment_.clock.now();
-  environment_.feed.poll(watch->endpoint, watch->since, options_.wait,
-                         [this, name, number, askedAt,
+  if (pollListener_ && rateLimitOf(name)) pollListener_(*environment_.replicas.find(name));
+  const auto sentAt = environment_.clock.now();
+  environment_.feed.poll(watch->endpoint, watch->since, options_.longPollTimeout,
+                         [this, name, watchId, sentAt,
                           alive = std::weak_ptr(lifetime_)](const clients::CacheFeedReply& reply) {
                            if (alive.expired()) return;
                            if (const auto replica = environment_.replicas.find(name))
-                             learnNotices(*replica, askedAt, reply);
-                           if (Watch* current = find(name, number)) onReply(name, *current, reply);
+                             recordNotices(*replica, sentAt, reply);
+                           if (Watch* current = find(name, watchId)) onReply(name, *current, reply);
                          });
 }
 
-void CacheWatch::learnNotices(ReplicaRecord& replica, base::TimePoint askedAt,
-                              const clients::CacheFeedReply& reply) const {
+void CacheWatch::recordNotices(ReplicaRecord& replica, base::TimePoint sentAt,
+                               const clients::CacheFeedReply& reply) const {
   const NoticeSource source{"cache events", 0, {}};
   if (reply.leaving) recordLeaving(replica, environment_.log, source);
-  recordRateLimit(replica, environment_.log, {reply.rateLimit, askedAt, environment_.clock.now()},
+  recordRateLimit(replica, environment_.log, {reply.rateLimit, sentAt, environment_.clock.now()},
                   source);
 }
 
 void CacheWatch::onReply(const std::string& name, Watch& watch,
                          const clients::CacheFeedReply& reply) {
   const auto rateLimit = rateLimitOf(name);
-  const auto pause = pauseFor(rateLimit);
-  watch.limited = rateLimit.has_value();
+  const auto delay = delayFor(rateLimit);
+  watch.rateLimited = rateLimit.has_value();
   environment_.stores.setLocalAvailability(name, reply.status == clients::CacheFeedStatus::kOk);
   if (reply.status != clients::CacheFeedStatus::kOk) {
-    schedule(name, watch, std::max(options_.backoff, pause));
+    schedule(name, watch, std::max(options_.backoff, delay));
     return;
   }
   const auto holder = base::engineIdOf(name);
@@ -161,25 +161,25 @@
   if (restarted || reply.lost) environment_.holders.remove(holder);
   watch.epoch = reply.epoch;
   watch.since = reply.next;
-  takeEvents(name, watch, reply);
-  schedule(name, watch, pause);
+  applyEvents(name, watch, reply);
+  schedule(name, watch, delay);
 }
 
-void CacheWatch::takeEvents(const std::string& name, const Watch& watch,
-                            const clients::CacheFeedReply& reply) {
+void CacheWatch::applyEvents(const std::string& name, const Watch& watch,
+                             const clients::CacheFeedReply& reply) {
   const auto holder = base::engineIdOf(name);
   const bool allWatch = environment_.members.liveMembers().size() <= watch.limit;
-  const bool tells = changed_ && !allWatch && homes_.isAmongFirst(holder, watch.zone, 1);
+  const bool notifies = changeListener_ && !allWatch && homes_.isAmongFirst(holder, watch.zone, 1);
   for (const auto& event : reply.events) {
     CacheChange change;
     change.holder = holder;
     change.scope = cacheScope(event.salt, event.model);
     change.part = prefix::partIdOf(event.part);
     change.currentTokens = event.tokens;
-    if (tells)
+    if (notifies)
       change.previousTokens = environment_.holders.tokensOf(holder, change.scope, change.part);
     environment_.holders.add(holder, change.scope, change.part, event.tokens);
-    if (tells) changed_(change);
+    if (notifies) changeListener_(change);
   }
 }
 
--- a/src/routing/cache_watch.h
+++ b/src/routing/cache_watch.h
@@ -34,24 +34,24 @@
 
 struct CacheWatchOptions {
   /// How long a replica may hold a call without events.
-  base::Duration wait = std::chrono::seconds(1);
+  base::Duration longPollTimeout = std::chrono::seconds(1);
   /// Between an answer and the next call: events are taken in batches.
-  base::Duration pause = std::chrono::milliseconds(150);
+  base::Duration pollDelay = std::chrono::milliseconds(150);
   /// Between calls to a replica with a rate limit: this many intervals of the rate, so that most of
   /// it is left for requests, within these bounds.
-  std::int64_t limitedIntervals = 20;
-  base::Duration leastLimitedPause = std::chrono::seconds(2);
-  base::Duration longestLimitedPause = std::chrono::minutes(2);
+  std::int64_t rateLimitIntervals = 20;
+  base::Duration minimumRateLimitedDelay = std::chrono::seconds(2);
+  base::Duration maximumRateLimitedDelay = std::chrono::minutes(2);
   /// After a failed call.
   base::Duration backoff = std::chrono::milliseconds(700);
   /// How often the choice of watchers is looked at again.
-  base::Duration review = std::chrono::milliseconds(500);
+  base::Duration reviewInterval = std::chrono::milliseconds(500);
   /// Nodes that watch a replica or store where not all can. Two, so that the next home knows its
   /// cache when the home ends.
-  std::uint32_t watchersOfEach = 2;
+  std::uint32_t watchersPerTarget = 2;
   /// How long a node must have been in line before it watches: more than a restart takes, and than
   /// the membership takes to form.
-  base::Duration settle = std::chrono::milliseconds(2000);
+  base::Duration eligibilityDelay = std::chrono::milliseconds(2000);
 };
 
 /// All must outlive the watch and share its thread.
@@ -91,17 +91,17 @@
   CacheWatch& operator=(const CacheWatch&) = delete;
 
   /// Called with a replica that names a rate limit, before a call to it.
-  using CallListener = std::function<void(const ReplicaRecord& replica)>;
+  using PollListener = std::function<void(const ReplicaRecord& replica)>;
 
   void start();
-  void onRateLimitedPoll(CallListener listener) { limitedCall_ = std::move(listener); }
-  void onChange(ChangeListener listener) { changed_ = std::move(listener); }
-  std::size_t watched() const { return watches_.size(); }
+  void onRateLimitedPoll(PollListener listener) { pollListener_ = std::move(listener); }
+  void onChange(ChangeListener listener) { changeListener_ = std::move(listener); }
+  std::size_t watchCount() const { return watches_.size(); }
 
  private:
   struct Watch {
     /// Tells this watch from an earlier one of the same name, whose calls may still be under way.
-    std::uint64_t number = 0;
+    std::uint64_t id = 0;
     base::Endpoint endpoint;
     /// Of the replica; empty for a store.
     std::string zone;
@@ -111,7 +111,7 @@
     std::uint64_t epoch = 0;
     base::TimerId timer = 0;
     /// The next call waits as the replica named a rate limit.
-    bool limited = false;
+    bool rateLimited = false;
   };
   struct Target {
     base::Endpoint endpoint;
@@ -119,40 +119,40 @@
     std::uint32_t limit = 0;
   };
   /// What should be watched, by name.
-  using Wanted = std::map<std::string, Target>;
+  using Targets = std::map<std::string, Target>;
 
   void review();
-  Wanted wanted() const;
+  Targets selectTargets() const;
   /// Whether this node should watch what lets `limit` callers watch it.
-  bool isWatcher(const std::string& name, std::string_view zone, std::uint32_t limit) const;
+  bool shouldWatch(const std::string& name, std::string_view zone, std::uint32_t limit) const;
   /// Of what should be watched, that for which this node has been in line long enough.
-  Wanted settled(const Wanted& wanted);
+  Targets stableTargets(const Targets& targets);
   /// The watch with this name and number; null when it has ended.
-  Watch* find(const std::string& name, std::uint64_t number);
-  void poll(const std::string& name, std::uint64_t number);
+  Watch* find(const std::string& name, std::uint64_t watchId);
+  void poll(const std::string& name, std::uint64_t watchId);
   /// What the replica said of itself in the answer.
-  void learnNotices(ReplicaRecord& replica, base::TimePoint askedAt,
-                    const clients::CacheFeedReply& reply) const;
+  void recordNotices(ReplicaRecord& replica, base::TimePoint sentAt,
+                     const clients::CacheFeedReply& reply) const;
   void onReply(const std::string& name, Watch& watch, const clients::CacheFeedReply& reply);
-  void takeEvents(const std::string& name, const Watch& watch,
-                  const clients::CacheFeedReply& reply);
+  void applyEvents(const std::string& name, const Watch& watch,
+                   const clients::CacheFeedReply& reply);
   void schedule(const std::string& name, Watch& watch, base::Duration delay);
   /// The rate limit that the replica names, in requests a second; empty without one.
   std::optional<double> rateLimitOf(const std::string& name) const;
-  base::Duration pauseFor(std::optional<double> rateLimit) const;
+  base::Duration delayFor(std::optional<double> rateLimit) const;
   /// Replicas that no longer name a limit are not waited for any more.
-  void hastenUnlimited();
+  void pollNoLongerLimited();
 
   CacheWatchOptions options_;
   CacheWatchEnvironment environment_;
   ReplicaHomes homes_;
-  WatcherLimit limit_;
-  ChangeListener changed_;
-  CallListener limitedCall_;
+  WatcherLimit watcherLimit_;
+  ChangeListener changeListener_;
+  PollListener pollListener_;
   std::map<std::string, Watch> watches_;
   /// Since when this node has been in line.
-  std::map<std::string, base::TimePoint> inLineSince_;
-  std::uint64_t lastNumber_ = 0;
+  std::map<std::string, base::TimePoint> eligibleSince_;
+  std::uint64_t lastWatchId_ = 0;
   base::TimerId reviewTimer_ = 0;
   std::shared_ptr<bool> lifetime_ = std::make_shared<bool>(true);
 };
--- a/src/routing/engine_cache_index.cc
+++ b/src/routing/engine_cache_index.cc
@@ -75,7 +75,7 @@
 void EngineCacheIndex::announce(const prefix::Checkpoints& checkpoints, base::TimePoint now) {
   if (checkpoints.fingerprints.empty()) return;
   ++lastAnnouncement_;
-  announcements_.push_back({now + options_.announcedFor, lastAnnouncement_});
+  announcements_.push_back({now + options_.announcementRetention, lastAnnouncement_});
   for (const auto fingerprint : checkpoints.fingerprints) {
     announced_.insert(fingerprint, lastAnnouncement_);
   }
@@ -95,7 +95,7 @@
     announced_.eraseIf(
         [&](Mark mark) { return static_cast<Mark>(lastAnnouncement_ - mark) > live; });
   }
-  if (hasDoubtful_ && now - gapAt_ >= options_.doubtfulFor) {
+  if (hasDoubtful_ && now - gapAt_ >= options_.doubtfulRetention) {
     blocks_.eraseIf([this](Mark mark) { return !isCurrent(mark); });
     hasDoubtful_ = false;
   }
--- a/src/routing/engine_cache_index.h
+++ b/src/routing/engine_cache_index.h
@@ -16,9 +16,9 @@
 
 struct CacheIndexOptions {
   /// Entries that a gap made doubtful are dropped after this long without a resync.
-  base::Duration doubtfulFor = std::chrono::seconds(10);
+  base::Duration doubtfulRetention = std::chrono::seconds(10);
   /// Announced blocks count as cached for this long unless the engine's events confirm them.
-  base::Duration announcedFor = std::chrono::seconds(3);
+  base::Duration announcementRetention = std::chrono::seconds(3);
 };
 
 struct CacheMatch {
--- a/src/routing/engine_directory.cc
+++ b/src/routing/engine_directory.cc
@@ -36,10 +36,10 @@
                                  EngineDirectoryEnvironment environment)
     : options_(options),
       environment_(environment),
-      watch_(options.machines,
-             {environment.clock, environment.timers, environment.random, environment.machines,
-              environment.members, environment.records},
-             *this) {}
+      machineList_(options.machines,
+                   {environment.clock, environment.timers, environment.random, environment.machines,
+                    environment.members, environment.records},
+                   *this) {}
 
 EngineDirectory::~EngineDirectory() = default;
 
@@ -49,7 +49,7 @@
       [this, alive = std::weak_ptr(lifetime_)](const membership::GossipRecord& record) {
         if (!alive.expired()) onRecord(record);
       });
-  watch_.start();
+  machineList_.start();
   scheduleReview();
 }
 
@@ -77,16 +77,16 @@
     for (const auto& [name, machine] : applications_) {
       if (machine.application != application || (machine.zone == ownZone) != wantOwnZone) continue;
       const auto id = base::engineIdOf(machine.name);
-      if (machine.state != clients::MachineState::kLive || applicationLeaves(id)) continue;
+      if (machine.state != clients::MachineState::kLive || isApplicationLeaving(id)) continue;
       replicas.push_back({id, machine.name, machine.endpoint});
     }
   }
   return replicas;
 }
 
-bool EngineDirectory::applicationLeaves(base::EngineId id) const {
-  const auto noted = applicationsLeavingUntil_.find(id);
-  return noted != applicationsLeavingUntil_.end() && environment_.clock.now() < noted->second;
+bool EngineDirectory::isApplicationLeaving(base::EngineId id) const {
+  const auto entry = applicationsLeavingUntil_.find(id);
+  return entry != applicationsLeavingUntil_.end() && environment_.clock.now() < entry->second;
 }
 
 base::WeightsVersion EngineDirectory::defaultVersion(std::string_view model) const {
@@ -109,14 +109,14 @@
   if (machine.kind == clients::MachineKind::kEngine) onListedEngine(machine);
 }
 
-void EngineDirectory::onMachineGone(const clients::Machine& machine) {
+void EngineDirectory::onMachineRemoved(const clients::Machine& machine) {
   applications_.erase(machine.name);
   applicationsLeavingUntil_.erase(base::engineIdOf(machine.name));
   const auto found = tracking_.find(base::engineIdOf(machine.name));
   if (found == tracking_.end()) return;
   found->second.listed = false;
   // Signs of life are waited for from now on.
-  found->second.seenAt = environment_.clock.now();
+  found->second.lastSeenAt = environment_.clock.now();
 }
 
 void EngineDirectory::onListedEngine(const clients::Machine& machine) {
@@ -131,7 +131,7 @@
   engine->region = machine.region;
   tracking.listed = true;
   tracking.listedLeaving = machine.state == clients::MachineState::kLeaving;
-  tracking.seenAt = environment_.clock.now();
+  tracking.lastSeenAt = environment_.clock.now();
   refresh(*engine, tracking);
 }
 
@@ -151,7 +151,7 @@
     refresh(engine, tracking);
     if (tracking.pollTimer == 0 && polls(id)) schedulePoll(id, base::Duration::zero());
   }
-  if (watch_.known()) forgetAbsentEngines();
+  if (machineList_.hasReadList()) forgetAbsentEngines();
 }
 
 void EngineDirectory::forgetAbsentEngines() {
@@ -159,7 +159,7 @@
   std::vector<base::EngineId> absent;
   for (const auto& engine : engines_) {
     const auto& tracking = tracking_.at(engine.address.id);
-    if (!tracking.listed && now - tracking.seenAt > options_.absenceGrace) {
+    if (!tracking.listed && now - tracking.lastSeenAt > options_.absenceGracePeriod) {
       absent.push_back(engine.address.id);
     }
   }
@@ -181,7 +181,7 @@
   const auto id = engine.address.id;
   const auto position = std::lower_bound(engines_.begin(), engines_.end(), id, idLess);
   const auto inserted = engines_.insert(position, std::move(engine));
-  tracking_[id].seenAt = environment_.clock.now();
+  tracking_[id].lastSeenAt = environment_.clock.now();
   schedulePoll(id, firstPollDelay(id));
   return *inserted;
 }
@@ -236,11 +236,11 @@
   environment_.engines.poll(
       engine.address, tracking.nextSequence,
       [this, id, alive = std::weak_ptr(lifetime_)](std::optional<clients::EngineReport> report) {
-        if (!alive.expired()) onPollAnswer(id, std::move(report));
+        if (!alive.expired()) onPollReply(id, std::move(report));
       });
 }
 
-void EngineDirectory::onPollAnswer(base::EngineId id, std::optional<clients::EngineReport> report) {
+void EngineDirectory::onPollReply(base::EngineId id, std::optional<clients::EngineReport> report) {
   EngineState* engine = findMutable(id);
   if (engine == nullptr) return;
   auto& tracking = tracking_.at(id);
@@ -264,8 +264,8 @@
   if (!advanceIncarnation(engine, tracking, report.incarnation)) return;
   tracking.failedDispatches = 0;
   tracking.unreachableUntil.reset();
-  tracking.answeredAt = now;
-  tracking.seenAt = now;
+  tracking.lastReportAt = now;
+  tracking.lastSeenAt = now;
   tracking.stateKnown = true;
   tracking.reportedLeaving = report.leaving;
   engine.role = report.role;
@@ -305,17 +305,17 @@
   if (gossip.version <= tracking.recordVersion) return;
   tracking.recordVersion = gossip.version;
   tracking.record = std::move(record);
-  const auto& heard = *tracking.record;
-  const bool polledLately =
-      tracking.answeredAt &&
-      environment_.clock.now() - *tracking.answeredAt <= 2 * options_.pollInterval;
-  if (polledLately && heard.incarnation <= engine->incarnation) return;
-  if (!advanceIncarnation(*engine, tracking, heard.incarnation)) return;
+  const auto& received = *tracking.record;
+  const bool polledRecently =
+      tracking.lastReportAt &&
+      environment_.clock.now() - *tracking.lastReportAt <= 2 * options_.pollInterval;
+  if (polledRecently && received.incarnation <= engine->incarnation) return;
+  if (!advanceIncarnation(*engine, tracking, received.incarnation)) return;
   tracking.stateKnown = true;
-  tracking.reportedLeaving = heard.leaving;
-  tracking.seenAt = environment_.clock.now();
-  engine->role = heard.role;
-  engine->weights = heard.weights;
+  tracking.reportedLeaving = received.leaving;
+  tracking.lastSeenAt = environment_.clock.now();
+  engine->role = received.role;
+  engine->weights = received.weights;
   refresh(*engine, tracking);
 }
 
@@ -327,10 +327,10 @@
   auto& tracking = tracking_.at(id);
   constexpr std::uint32_t kMaximumDoublings = 16;
   const auto doublings = std::min(tracking.failedDispatches, kMaximumDoublings);
-  const auto wait =
-      std::min(options_.unreachableFor * (1U << doublings), options_.unreachableForMaximum);
+  const auto backoff = std::min(options_.initialUnreachableBackoff * (1U << doublings),
+                                options_.maximumUnreachableBackoff);
   ++tracking.failedDispatches;
-  tracking.unreachableUntil = environment_.clock.now() + wait;
+  tracking.unreachableUntil = environment_.clock.now() + backoff;
   refresh(*engine, tracking);
 }
 
@@ -340,11 +340,11 @@
     const bool application = std::ranges::any_of(
         applications_, [id](const auto& each) { return base::engineIdOf(each.first) == id; });
     if (application)
-      applicationsLeavingUntil_[id] = environment_.clock.now() + options_.applicationLeavingFor;
+      applicationsLeavingUntil_[id] = environment_.clock.now() + options_.applicationLeavingTimeout;
     return;
   }
   auto& tracking = tracking_.at(id);
-  tracking.leavingNoted = true;
+  tracking.leavingObserved = true;
   refresh(*engine, tracking);
 }
 
@@ -366,7 +366,7 @@
   engine.load.reset();
   tracking.nextSequence = 0;
   tracking.reportedLeaving = false;
-  tracking.leavingNoted = false;
+  tracking.leavingObserved = false;
   tracking.unreachableUntil.reset();
   tracking.failedDispatches = 0;
   tracking.missedPolls = 0;
@@ -385,7 +385,7 @@
   const auto now = environment_.clock.now();
   if (tracking.unreachableUntil && now >= *tracking.unreachableUntil)
     tracking.unreachableUntil.reset();
-  engine.leaving = tracking.listedLeaving || tracking.reportedLeaving || tracking.leavingNoted;
+  engine.leaving = tracking.listedLeaving || tracking.reportedLeaving || tracking.leavingObserved;
   engine.unreachable =
       tracking.unreachableUntil || tracking.missedPolls >= options_.missedPollsUntilUnreachable;
 }
--- a/src/routing/engine_directory.h
+++ b/src/routing/engine_directory.h
@@ -51,13 +51,13 @@
   std::uint32_t missedPollsUntilUnreachable = 2;
   /// A failed dispatch keeps the engine out for this long unless a poll answers earlier; doubled at
   /// each further failure up to the maximum.
-  base::Duration unreachableFor = std::chrono::seconds(1);
-  base::Duration unreachableForMaximum = std::chrono::seconds(8);
+  base::Duration initialUnreachableBackoff = std::chrono::seconds(1);
+  base::Duration maximumUnreachableBackoff = std::chrono::seconds(8);
   /// An application that has refused work because it leaves gets none for so long, or until the
   /// list has it no more. Applications do not tell their restarts, so that it cannot hold for good.
-  base::Duration applicationLeavingFor = std::chrono::seconds(30);
+  base::Duration applicationLeavingTimeout = std::chrono::seconds(30);
   /// An engine missing from the list is forgotten after this long without any sign of life.
-  base::Duration absenceGrace = std::chrono::seconds(10);
+  base::Duration absenceGracePeriod = std::chrono::seconds(10);
 };
 
 /// All must outlive the directory and share its thread.
@@ -124,12 +124,12 @@
     bool listedLeaving = false;
     bool reportedLeaving = false;
     /// It has refused work because it leaves: holds until another incarnation of it is known.
-    bool leavingNoted = false;
+    bool leavingObserved = false;
     std::optional<base::TimePoint> unreachableUntil;
     std::uint32_t failedDispatches = 0;
     std::uint32_t missedPolls = 0;
-    std::optional<base::TimePoint> answeredAt;
-    base::TimePoint seenAt{};
+    std::optional<base::TimePoint> lastReportAt;
+    base::TimePoint lastSeenAt{};
     bool pollOutstanding = false;
     base::TimerId pollTimer = 0;
     std::uint64_t nextSequence = 0;
@@ -141,7 +141,7 @@
   };
 
   void onMachine(const clients::Machine& machine) override;
-  void onMachineGone(const clients::Machine& machine) override;
+  void onMachineRemoved(const clients::Machine& machine) override;
   void onListedEngine(const clients::Machine& machine);
   void scheduleReview();
   void review();
@@ -154,7 +154,7 @@
   void schedulePoll(base::EngineId engine, base::Duration delay);
   void onPollTimer(base::EngineId id);
   void poll(EngineState& engine, Tracking& tracking);
-  void onPollAnswer(base::EngineId id, std::optional<clients::EngineReport> report);
+  void onPollReply(base::EngineId id, std::optional<clients::EngineReport> report);
   void onReport(EngineState& engine, Tracking& tracking, const clients::EngineReport& report);
   void onMissedPoll(EngineState& engine, Tracking& tracking);
 
@@ -164,7 +164,7 @@
   bool advanceIncarnation(EngineState& engine, Tracking& tracking, base::Incarnation incarnation);
   void refresh(EngineState& engine, Tracking& tracking);
   const std::vector<base::NodeId>& homesOfState(const EngineState& engine) const;
-  bool applicationLeaves(base::EngineId id) const;
+  bool isApplicationLeaving(base::EngineId id) const;
 
   EngineDirectoryOptions options_;
   EngineDirectoryEnvironment environment_;
@@ -175,7 +175,7 @@
   std::map<std::string, clients::Machine> applications_;
   /// Applications that said that they leave, by identifier.
   std::map<base::EngineId, base::TimePoint> applicationsLeavingUntil_;
-  MachineListWatch watch_;
+  MachineListWatch machineList_;
   /// Outlived by callbacks that must no longer reach this object.
   std::shared_ptr<bool> lifetime_ = std::make_shared<bool>(true);
 };
--- a/src/routing/engine_homes.h
+++ b/src/routing/engine_homes.h
@@ -17,10 +17,10 @@
 /// From this many live nodes on, an engine has one home. Its death costs the knowledge of a few
 /// engines of many until their snapshots are here, and a second home would double the largest part
 /// of the control traffic. In small fleets one node is the home of a large share of the engines.
-inline constexpr std::size_t kNodesForOneHome = 32;
+inline constexpr std::size_t kSingleHomeMinimumNodes = 32;
 
 constexpr std::size_t homesPerEngine(std::size_t liveNodes) {
-  return liveNodes >= kNodesForOneHome ? 1 : kHomesPerEngine;
+  return liveNodes >= kSingleHomeMinimumNodes ? 1 : kHomesPerEngine;
 }
 
 /// Homes of `engine`, at most `count`, best first: the first lies in the engine's own zone where a
--- a/src/routing/fleet_load.cc
+++ b/src/routing/fleet_load.cc
@@ -12,19 +12,19 @@
   return *this;
 }
 
-void FleetLoad::onUpdate(base::NodeId node, base::Incarnation incarnation, std::uint64_t number,
+void FleetLoad::onUpdate(base::NodeId node, base::Incarnation incarnation, std::uint64_t sequence,
                          LoadByReplica load, base::TimePoint now) {
-  std::erase_if(nodes_, [&](const auto& entry) { return !isHeard(entry.second, now); });
-  auto& known = nodes_[node];
-  const std::pair told{incarnation, number};
-  if (told <= std::pair{known.incarnation, known.number}) return;
-  known = {incarnation, number, now, std::move(load)};
+  std::erase_if(nodes_, [&](const auto& entry) { return !isCurrent(entry.second, now); });
+  auto& recorded = nodes_[node];
+  const std::pair received{incarnation, sequence};
+  if (received <= std::pair{recorded.incarnation, recorded.sequence}) return;
+  recorded = {incarnation, sequence, now, std::move(load)};
 }
 
 ReplicaLoad FleetLoad::loadOfOtherNodes(base::EngineId replica, base::TimePoint now) const {
   ReplicaLoad sum;
   for (const auto& [id, node] : nodes_) {
-    if (!isHeard(node, now)) continue;
+    if (!isCurrent(node, now)) continue;
     const auto entry = node.load.find(replica);
     if (entry != node.load.end()) sum += entry->second;
   }
@@ -32,8 +32,8 @@
 }
 
 std::size_t FleetLoad::reportingNodes(base::TimePoint now) const {
-  return static_cast<std::size_t>(
-      std::ranges::count_if(nodes_, [&](const auto& entry) { return isHeard(entry.second, now); }));
+  return static_cast<std::size_t>(std::ranges::count_if(
+      nodes_, [&](const auto& entry) { return isCurrent(entry.second, now); }));
 }
 
 }  // namespace covewing::routing
--- a/src/routing/fleet_load.h
+++ b/src/routing/fleet_load.h
@@ -36,7 +36,7 @@
 
 struct FleetLoadOptions {
   /// News older than this are forgotten. Nodes repeat theirs more often.
-  base::Duration memory = std::chrono::milliseconds(2500);
+  base::Duration retention = std::chrono::milliseconds(2500);
 };
 
 class FleetLoad {
@@ -45,7 +45,7 @@
 
   /// Takes what a node has under way in place of what it told before. News of an earlier run of the
   /// node, or sent before some that are known, are dropped.
-  void onUpdate(base::NodeId node, base::Incarnation incarnation, std::uint64_t number,
+  void onUpdate(base::NodeId node, base::Incarnation incarnation, std::uint64_t sequence,
                 LoadByReplica load, base::TimePoint now);
   /// The sum over the nodes that are heard.
   ReplicaLoad loadOfOtherNodes(base::EngineId replica, base::TimePoint now) const;
@@ -56,19 +56,19 @@
   std::size_t reportingNodes(base::TimePoint now) const;
 
  private:
-  struct Node {
+  struct NodeLoad {
     base::Incarnation incarnation = 0;
-    std::uint64_t number = 0;
-    base::TimePoint at{};
+    std::uint64_t sequence = 0;
+    base::TimePoint receivedAt{};
     LoadByReplica load;
   };
-  bool isHeard(const Node& node, base::TimePoint now) const {
-    return now - node.at <= options_.memory;
+  bool isCurrent(const NodeLoad& node, base::TimePoint now) const {
+    return now - node.receivedAt <= options_.retention;
   }
 
   FleetLoadOptions options_;
   base::Duration interval_{};
-  std::unordered_map<base::NodeId, Node> nodes_;
+  std::unordered_map<base::NodeId, NodeLoad> nodes_;
 };
 
 }  // namespace covewing::routing
--- a/src/routing/full_index_policy.h
+++ b/src/routing/full_index_policy.h
@@ -19,7 +19,7 @@
   void choose(RouteQuery query, RouteCallback callback) override;
   void onDispatched(const RouteQuery& query, const RouteDecision& decision) override;
   void onFinished(base::EngineId /*engine*/, std::uint32_t /*promptTokens*/,
-                  std::uint32_t /*cachedTokens*/, base::Duration /*firstTokenAfter*/) override {}
+                  std::uint32_t /*cachedTokens*/, base::Duration /*timeToFirstToken*/) override {}
 
  private:
   PolicyEnvironment environment_;
--- a/src/routing/load_baseline.cc
+++ b/src/routing/load_baseline.cc
@@ -11,10 +11,10 @@
   using Load = std::pair<std::uint32_t, std::uint64_t>;
   std::vector<const EngineState*> least;
   Load leastLoad;
-  for (const auto& knowledge : result.engines) {
-    const EngineState* engine = fleet.find(knowledge.engine);
+  for (const auto& engineResult : result.engines) {
+    const EngineState* engine = fleet.find(engineResult.engine);
     if (engine == nullptr || !qualifies(*engine, query)) continue;
-    const Load load{knowledge.requests, knowledge.tokensAhead};
+    const Load load{engineResult.requests, engineResult.tokensAhead};
     if (least.empty() || load < leastLoad) {
       least.clear();
       leastLoad = load;
--- a/src/routing/load_exchange.cc
+++ b/src/routing/load_exchange.cc
@@ -11,25 +11,26 @@
 
 base::Duration LoadExchange::interval() const {
   const auto others = static_cast<double>(environment_.members.liveMembers().size()) - 1;
-  const std::chrono::duration<double> paced{others / options_.messagesPerSecond};
-  return std::max(options_.interval, std::chrono::duration_cast<base::Duration>(paced));
+  const std::chrono::duration<double> minimumInterval{others / options_.messagesPerSecond};
+  return std::max(options_.interval, std::chrono::duration_cast<base::Duration>(minimumInterval));
 }
 
 void LoadExchange::tick() {
-  const auto pause = interval();
-  environment_.fleet.setInterval(pause);
-  if (pause <= kLongestUsefulLoadInterval) tellIfDue();
+  const auto delay = interval();
+  environment_.fleet.setInterval(delay);
+  if (delay <= kLongestUsefulLoadInterval) sendIfDue();
   // Where there are too many nodes, their number is looked at again now and then.
-  timer_ = environment_.timers.schedule(std::min(pause, options_.repeat), [this] { tick(); });
+  timer_ =
+      environment_.timers.schedule(std::min(delay, options_.repeatInterval), [this] { tick(); });
 }
 
-void LoadExchange::tellIfDue() {
+void LoadExchange::sendIfDue() {
   const auto now = environment_.clock.now();
   LoadByReplica load = ownLoad();
-  if (load == told_ && now - toldAt_ < options_.repeat) return;
-  tell(load);
-  told_ = std::move(load);
-  toldAt_ = now;
+  if (load == lastSent_ && now - lastSentAt_ < options_.repeatInterval) return;
+  broadcast(load);
+  lastSent_ = std::move(load);
+  lastSentAt_ = now;
 }
 
 LoadByReplica LoadExchange::ownLoad() const {
@@ -41,8 +42,8 @@
   return load;
 }
 
-void LoadExchange::tell(const LoadByReplica& load) {
-  const std::string message = encode(LoadUpdate{++lastNumber_, load});
+void LoadExchange::broadcast(const LoadByReplica& load) {
+  const std::string message = encode(LoadUpdate{++lastSequence_, load});
   const auto self = environment_.members.self().id;
   for (const auto& member : environment_.members.liveMembers()) {
     if (member.id != self)
@@ -51,13 +52,13 @@
 }
 
 void LoadExchange::onPeerMessage(const base::PeerIdentity& sender, std::string_view payload) {
-  auto news = decodeLoadUpdate(payload);
-  if (!news) {
+  auto update = decodeLoadUpdate(payload);
+  if (!update) {
     environment_.log.write(base::Event::kMessageRejected, {{"channel", "replica load"}});
     return;
   }
-  environment_.fleet.onUpdate(sender.node, sender.incarnation, news->number, std::move(news->load),
-                              environment_.clock.now());
+  environment_.fleet.onUpdate(sender.node, sender.incarnation, update->number,
+                              std::move(update->load), environment_.clock.now());
 }
 
 }  // namespace covewing::routing
--- a/src/routing/load_exchange.h
+++ b/src/routing/load_exchange.h
@@ -25,7 +25,7 @@
   /// Messages that a node sends a second at most.
   double messagesPerSecond = 120;
   /// News that did not change are repeated after this.
-  base::Duration repeat = std::chrono::milliseconds(1000);
+  base::Duration repeatInterval = std::chrono::milliseconds(1000);
 };
 
 /// All must outlive the sharing and share its thread.
@@ -53,17 +53,17 @@
  private:
   void tick();
   /// Tells the load where it changed, or was told too long ago.
-  void tellIfDue();
+  void sendIfDue();
   /// What this node has under way.
   LoadByReplica ownLoad() const;
-  void tell(const LoadByReplica& load);
+  void broadcast(const LoadByReplica& load);
   base::Duration interval() const;
 
   LoadExchangeOptions options_;
   LoadExchangeEnvironment environment_;
-  LoadByReplica told_;
-  base::TimePoint toldAt_{};
-  std::uint64_t lastNumber_ = 0;
+  LoadByReplica lastSent_;
+  base::TimePoint lastSentAt_{};
+  std::uint64_t lastSequence_ = 0;
   base::TimerId timer_ = 0;
 };
 
--- a/src/routing/load_messages.h
+++ b/src/routing/load_messages.h
@@ -17,7 +17,7 @@
   LoadByReplica load;
 };
 
-std::string encode(const LoadUpdate& news);
+std::string encode(const LoadUpdate& update);
 /// Empty when the bytes are not news of load.
 std::optional<LoadUpdate> decodeLoadUpdate(std::string_view bytes);
 
--- a/src/routing/machine_list_watch.cc
+++ b/src/routing/machine_list_watch.cc
@@ -12,7 +12,7 @@
 
 constexpr std::uint32_t kRecordFields = 8;
 /// Machines that are gone stay known for as long as records about them may still be on their way.
-constexpr base::Duration kGoneMemory = std::chrono::minutes(30);
+constexpr base::Duration kRemovedRetention = std::chrono::minutes(30);
 
 }  // namespace
 
@@ -20,7 +20,7 @@
   const clients::Machine& machine = record.machine;
   base::Writer writer;
   writer.array(kRecordFields)
-      .boolean(record.gone)
+      .boolean(record.removed)
       .unsignedInteger(static_cast<std::uint64_t>(machine.kind))
       .unsignedInteger(static_cast<std::uint64_t>(machine.state))
       .unsignedInteger(machine.endpoint.address)
@@ -36,7 +36,7 @@
   if (reader.beginArray() != kRecordFields) return std::nullopt;
   MachineRecord record;
   clients::Machine& machine = record.machine;
-  record.gone = reader.boolean();
+  record.removed = reader.boolean();
   const auto kind = reader.unsignedInteger();
   const auto state = reader.unsignedInteger();
   machine.endpoint.address = static_cast<std::uint32_t>(reader.unsignedInteger());
@@ -81,15 +81,15 @@
 }
 
 void MachineListWatch::scheduleRead() {
-  environment_.timers.schedule(pause(), [this, alive = std::weak_ptr(lifetime_)] {
+  environment_.timers.schedule(readDelay(), [this, alive = std::weak_ptr(lifetime_)] {
     if (!alive.expired()) read();
   });
 }
 
-base::Duration MachineListWatch::pause() {
+base::Duration MachineListWatch::readDelay() {
   const auto nodes = std::max<std::size_t>(1, environment_.members.liveMembers().size());
   const auto interval = options_.fleetInterval * static_cast<base::Duration::rep>(nodes);
-  if (!known_ || interval <= options_.minimumInterval) {
+  if (!hasReadList_ || interval <= options_.minimumInterval) {
     return environment_.random.jittered(options_.minimumInterval, options_.jitter);
   }
   // At any time from now on, also after a start of all nodes at once.
@@ -105,61 +105,62 @@
   const auto now = environment_.clock.now();
   for (auto position = entries_.begin(); position != entries_.end();) {
     Entry& entry = position->second;
-    if (!entry.gone && !listed.contains(position->first)) onMissing(entry);
-    const bool forgotten = entry.gone && (!entry.toldAt || now - *entry.toldAt > kGoneMemory);
-    position = forgotten ? entries_.erase(position) : std::next(position);
+    if (!entry.removed && !listed.contains(position->first)) onMissing(entry);
+    const bool discard =
+        entry.removed && (!entry.recordAt || now - *entry.recordAt > kRemovedRetention);
+    position = discard ? entries_.erase(position) : std::next(position);
   }
-  known_ = true;
+  hasReadList_ = true;
 }
 
 void MachineListWatch::onListed(const clients::Machine& machine) {
   const auto [position, added] = entries_.try_emplace(machine.name);
   Entry& entry = position->second;
-  const bool changed = added || entry.gone || entry.machine != machine;
-  if (!changed || toldLately(entry)) return;
+  const bool changed = added || entry.removed || entry.machine != machine;
+  if (!changed || recordIsRecent(entry)) return;
   entry.machine = machine;
-  entry.gone = false;
-  if (known_) publish(entry);
+  entry.removed = false;
+  if (hasReadList_) publish(entry);
   observer_.onMachine(entry.machine);
 }
 
 void MachineListWatch::onMissing(Entry& entry) {
-  if (toldLately(entry)) return;
-  entry.gone = true;
-  if (known_) publish(entry);
-  observer_.onMachineGone(entry.machine);
+  if (recordIsRecent(entry)) return;
+  entry.removed = true;
+  if (hasReadList_) publish(entry);
+  observer_.onMachineRemoved(entry.machine);
 }
 
-bool MachineListWatch::toldLately(const Entry& entry) const {
-  return entry.toldAt && environment_.clock.now() - *entry.toldAt < options_.recordWinsFor;
+bool MachineListWatch::recordIsRecent(const Entry& entry) const {
+  return entry.recordAt && environment_.clock.now() - *entry.recordAt < options_.recordPrecedence;
 }
 
 // --- records
 
 void MachineListWatch::publish(Entry& entry) {
-  std::string value = encodeMachineRecord({entry.machine, entry.gone});
+  std::string value = encodeMachineRecord({entry.machine, entry.removed});
   if (value.size() > membership::RecordDissemination::kMaximumValue) return;
   std::string key = std::string(kMachineRecordPrefix) + entry.machine.name;
   const auto before = environment_.records.find(key);
   if (before) entry.recordVersion = std::max(entry.recordVersion, before->version);
   ++entry.recordVersion;
-  entry.toldAt = environment_.clock.now();
+  entry.recordAt = environment_.clock.now();
   environment_.records.publish({std::move(key), entry.recordVersion, std::move(value)});
 }
 
 void MachineListWatch::onRecord(const membership::GossipRecord& record) {
-  auto told = decodeMachineRecord(record.value);
-  if (!told) return;
-  told->machine.name = record.key.substr(kMachineRecordPrefix.size());
-  Entry& entry = entries_[told->machine.name];
+  auto received = decodeMachineRecord(record.value);
+  if (!received) return;
+  received->machine.name = record.key.substr(kMachineRecordPrefix.size());
+  Entry& entry = entries_[received->machine.name];
   if (record.version <= entry.recordVersion) return;
   entry.recordVersion = record.version;
-  entry.toldAt = environment_.clock.now();
-  if (entry.machine == told->machine && entry.gone == told->gone) return;
-  entry.machine = std::move(told->machine);
-  entry.gone = told->gone;
-  if (entry.gone) {
-    observer_.onMachineGone(entry.machine);
+  entry.recordAt = environment_.clock.now();
+  if (entry.machine == received->machine && entry.removed == received->removed) return;
+  entry.machine = std::move(received->machine);
+  entry.removed = received->removed;
+  if (entry.removed) {
+    observer_.onMachineRemoved(entry.machine);
   } else {
     observer_.onMachine(entry.machine);
   }
--- a/src/routing/machine_list_watch.h
+++ b/src/routing/machine_list_watch.h
@@ -36,7 +36,7 @@
   /// Spread of the minimum interval.
   double jitter = 0.2;
   /// A record that came within this time wins over what is read.
-  base::Duration recordWinsFor = std::chrono::seconds(10);
+  base::Duration recordPrecedence = std::chrono::seconds(10);
 };
 
 /// All must outlive the watch and share its thread.
@@ -56,7 +56,7 @@
   /// The machine is new, or something about it changed.
   virtual void onMachine(const clients::Machine& machine) = 0;
   /// The machine is no longer in the list.
-  virtual void onMachineGone(const clients::Machine& machine) = 0;
+  virtual void onMachineRemoved(const clients::Machine& machine) = 0;
 };
 
 class MachineListWatch {
@@ -69,25 +69,25 @@
   /// Reads the list and listens to other nodes' records; call once.
   void start();
   /// The list was read since the start.
-  bool known() const { return known_; }
+  bool hasReadList() const { return hasReadList_; }
 
  private:
   struct Entry {
     clients::Machine machine;
-    bool gone = false;
+    bool removed = false;
     std::uint64_t recordVersion = 0;
     /// When another node told of it, or this one told others.
-    std::optional<base::TimePoint> toldAt;
+    std::optional<base::TimePoint> recordAt;
   };
 
   void read();
   void scheduleRead();
-  base::Duration pause();
+  base::Duration readDelay();
   void onList(const std::vector<clients::Machine>& machines);
   void onListed(const clients::Machine& machine);
   void onMissing(Entry& entry);
   void onRecord(const membership::GossipRecord& record);
-  bool toldLately(const Entry& entry) const;
+  bool recordIsRecent(const Entry& entry) const;
   void publish(Entry& entry);
 
   MachineListWatchOptions options_;
@@ -95,7 +95,7 @@
   MachineObserver& observer_;
   /// By name.
   std::map<std::string, Entry, std::less<>> entries_;
-  bool known_ = false;
+  bool hasReadList_ = false;
   /// Outlived by callbacks that must no longer reach this object.
   std::shared_ptr<bool> lifetime_ = std::make_shared<bool>(true);
 };
@@ -103,7 +103,7 @@
 /// Value of the record "machine/NAME".
 struct MachineRecord {
   clients::Machine machine;
-  bool gone = false;
+  bool removed = false;
 };
 std::string encodeMachineRecord(const MachineRecord& record);
 /// The record's machine has no name. Empty when the bytes are not a record.
--- a/src/routing/memory_estimate.cc
+++ b/src/routing/memory_estimate.cc
@@ -7,7 +7,7 @@
 
 namespace {
 /// Memory of an answer of ordinary length, 256 tokens.
-constexpr std::uint32_t kAnswerBlocks = 16;
+constexpr std::uint32_t kResponseBlocks = 16;
 }  // namespace
 
 PromptFootprint footprintOf(const prefix::Checkpoints& checkpoints, std::uint32_t matchedBlocks) {
@@ -18,7 +18,7 @@
     footprint.root = checkpoints.fingerprints.front();
   }
   footprint.sharedBlocks = matchedBlocks;
-  footprint.ownBlocks = checkpoints.chainLength - matchedBlocks + kAnswerBlocks;
+  footprint.ownBlocks = checkpoints.chainLength - matchedBlocks + kResponseBlocks;
   return footprint;
 }
 
--- a/src/routing/policy_factory.cc
+++ b/src/routing/policy_factory.cc
@@ -16,7 +16,7 @@
 
 namespace {
 
-using PolicyMaker = std::unique_ptr<RoutingPolicy> (*)(PolicyEnvironment);
+using PolicyConstructor = std::unique_ptr<RoutingPolicy> (*)(PolicyEnvironment);
 
 template <class Policy>
 std::unique_ptr<RoutingPolicy> make(PolicyEnvironment environment) {
@@ -25,7 +25,7 @@
 
 struct PolicyEntry {
   std::string_view name;
-  PolicyMaker make;
+  PolicyConstructor make;
   PollScope pollScope;
 };
 
--- a/src/routing/policy_factory.h
+++ b/src/routing/policy_factory.h
@@ -34,11 +34,11 @@
   /// Most engines asked about.
   std::size_t maximumCandidates = 16;
   /// Engines added for each engine's worth of demand on one prefix root.
-  double widthPerDemand = 2.0;
+  double candidatesPerDemand = 2.0;
   /// Block whose hash stands for the prefix root.
   std::size_t rootBlock = 31;
   /// Choices within this much of the best are near-equal, and one is drawn.
-  base::Duration nearEqual = std::chrono::milliseconds(5);
+  base::Duration nearEqualTolerance = std::chrono::milliseconds(5);
   /// Prefixes shorter than this are not worth keeping in the store, in blocks.
   std::uint32_t minimumExportBlocks = 32;
 };
--- a/src/routing/prefix_affinity_policy.cc
+++ b/src/routing/prefix_affinity_policy.cc
@@ -32,12 +32,12 @@
   return environment_.members == nullptr ? 1 : environment_.members->liveMembers().size();
 }
 
-std::size_t PrefixAffinityPolicy::width(std::uint64_t root, base::TimePoint now) {
+std::size_t PrefixAffinityPolicy::candidateCount(std::uint64_t root, base::TimePoint now) {
   const auto& tuning = environment_.tuning;
   // Callers spread over all nodes, so this node's rate stands for the whole.
   const double demand = prefixDemand_.tokensPerSecond(root, now) *
                         static_cast<double>(liveNodes()) / tuning.service.prefillTokensPerSecond;
-  const auto extra = static_cast<std::size_t>(std::floor(demand * tuning.widthPerDemand));
+  const auto extra = static_cast<std::size_t>(std::floor(demand * tuning.candidatesPerDemand));
   const auto wanted = std::min(tuning.candidates + extra, tuning.maximumCandidates);
   return std::max<std::size_t>(1, prefixDemand_.holderCount(root, wanted, now));
 }
@@ -47,7 +47,7 @@
   auto engines = qualifyingEngines(environment_.fleet, query);
   const auto root = prefixKey(query, tuning.rootBlock);
   sortByRendezvous(engines, root);
-  const auto regular = std::min(width(root, environment_.clock.now()), engines.size());
+  const auto regular = std::min(candidateCount(root, environment_.clock.now()), engines.size());
   // Moves randomly drawn engines behind the regular ones.
   const auto wanted = std::min(regular + tuning.spillCandidates, engines.size());
   for (std::size_t index = regular; index < wanted; ++index) {
@@ -93,6 +93,6 @@
 
 void PrefixAffinityPolicy::onFinished(base::EngineId /*engine*/, std::uint32_t /*promptTokens*/,
                                       std::uint32_t /*cachedTokens*/,
-                                      base::Duration /*firstTokenAfter*/) {}
+                                      base::Duration /*timeToFirstToken*/) {}
 
 }  // namespace covewing::routing
--- a/src/routing/prefix_affinity_policy.h
+++ b/src/routing/prefix_affinity_policy.h
@@ -21,11 +21,11 @@
   void choose(RouteQuery query, RouteCallback callback) override;
   void onDispatched(const RouteQuery& query, const RouteDecision& decision) override;
   void onFinished(base::EngineId engine, std::uint32_t promptTokens, std::uint32_t cachedTokens,
-                  base::Duration firstTokenAfter) override;
+                  base::Duration timeToFirstToken) override;
 
  private:
   std::vector<base::EngineId> candidates(const RouteQuery& query);
-  std::size_t width(std::uint64_t root, base::TimePoint now);
+  std::size_t candidateCount(std::uint64_t root, base::TimePoint now);
   std::string_view region() const;
   std::size_t liveNodes() const;
 
--- a/src/routing/probe_pool_policy.cc
+++ b/src/routing/probe_pool_policy.cc
@@ -36,41 +36,41 @@
 
 void ProbePoolPolicy::sendProbes(const std::vector<const EngineState*>& engines) {
   if (environment_.engines == nullptr) return;
-  auto drawn = engines;
-  const auto count = std::min(options_.probesPerRequest, drawn.size());
+  auto sampled = engines;
+  const auto count = std::min(options_.probesPerRequest, sampled.size());
   for (std::size_t index = 0; index < count; ++index) {
-    std::swap(drawn[index], drawn[index + environment_.random.below(drawn.size() - index)]);
-    const auto& address = drawn[index]->address;
+    std::swap(sampled[index], sampled[index + environment_.random.below(sampled.size() - index)]);
+    const auto& address = sampled[index]->address;
     environment_.engines->poll(address, nextSequence_[address.id],
                                [this, alive = std::weak_ptr(lifetime_), engine = address.id](
                                    const std::optional<clients::EngineReport>& report) {
-                                 if (!alive.expired() && report) onProbe(engine, *report);
+                                 if (!alive.expired() && report) onProbeReply(engine, *report);
                                });
   }
 }
 
-void ProbePoolPolicy::onProbe(base::EngineId engine, const clients::EngineReport& report) {
+void ProbePoolPolicy::onProbeReply(base::EngineId engine, const clients::EngineReport& report) {
   nextSequence_[engine] = report.nextSequence;
   const auto& load = report.load;
   Probe probe;
   probe.engine = engine;
-  probe.at = environment_.clock.now();
+  probe.receivedAt = environment_.clock.now();
   probe.requests = std::accumulate(load.waiting.begin(), load.waiting.end(), load.running);
   probe.queuedTokens = std::accumulate(load.queuedPrefillTokens.begin(),
                                        load.queuedPrefillTokens.end(), std::uint64_t{0});
   pool_.push_back(probe);
   if (pool_.size() > options_.poolSize) pool_.erase(pool_.begin());
-  seenRequests_.push_back(probe.requests);
-  if (seenRequests_.size() > options_.history) seenRequests_.pop_front();
+  recentRequestCounts_.push_back(probe.requests);
+  if (recentRequestCounts_.size() > options_.historySize) recentRequestCounts_.pop_front();
 }
 
 void ProbePoolPolicy::expireProbes() {
   const auto oldest = environment_.clock.now() - options_.probeLifetime;
-  std::erase_if(pool_, [&](const Probe& probe) { return probe.at < oldest; });
+  std::erase_if(pool_, [&](const Probe& probe) { return probe.receivedAt < oldest; });
 }
 
 std::uint32_t ProbePoolPolicy::hotThreshold() const {
-  std::vector<std::uint32_t> sorted(seenRequests_.begin(), seenRequests_.end());
+  std::vector<std::uint32_t> sorted(recentRequestCounts_.begin(), recentRequestCounts_.end());
   std::sort(sorted.begin(), sorted.end());
   const auto rank =
       static_cast<std::size_t>(options_.hotQuantile * static_cast<double>(sorted.size() - 1));
--- a/src/routing/probe_pool_policy.h
+++ b/src/routing/probe_pool_policy.h
@@ -25,7 +25,7 @@
   /// Engines above this quantile of requests in flight are hot.
   double hotQuantile = 0.84;
   /// Recent answers that the quantile is taken of.
-  std::size_t history = 128;
+  std::size_t historySize = 128;
 };
 
 class ProbePoolPolicy final : public RoutingPolicy {
@@ -35,12 +35,12 @@
   void choose(RouteQuery query, RouteCallback callback) override;
   void onDispatched(const RouteQuery& query, const RouteDecision& decision) override;
   void onFinished(base::EngineId /*engine*/, std::uint32_t /*promptTokens*/,
-                  std::uint32_t /*cachedTokens*/, base::Duration /*firstTokenAfter*/) override {}
+                  std::uint32_t /*cachedTokens*/, base::Duration /*timeToFirstToken*/) override {}
 
  private:
   struct Probe {
     base::EngineId engine;
-    base::TimePoint at{};
+    base::TimePoint receivedAt{};
     std::uint32_t requests = 0;
     /// Prompt tokens queued, the measure of latency.
     std::uint64_t queuedTokens = 0;
@@ -48,7 +48,7 @@
   };
 
   void sendProbes(const std::vector<const EngineState*>& engines);
-  void onProbe(base::EngineId engine, const clients::EngineReport& report);
+  void onProbeReply(base::EngineId engine, const clients::EngineReport& report);
   void expireProbes();
   std::uint32_t hotThreshold() const;
   /// Index in the pool of the best probe of a qualifying engine.
@@ -57,7 +57,7 @@
   PolicyEnvironment environment_;
   ProbePoolOptions options_;
   std::vector<Probe> pool_;
-  std::deque<std::uint32_t> seenRequests_;
+  std::deque<std::uint32_t> recentRequestCounts_;
   std::map<base::EngineId, std::uint64_t> nextSequence_;
   std::shared_ptr<bool> lifetime_ = std::make_shared<bool>(true);
 };
--- a/src/routing/queue_estimate.cc
+++ b/src/routing/queue_estimate.cc
@@ -5,22 +5,22 @@
 
 namespace covewing::routing {
 
-void QueueEstimate::compute(Work& work, base::Duration span) const {
-  double left = options_.prefillTokensPerSecond * base::toSeconds(span);
+void QueueEstimate::compute(WorkByPriority& work, base::Duration span) const {
+  double remaining = options_.prefillTokensPerSecond * base::toSeconds(span);
   for (double& tokens : work) {
-    const double computed = std::min(tokens, left);
+    const double computed = std::min(tokens, remaining);
     tokens -= computed;
-    left -= computed;
+    remaining -= computed;
   }
 }
 
 void QueueEstimate::onReport(const clients::EngineLoad& load, base::TimePoint now) {
   const auto sampledAt = now - options_.reportLag;
   if (sampledAt <= sampledAt_) return;
-  while (!dispatches_.empty() && dispatches_.front().at <= sampledAt) {
+  while (!dispatches_.empty() && dispatches_.front().announcedAt <= sampledAt) {
     const Dispatch& dispatch = dispatches_.front();
-    compute(replayed_, dispatch.at - sampledAt_);
-    sampledAt_ = dispatch.at;
+    compute(replayed_, dispatch.announcedAt - sampledAt_);
+    sampledAt_ = dispatch.announcedAt;
     replayed_.at(static_cast<std::size_t>(dispatch.priority)) += dispatch.tokens;
     dispatches_.pop_front();
   }
@@ -29,15 +29,15 @@
   load_ = load;
   for (std::size_t index = 0; index < bounded_.size(); ++index) {
     const auto reported = static_cast<double>(load.queuedPrefillTokens.at(index));
-    const double least = options_.waitingTokens * load.waiting.at(index);
+    const double minimum = options_.waitingTokens * load.waiting.at(index);
     replayed_.at(index) = std::min(replayed_.at(index), reported);
-    bounded_.at(index) = std::min(std::max(replayed_.at(index), least), reported);
+    bounded_.at(index) = std::min(std::max(replayed_.at(index), minimum), reported);
   }
 }
 
 void QueueEstimate::onDispatched(base::PriorityClass priority, std::uint32_t uncachedTokens,
                                  base::TimePoint now) {
-  while (!dispatches_.empty() && now - dispatches_.front().at > options_.dispatchMemory)
+  while (!dispatches_.empty() && now - dispatches_.front().announcedAt > options_.dispatchRetention)
     dispatches_.pop_front();
   dispatches_.push_back({now, priority, uncachedTokens});
 }
@@ -50,11 +50,11 @@
 }
 
 std::uint64_t QueueEstimate::tokensAhead(base::PriorityClass priority, base::TimePoint now) const {
-  Work work = bounded_;
+  WorkByPriority work = bounded_;
   base::TimePoint at = sampledAt_;
   for (const auto& dispatch : dispatches_) {
-    compute(work, dispatch.at - at);
-    at = dispatch.at;
+    compute(work, dispatch.announcedAt - at);
+    at = dispatch.announcedAt;
     work.at(static_cast<std::size_t>(dispatch.priority)) += dispatch.tokens;
   }
   compute(work, now - at);
--- a/src/routing/queue_estimate.h
+++ b/src/routing/queue_estimate.h
@@ -21,7 +21,7 @@
   /// How old a load report is on arrival.
   base::Duration reportLag = std::chrono::milliseconds(375);
   /// Work not seen in a report for this long is over or was never there.
-  base::Duration dispatchMemory = std::chrono::seconds(5);
+  base::Duration dispatchRetention = std::chrono::seconds(5);
   /// Least work that a request stands for which a report shows waiting, in tokens: where the replay
   /// says that all is done, requests wait for memory.
   double waitingTokens = 2000;
@@ -43,22 +43,22 @@
 
  private:
   struct Dispatch {
-    base::TimePoint at;
+    base::TimePoint announcedAt;
     base::PriorityClass priority = base::PriorityClass::kStandard;
     std::uint32_t tokens = 0;
   };
 
   /// Prompt tokens by priority class.
-  using Work = std::array<double, base::kPriorityClassCount>;
+  using WorkByPriority = std::array<double, base::kPriorityClassCount>;
 
   /// Computes for `span`, the most important class first.
-  void compute(Work& work, base::Duration span) const;
+  void compute(WorkByPriority& work, base::Duration span) const;
 
   QueueEstimateOptions options_;
   clients::EngineLoad load_;
   /// Announced work that was left when the reported load was true, and that work bounded by it.
-  Work replayed_{};
-  Work bounded_{};
+  WorkByPriority replayed_{};
+  WorkByPriority bounded_{};
   base::TimePoint sampledAt_{};
   /// Later than `sampledAt_`.
   std::deque<Dispatch> dispatches_;
--- a/src/routing/round_robin_policy.cc
+++ b/src/routing/round_robin_policy.cc
@@ -7,7 +7,7 @@
 void RoundRobinPolicy::choose(RouteQuery query, RouteCallback callback) {
   const auto engines = qualifyingEngines(environment_.fleet, query);
   if (engines.empty()) return callback(noEngine(query));
-  callback(decideFor(*engines[turn_++ % engines.size()]));
+  callback(decideFor(*engines[nextIndex_++ % engines.size()]));
 }
 
 }  // namespace covewing::routing
--- a/src/routing/round_robin_policy.h
+++ b/src/routing/round_robin_policy.h
@@ -13,11 +13,11 @@
   void choose(RouteQuery query, RouteCallback callback) override;
   void onDispatched(const RouteQuery& /*query*/, const RouteDecision& /*decision*/) override {}
   void onFinished(base::EngineId /*engine*/, std::uint32_t /*promptTokens*/,
-                  std::uint32_t /*cachedTokens*/, base::Duration /*firstTokenAfter*/) override {}
+                  std::uint32_t /*cachedTokens*/, base::Duration /*timeToFirstToken*/) override {}
 
  private:
   PolicyEnvironment environment_;
-  std::uint64_t turn_ = 0;
+  std::uint64_t nextIndex_ = 0;
 };
 
 }  // namespace covewing::routing
--- a/src/routing/routing_policy.h
+++ b/src/routing/routing_policy.h
@@ -75,7 +75,7 @@
   /// Feedback: the request went to the engine, and later ended there.
   virtual void onDispatched(const RouteQuery& query, const RouteDecision& decision) = 0;
   virtual void onFinished(base::EngineId engine, std::uint32_t promptTokens,
-                          std::uint32_t cachedTokens, base::Duration firstTokenAfter) = 0;
+                          std::uint32_t cachedTokens, base::Duration timeToFirstToken) = 0;
 };
 
 /// True for engines that may take the query: right weights, serving, live, not leaving, not
--- a/src/routing/routing_service.cc
+++ b/src/routing/routing_service.cc
@@ -14,7 +14,7 @@
 
 CacheLookupOptions lookupOptions(const RoutingOptions& options) {
   CacheLookupOptions result = options.lookup;
-  result.ownIndexOnly = directoryOptions(options).pollScope == PollScope::kAllEngines;
+  result.localIndexOnly = directoryOptions(options).pollScope == PollScope::kAllEngines;
   return result;
 }
 
--- a/src/routing/routing_service.h
+++ b/src/routing/routing_service.h
@@ -18,13 +18,13 @@
 namespace covewing::routing {
 
 /// Builds a policy that is not in the factory, such as one that only experiments may use.
-using PolicyMaker = std::function<std::unique_ptr<RoutingPolicy>(PolicyEnvironment)>;
+using PolicyFactory = std::function<std::unique_ptr<RoutingPolicy>(PolicyEnvironment)>;
 
 struct RoutingOptions {
   /// Checked with `policyNames` before; an unknown name falls back to the shipped policy.
   std::string policy{kDefaultPolicy};
   /// Used in place of `policy` where set.
-  PolicyMaker makePolicy;
+  PolicyFactory makePolicy;
   EngineDirectoryOptions directory;
   CacheIndexHomeOptions home;
   CacheLookupOptions lookup;
--- a/tests/routing/cache_messages_test.cc
+++ b/tests/routing/cache_messages_test.cc
@@ -27,7 +27,7 @@
 LookupReply makeReply(const LookupRequest& request) {
   LookupReply reply;
   reply.lookupId = request.lookupId;
-  reply.sharedBlocks = 640;
+  reply.recentlyRequestedBlocks = 640;
   reply.exportedBlocks = 320;
   for (const auto engine : request.engines)
     reply.entries.push_back({engine, true, true, 512, 12'000, 33, 2});
@@ -58,7 +58,7 @@
   const auto* reply = std::get_if<LookupReply>(&*message);
   BOOST_REQUIRE(reply != nullptr);
   BOOST_REQUIRE(reply->entries.size() == 3U);
-  BOOST_TEST(reply->sharedBlocks == 640U);
+  BOOST_TEST(reply->recentlyRequestedBlocks == 640U);
   BOOST_TEST(reply->exportedBlocks == 320U);
   BOOST_TEST(reply->entries[2].known);
   BOOST_TEST(reply->entries[2].doubtful);
--- a/tests/routing/cache_stores_test.cc
+++ b/tests/routing/cache_stores_test.cc
@@ -70,12 +70,12 @@
 }
 
 BOOST_AUTO_TEST_CASE(ChangesOfTheOwnWatchAreToldOnce) {
-  std::vector<bool> told;
+  std::vector<bool> notified;
   stores.onLocalAvailabilityChanged(
-      [&told](const std::string& /*name*/, bool value) { told.push_back(value); });
-  for (const bool answered : {true, true, false, false, true})
-    stores.setLocalAvailability(one, answered);
-  BOOST_TEST(told == (std::vector<bool>{true, false, true}), boost::test_tools::per_element());
+      [&notified](const std::string& /*name*/, bool value) { notified.push_back(value); });
+  for (const bool available : {true, true, false, false, true})
+    stores.setLocalAvailability(one, available);
+  BOOST_TEST(notified == (std::vector<bool>{true, false, true}), boost::test_tools::per_element());
 }
 
 BOOST_AUTO_TEST_CASE(AnotherTableKeepsWhatIsKnown) {
--- a/tests/routing/cache_watch_test.cc
+++ b/tests/routing/cache_watch_test.cc
@@ -82,7 +82,7 @@
   /// A node that watches as soon as it is in line.
   static CacheWatchOptions atOnce() {
     CacheWatchOptions options;
-    options.settle = {};
+    options.eligibilityDelay = {};
     return options;
   }
   CacheWatch watch{atOnce(),
@@ -134,7 +134,7 @@
                    [](const std::string& /*service*/) { return 3U; });
     one.start();
     time.advance(seconds(3));
-    watchers += one.watched();
+    watchers += one.watchCount();
   }
   BOOST_TEST(watchers == 2U);
 }
@@ -261,7 +261,7 @@
   members.members.push_back(FakeMembers::member("another"));
   time.advance(seconds(1));
   const bool home = ReplicaHomes(members).isAmongFirst(base::engineIdOf("r1"), {}, 1);
-  BOOST_TEST(watch.watched() == (home ? 1U : 0U));
+  BOOST_TEST(watch.watchCount() == (home ? 1U : 0U));
 }
 
 BOOST_AUTO_TEST_CASE(ReplicaThatNoLongerNamesALimitIsWatchedAgainAtOnce) {
--- a/tests/routing/engine_homes_test.cc
+++ b/tests/routing/engine_homes_test.cc
@@ -66,8 +66,8 @@
 }
 
 BOOST_AUTO_TEST_CASE(LargeFleetsHaveOneHomeAnEngine) {
-  BOOST_TEST(homesPerEngine(kNodesForOneHome - 1) == kHomesPerEngine);
-  BOOST_TEST(homesPerEngine(kNodesForOneHome) == 1U);
+  BOOST_TEST(homesPerEngine(kSingleHomeMinimumNodes - 1) == kHomesPerEngine);
+  BOOST_TEST(homesPerEngine(kSingleHomeMinimumNodes) == 1U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/routing/fakes.h
+++ b/tests/routing/fakes.h
@@ -72,12 +72,12 @@
             std::function<void(std::optional<clients::EngineReport>)> callback) override {
     ++polls;
     polledFrom[engine.name] = fromSequence;
-    answer(reports, engine, std::move(callback));
+    reply(reports, engine, std::move(callback));
   }
   void snapshot(const clients::BackEndAddress& engine,
                 std::function<void(std::optional<clients::EngineReport>)> callback) override {
     ++snapshotRequests;
-    answer(snapshots, engine, std::move(callback));
+    reply(snapshots, engine, std::move(callback));
   }
   void order(const clients::BackEndAddress& /*engine*/, clients::EngineOrder /*order*/,
              std::function<void(clients::OrderReply)> callback) override {
@@ -91,9 +91,9 @@
   std::uint64_t snapshotRequests = 0;
 
  private:
-  void answer(const std::map<std::string, clients::EngineReport>& source,
-              const clients::BackEndAddress& engine,
-              std::function<void(std::optional<clients::EngineReport>)> callback) {
+  void reply(const std::map<std::string, clients::EngineReport>& source,
+             const clients::BackEndAddress& engine,
+             std::function<void(std::optional<clients::EngineReport>)> callback) {
     const auto found = source.find(engine.name);
     auto report = found == source.end() ? std::nullopt : std::optional(found->second);
     time_.schedule(std::chrono::milliseconds(1),
--- a/tests/routing/load_exchange_test.cc
+++ b/tests/routing/load_exchange_test.cc
@@ -54,7 +54,7 @@
            std::vector<membership::Member> ownFirst)
       : members(std::move(ownFirst)),
         link(network, {members.self().id, 1, members.self().endpoint}),
-        sharing(std::make_unique<LoadExchange>(
+        exchange(std::make_unique<LoadExchange>(
             LoadExchangeOptions{},
             LoadExchangeEnvironment{time, time, log, link, members, replicas, fleet})) {
     for (std::size_t number = 0; number < kReplicas; ++number) {
@@ -71,18 +71,18 @@
   Link link;
   ReplicaDirectory replicas;
   FleetLoad fleet;
-  std::unique_ptr<LoadExchange> sharing;
+  std::unique_ptr<LoadExchange> exchange;
 };
 
 void Link::send(const base::Endpoint& destination, base::Channel channel, std::string payload) {
   ++network_.sent;
   if (channel != base::Channel::kReplicaLoad || network_.random.unit() < network_.loss) return;
-  auto& sharing = network_.nodes.at(destination.address)->sharing;
-  if (sharing) sharing->onPeerMessage(self_, payload);
+  auto& exchange = network_.nodes.at(destination.address)->exchange;
+  if (exchange) exchange->onPeerMessage(self_, payload);
 }
 
-struct SharingFixture {
-  SharingFixture() { time.advance(seconds(100)); }
+struct ExchangeFixture {
+  ExchangeFixture() { time.advance(seconds(100)); }
 
   void build(std::size_t count) {
     std::vector<membership::Member> members;
@@ -95,15 +95,15 @@
       std::swap(ownFirst.front(), ownFirst[number]);
       network.nodes.push_back(std::make_unique<LoadNode>(time, log, network, ownFirst));
     }
-    for (auto& node : network.nodes) node->sharing->start();
+    for (auto& node : network.nodes) node->exchange->start();
   }
 
   LoadNode& node(std::size_t number) { return *network.nodes.at(number); }
-  ReplicaLoad othersAt(std::size_t viewer, std::size_t replica) {
+  ReplicaLoad recordedLoadOfOthers(std::size_t viewer, std::size_t replica) {
     return node(viewer).fleet.loadOfOtherNodes(replicaId(replica), time.now());
   }
   /// What all nodes but one have under way in truth.
-  ReplicaLoad trueOthers(std::size_t viewer, std::size_t replica) {
+  ReplicaLoad actualLoadOfOthers(std::size_t viewer, std::size_t replica) {
     ReplicaLoad sum;
     for (std::size_t number = 0; number < network.nodes.size(); ++number) {
       if (number != viewer) sum += node(number).record(replica).ownLoad();
@@ -118,7 +118,7 @@
 
 }  // namespace
 
-BOOST_FIXTURE_TEST_SUITE(LoadSharingTest, SharingFixture)
+BOOST_FIXTURE_TEST_SUITE(LoadSharingTest, ExchangeFixture)
 
 BOOST_AUTO_TEST_CASE(WorkOfOtherNodesIsKnownWithinTwoIntervals) {
   build(3);
@@ -126,11 +126,11 @@
   node(2).record(0).onDispatched(100);
   node(2).record(0).addPendingPrefill(30);
   time.advance(milliseconds(100));
-  BOOST_TEST((othersAt(0, 0) == ReplicaLoad{2, 1000, 30}));
-  BOOST_TEST((othersAt(1, 0) == ReplicaLoad{1, 100, 30}));
+  BOOST_TEST((recordedLoadOfOthers(0, 0) == ReplicaLoad{2, 1000, 30}));
+  BOOST_TEST((recordedLoadOfOthers(1, 0) == ReplicaLoad{1, 100, 30}));
   node(1).record(0).onFinished(900);
   time.advance(milliseconds(100));
-  BOOST_TEST(othersAt(0, 0).tokens == 100U);
+  BOOST_TEST(recordedLoadOfOthers(0, 0).tokens == 100U);
 }
 
 BOOST_AUTO_TEST_CASE(NothingIsSentWhileNothingChangesButTheRepetition) {
@@ -146,10 +146,10 @@
   node(1).record(0).onDispatched(900);
   time.advance(milliseconds(100));
   BOOST_TEST(node(0).fleet.reportingNodes(time.now()) == 2U);
-  node(1).sharing.reset();
+  node(1).exchange.reset();
   time.advance(seconds(3));
   BOOST_TEST(node(0).fleet.reportingNodes(time.now()) == 1U);
-  BOOST_TEST(othersAt(0, 0).requests == 0U);
+  BOOST_TEST(recordedLoadOfOthers(0, 0).requests == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(NewsOfAnEarlierRunAreDropped) {
@@ -159,9 +159,9 @@
   fleet.onUpdate(sender, 5, 9, {{replicaId(0), {3, 30, {}}}}, time.now());
   fleet.onUpdate(sender, 5, 8, {{replicaId(0), {7, 70, {}}}}, time.now());
   fleet.onUpdate(sender, 4, 10, {{replicaId(0), {8, 80, {}}}}, time.now());
-  BOOST_TEST(othersAt(0, 0).requests == 3U);
+  BOOST_TEST(recordedLoadOfOthers(0, 0).requests == 3U);
   fleet.onUpdate(sender, 6, 1, {}, time.now());
-  BOOST_TEST(othersAt(0, 0).requests == 0U);
+  BOOST_TEST(recordedLoadOfOthers(0, 0).requests == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(MessagesANodeSendsAreBoundedHoweverManyNodesThereAre) {
@@ -187,7 +187,7 @@
 
 BOOST_AUTO_TEST_CASE(MalformedNewsAreDropped) {
   build(2);
-  node(0).sharing->onPeerMessage({base::nodeIdOf("x"), 1, {}}, "nonsense");
+  node(0).exchange->onPeerMessage({base::nodeIdOf("x"), 1, {}}, "nonsense");
   BOOST_TEST(log.count(base::Event::kMessageRejected) == 1U);
   BOOST_TEST(!decodeLoadUpdate("").has_value());
 }
@@ -198,16 +198,16 @@
   build(5);
   base::SeededRandom random{11};
   network.loss = 0.4;
-  std::map<std::pair<std::size_t, std::size_t>, std::uint32_t> underWay;
+  std::map<std::pair<std::size_t, std::size_t>, std::uint32_t> inFlight;
   for (int step = 0; step < 400; ++step) {
-    const auto who = random.below(5);
+    const auto sender = random.below(5);
     const auto replica = random.below(kReplicas);
-    auto& count = underWay[{who, replica}];
+    auto& count = inFlight[{sender, replica}];
     if (count > 0 && random.below(2) == 0) {
-      node(who).record(replica).onFinished(100);
+      node(sender).record(replica).onFinished(100);
       --count;
     } else {
-      node(who).record(replica).onDispatched(100);
+      node(sender).record(replica).onDispatched(100);
       ++count;
     }
     time.advance(milliseconds(20));
@@ -216,7 +216,7 @@
   time.advance(milliseconds(1100));
   for (std::size_t viewer = 0; viewer < 5; ++viewer) {
     for (std::size_t replica = 0; replica < kReplicas; ++replica)
-      BOOST_TEST((othersAt(viewer, replica) == trueOthers(viewer, replica)));
+      BOOST_TEST((recordedLoadOfOthers(viewer, replica) == actualLoadOfOthers(viewer, replica)));
   }
 }
 
--- a/tests/routing/machine_list_watch_test.cc
+++ b/tests/routing/machine_list_watch_test.cc
@@ -30,10 +30,10 @@
   testing::FakeMembers members{{makeMember("node-a", "north")}};
   testing::FakeRecords records;
   MachineListWatch watch{{}, {time, time, random, machines, members, records}, *this};
-  std::map<std::string, clients::Machine> seen;
+  std::map<std::string, clients::Machine> observed;
 
-  void onMachine(const clients::Machine& machine) override { seen[machine.name] = machine; }
-  void onMachineGone(const clients::Machine& machine) override { seen.erase(machine.name); }
+  void onMachine(const clients::Machine& machine) override { observed[machine.name] = machine; }
+  void onMachineRemoved(const clients::Machine& machine) override { observed.erase(machine.name); }
 
   void growFleet(std::size_t nodes) {
     std::vector<membership::Member> all;
@@ -42,9 +42,9 @@
     }
     members.set(all);
   }
-  void tell(const clients::Machine& machine, bool gone, std::uint64_t version) {
+  void deliverRecord(const clients::Machine& machine, bool removed, std::uint64_t version) {
     records.deliver({std::string(kMachineRecordPrefix) + machine.name, version,
-                     encodeMachineRecord({machine, gone})});
+                     encodeMachineRecord({machine, removed})});
   }
 };
 
@@ -55,10 +55,10 @@
 BOOST_AUTO_TEST_CASE(WhatIsFoundAtTheStartIsNotSpread) {
   machines.list.machines->push_back(makeEngineMachine("rules-1", "north"));
   watch.start();
-  BOOST_TEST(!watch.known());
+  BOOST_TEST(!watch.hasReadList());
   time.advance(100ms);
-  BOOST_TEST(watch.known());
-  BOOST_TEST(seen.size() == 1U);
+  BOOST_TEST(watch.hasReadList());
+  BOOST_TEST(observed.size() == 1U);
   BOOST_TEST(records.published.empty());
 }
 
@@ -68,13 +68,13 @@
   time.advance(100ms);
   machines.list.machines->front().state = clients::MachineState::kLeaving;
   time.advance(3s);
-  BOOST_TEST((seen.at("rules-1").state == clients::MachineState::kLeaving));
+  BOOST_TEST((observed.at("rules-1").state == clients::MachineState::kLeaving));
   BOOST_REQUIRE(records.published.size() == 1U);
   time.advance(20s);
   BOOST_TEST(records.published.size() == 1U);
   machines.list.machines->clear();
   time.advance(3s);
-  BOOST_TEST(seen.empty());
+  BOOST_TEST(observed.empty());
   BOOST_REQUIRE(records.published.size() == 2U);
   BOOST_TEST(records.published[1].version > records.published[0].version);
 }
@@ -97,14 +97,14 @@
   auto machine = makeEngineMachine("pairings-1", "north");
   machine.kind = clients::MachineKind::kApplication;
   machine.application = "pairings";
-  tell(machine, false, 1);
-  BOOST_REQUIRE(seen.contains("pairings-1"));
-  BOOST_TEST((seen.at("pairings-1") == machine));
-  tell(machine, true, 2);
-  BOOST_TEST(seen.empty());
+  deliverRecord(machine, false, 1);
+  BOOST_REQUIRE(observed.contains("pairings-1"));
+  BOOST_TEST((observed.at("pairings-1") == machine));
+  deliverRecord(machine, true, 2);
+  BOOST_TEST(observed.empty());
   // Older news changes nothing.
-  tell(machine, false, 1);
-  BOOST_TEST(seen.empty());
+  deliverRecord(machine, false, 1);
+  BOOST_TEST(observed.empty());
 }
 
 BOOST_AUTO_TEST_CASE(NewsWinsOverALaggingListAndThenTheListWins) {
@@ -113,12 +113,12 @@
   time.advance(100ms);
   auto leaving = makeEngineMachine("rules-1", "north");
   leaving.state = clients::MachineState::kLeaving;
-  tell(leaving, false, 1);
+  deliverRecord(leaving, false, 1);
   time.advance(8s);
-  BOOST_TEST((seen.at("rules-1").state == clients::MachineState::kLeaving));
+  BOOST_TEST((observed.at("rules-1").state == clients::MachineState::kLeaving));
   BOOST_TEST(records.published.empty());
   time.advance(6s);
-  BOOST_TEST((seen.at("rules-1").state == clients::MachineState::kLive));
+  BOOST_TEST((observed.at("rules-1").state == clients::MachineState::kLive));
   BOOST_REQUIRE(records.published.size() == 1U);
   BOOST_TEST(records.published[0].version == 2U);
 }
@@ -127,7 +127,7 @@
   watch.start();
   records.deliver({std::string(kMachineRecordPrefix) + "rules-1", 1, "nonsense"});
   records.deliver({std::string(kMachineRecordPrefix) + "rules-1", 2, ""});
-  BOOST_TEST(seen.empty());
+  BOOST_TEST(observed.empty());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
