--- a/src/routing/cache_index_home.cc
+++ b/src/routing/cache_index_home.cc
@@ -6,12 +6,13 @@
 
 namespace {
 
-/// Resolution of the stamps in the tables of asked and exported checkpoints; 16 bits last 18 hours.
+/// Resolution of the time stamps in the tables of requested and exported checkpoints. At this
+/// resolution, 16 bits cover 18 hours.
 constexpr base::Duration kStampUnit = std::chrono::seconds(1);
 constexpr std::size_t kBytesPerSnapshotBlock = sizeof(std::uint64_t);
-/// Reports older than this say nothing about load and cache any more.
+/// Older reports are no longer valid evidence of an engine's load and cache contents.
 constexpr base::Duration kReportLifetime = std::chrono::seconds(5);
-/// An engine without reports for this long is followed by other homes now.
+/// An engine without reports for this long has other homes by now and is no longer tracked here.
 constexpr base::Duration kTrackingTimeout = std::chrono::seconds(30);
 constexpr double kJitter = 0.2;
 
@@ -201,7 +202,8 @@
   for (auto& [shortId, tracked] : trackedEngines_) {
     const EngineState* state = environment_.directory.find(tracked.id);
     if (!tracked.index.resyncDue() || state == nullptr || state->unreachable) continue;
-    // After a start a node takes itself for the home of engines that others turn out to be.
+    // Until a starting node has discovered the other members, it considers itself the home of
+    // engines that belong to other homes.
     if (!environment_.directory.polls(tracked.id)) continue;
     resyncOutstanding_ = true;
     environment_.engines.snapshot(state->address,
--- a/src/routing/cache_index_home.h
+++ b/src/routing/cache_index_home.h
@@ -1,7 +1,7 @@
 /// \file
-/// The part of a node that is a home of some engines: it keeps their cache index and queue
-/// estimates from the reports that the engine directory polls, answers routers' lookups, and asks
-/// engines for snapshots, paced, where events were lost.
+/// The component of a node that acts as the home of some engines. It maintains their cache index
+/// and queue estimates from the reports that the engine directory polls, serves the lookups of
+/// routers, and requests rate-limited snapshots from engines whose events were lost.
 #pragma once
 
 #include <cstdint>
@@ -26,19 +26,20 @@
 struct CacheIndexHomeOptions {
   CacheIndexOptions index;
   QueueEstimateOptions queue;
-  /// Wait for memory where a prompt does not fit, in prompt tokens: at least, and for each block
-  /// that is missing.
+  /// Expected wait for cache memory if a prompt does not fit, expressed in prompt tokens: a fixed
+  /// part, and a part for each missing block.
   double memoryWaitTokens = 1000;
   double memoryWaitTokensPerBlock = 1;
-  /// Time between two rounds of expiry and resync.
+  /// Interval between two maintenance passes, each of which expires entries and starts a resync if
+  /// one is due.
   base::Duration maintenanceInterval = std::chrono::milliseconds(250);
-  /// Mean rate of snapshot bytes that this node asks for.
+  /// Average rate, in bytes per second, of the snapshots that this node requests.
   double resyncBytesPerSecond = 32'768;
-  /// A lookup waits this long for the announcement that belongs to it.
+  /// How long a lookup is retained for the dispatch notice that belongs to it.
   base::Duration lookupRetention = std::chrono::seconds(2);
-  /// How long a prefix counts as lately asked for.
+  /// How long a prefix counts as recently requested after a lookup.
   base::Duration recentRequestWindow = std::chrono::seconds(60);
-  /// How long an export is believed to be in the store.
+  /// How long an exported block is assumed to remain in the external KV cache store.
   base::Duration exportRetention = std::chrono::seconds(60);
 };
 
@@ -51,7 +52,7 @@
   EngineDirectory& directory;
 };
 
-/// Counts for metrics and measurements.
+/// Counters for metrics and measurements.
 struct CacheIndexHomeCounters {
   std::uint64_t lookups = 0;
   std::uint64_t gaps = 0;
@@ -68,7 +69,8 @@
 
   void start();
 
-  /// Answers for the engines that this node follows; others are marked as not known.
+  /// Returns the state of the requested engines. Engines that this node does not track, that are
+  /// unreachable, or for which it has no current report, are marked as not known.
   LookupReply handleLookup(base::NodeId requester, const LookupRequest& request);
   void onDispatch(base::NodeId router, const DispatchNotice& notice);
 
@@ -97,7 +99,8 @@
   };
 
   TrackedEngine* find(ShortEngineId engine);
-  /// Tokens computed ahead, and the wait for memory in the same unit.
+  /// Prompt tokens to be computed before the request, plus the expected wait for memory in the same
+  /// unit.
   std::uint32_t tokensAhead(TrackedEngine& tracked, const LookupRequest& request,
                             std::uint32_t matchedBlocks) const;
   LookupEntry entryFor(ShortEngineId engine, const LookupRequest& request);
@@ -117,7 +120,7 @@
   CacheIndexHomeEnvironment environment_;
   std::map<ShortEngineId, TrackedEngine> trackedEngines_;
   std::deque<PendingLookup> lookups_;
-  /// Checkpoints of lookups, and of exports, stamped with their time.
+  /// Checkpoints of recent lookups and of exported blocks, each marked with its time.
   prefix::BlockTable requested_;
   prefix::BlockTable exported_;
   bool resyncOutstanding_ = false;
--- a/src/routing/cache_lookup.h
+++ b/src/routing/cache_lookup.h
@@ -1,5 +1,5 @@
 /// \file
-/// Questions of a routing policy about engines' caches and queues.
+/// Interface through which a routing policy queries the caches and queues of engines.
 #pragma once
 
 #include <cstdint>
@@ -12,14 +12,14 @@
 
 namespace covewing::routing {
 
-/// What is known of one engine for one prompt.
+/// Cache and queue state of one engine with respect to one prompt.
 struct EngineLookupResult {
   base::EngineId engine;
-  /// A home answered; otherwise the fields below are zero.
+  /// True if a home replied for this engine; otherwise the fields below are zero.
   bool known = false;
   bool doubtful = false;
   std::uint32_t matchedBlocks = 0;
-  /// Prompt tokens computed before a request of the asked priority.
+  /// Prompt tokens that the engine will compute before a request of the given priority.
   std::uint64_t tokensAhead = 0;
   std::uint32_t requests = 0;
   base::Incarnation incarnation = 0;
@@ -27,11 +27,11 @@
 
 struct LookupResult {
   std::uint64_t lookupId = 0;
-  /// Leading blocks that other requests asked for lately.
+  /// Number of leading blocks of the prompt that other requests contained recently.
   std::uint32_t recentlyRequestedBlocks = 0;
-  /// Leading blocks believed to be in the store of kept KV cache.
+  /// Number of leading blocks that are estimated to be in the external KV cache store.
   std::uint32_t exportedBlocks = 0;
-  /// One element for each engine asked about, in that order.
+  /// One element for each requested engine, in the order of the request.
   std::vector<EngineLookupResult> engines;
 };
 
@@ -40,11 +40,11 @@
 class CacheLookup {
  public:
   virtual ~CacheLookup() = default;
-  /// Answers exactly once, within the configured timeout; from inside the call where nothing must
-  /// be asked of other nodes.
+  /// Invokes `callback` exactly once, within the configured timeout. The call is made before this
+  /// function returns if no other node has to be queried.
   virtual void lookup(base::PriorityClass priority, const std::vector<base::EngineId>& engines,
                       const prefix::Checkpoints& checkpoints, LookupCallback callback) = 0;
-  /// Announces the dispatch that follows from a lookup.
+  /// Announces to the engine's home that the request of the lookup was dispatched to `engine`.
   virtual void announce(std::uint64_t lookupId, base::EngineId engine, base::PriorityClass priority,
                         std::uint32_t uncachedTokens) = 0;
 };
--- a/src/routing/cache_lookup_client.cc
+++ b/src/routing/cache_lookup_client.cc
@@ -15,7 +15,7 @@
 
 CacheLookupClient::~CacheLookupClient() = default;
 
-// --- asking
+// --- queries
 
 bool CacheLookupClient::isBackingOff(base::NodeId home) const {
   const auto found = backOffUntil_.find(home);
@@ -112,7 +112,7 @@
   environment_.peers.send(destination.endpoint, base::Channel::kCacheIndex, std::move(payload));
 }
 
-// --- answers
+// --- replies
 
 void CacheLookupClient::onPeerMessage(const base::PeerIdentity& sender, std::string_view payload) {
   counters_.bytesReceived += payload.size();
--- a/src/routing/cache_lookup_client.h
+++ b/src/routing/cache_lookup_client.h
@@ -1,9 +1,10 @@
 /// \file
-/// Asks the homes of engines on behalf of the routing policy: one message a home, the first home
-/// unless it has just failed to answer, so that all announcements for an engine meet there (a
-/// second home has the same events but not the announcements, so even it asks the first). Bytes are
-/// bounded by a budget; beyond it, and for homes that do not answer in time, engines are answered
-/// as not known.
+/// Queries the homes of engines on behalf of the routing policy, with one message to each home. The
+/// first home of an engine is queried unless it has recently failed to reply, so that all
+/// announcements for an engine reach the same node. A second home receives the same cache events
+/// but not the announcements; therefore even a second home queries the first one. The bytes sent
+/// are limited by a budget. Engines are reported as not known if the budget is exhausted or their
+/// home does not reply in time.
 #pragma once
 
 #include <cstdint>
@@ -22,14 +23,15 @@
 namespace covewing::routing {
 
 struct CacheLookupOptions {
-  /// Answer everything from this node's own index and announce to no other node: the way of
-  /// policies that keep the whole index on each node.
+  /// Serve all lookups from this node's own index and announce nothing to other nodes. Used for
+  /// policies that keep the complete index on each node.
   bool localIndexOnly = false;
-  /// Longest wait for the homes' answers.
+  /// Maximum wait for the replies of the homes.
   base::Duration timeout = std::chrono::milliseconds(15);
-  /// A home that did not answer is passed over for this long.
+  /// A home that did not reply is not queried for this long.
   base::Duration unresponsiveHomeBackoff = std::chrono::seconds(1);
-  /// Bytes of lookups and announcements that this node sends a second on average, and at once.
+  /// Byte budget for the lookups and announcements that this node sends: average rate per second,
+  /// and maximum burst.
   double bytesPerSecond = 14'000;
   double burstBytes = 28'000;
 };
@@ -43,7 +45,7 @@
   CacheIndexHome& home;
 };
 
-/// Counts for metrics and measurements; bytes without the transport's frame.
+/// Counters for metrics and measurements. Byte counts exclude the transport's framing.
 struct CacheLookupCounters {
   std::uint64_t lookups = 0;
   std::uint64_t messagesSent = 0;
@@ -64,7 +66,8 @@
   void announce(std::uint64_t lookupId, base::EngineId engine, base::PriorityClass priority,
                 std::uint32_t uncachedTokens) override;
 
-  /// Every message of the cache-index channel; requests and announcements go to the home part.
+  /// Handles every message of the cache-index channel. Requests and announcements are passed on to
+  /// the local CacheIndexHome.
   void onPeerMessage(const base::PeerIdentity& sender, std::string_view payload) override;
 
   const CacheLookupCounters& counters() const { return counters_; }
@@ -76,7 +79,7 @@
     base::TimerId timer = 0;
     LookupCallback callback;
   };
-  /// Engines grouped by the home that is asked about them.
+  /// Engines grouped by the home that is to be queried about them.
   using EnginesByHome = std::map<base::NodeId, std::vector<ShortEngineId>>;
 
   EnginesByHome groupByHome(const std::vector<base::EngineId>& engines) const;
--- a/src/routing/cache_messages.cc
+++ b/src/routing/cache_messages.cc
@@ -28,7 +28,7 @@
   return bytes;
 }
 
-/// Empty where the bytes are not whole words.
+/// Returns an empty vector if the size of `bytes` is not a multiple of the word size.
 std::vector<std::uint32_t> unpackWords(std::string_view bytes) {
   if (bytes.size() % sizeof(std::uint32_t) != 0) return {};
   std::vector<std::uint32_t> words(bytes.size() / sizeof(std::uint32_t));
--- a/src/routing/cache_messages.h
+++ b/src/routing/cache_messages.h
@@ -1,7 +1,8 @@
 /// \file
-/// Messages on the cache-index channel: a router asks an engine's home, the home answers, and the
-/// router announces where it sent the request. Packed small, since control traffic has a budget a
-/// node: engines travel as the upper half of their id, numbers in as few bytes as they need.
+/// Messages of the cache-index channel: a router sends a lookup request to an engine's home, the
+/// home replies, and the router announces the engine to which it dispatched the request. The
+/// encoding is compact, since the control traffic of a node is limited by a budget: engines are
+/// identified by the upper half of their id, and integers take as few bytes as their value needs.
 #pragma once
 
 #include <cstdint>
@@ -17,15 +18,15 @@
 
 namespace covewing::routing {
 
-/// Short form of an engine's id on this channel.
+/// Shortened engine id that is used on this channel.
 using ShortEngineId = std::uint32_t;
 constexpr ShortEngineId shortIdOf(base::EngineId engine) {
   return static_cast<ShortEngineId>(engine.value >> 32U);
 }
 
-/// What a home knows of some engines and one prompt.
+/// Requests the state of some engines with respect to one prompt.
 struct LookupRequest {
-  /// Chosen by the router; the answer and the announcement carry it.
+  /// Chosen by the router; the reply and the dispatch notice carry the same id.
   std::uint64_t lookupId = 0;
   base::PriorityClass priority = base::PriorityClass::kStandard;
   std::vector<ShortEngineId> engines;
@@ -34,28 +35,30 @@
 
 struct LookupEntry {
   ShortEngineId engine = 0;
-  /// The home follows this engine and it answers; nothing else counts when false.
+  /// True if the home tracks this engine and the engine responds. If false, the other fields are
+  /// not valid.
   bool known = false;
   bool doubtful = false;
   std::uint32_t matchedBlocks = 0;
-  /// Prompt tokens computed before a request of the asked priority.
+  /// Prompt tokens that the engine will compute before a request of the given priority.
   std::uint32_t tokensAhead = 0;
-  /// Requests running or waiting there.
+  /// Number of requests that are running or waiting at the engine.
   std::uint32_t requests = 0;
   base::Incarnation incarnation = 0;
 };
 
 struct LookupReply {
   std::uint64_t lookupId = 0;
-  /// Leading blocks that other requests asked for lately: a prefix worth keeping.
+  /// Number of leading blocks that other requests contained recently, which makes the prefix worth
+  /// keeping.
   std::uint32_t recentlyRequestedBlocks = 0;
-  /// Leading blocks believed to be in the store of kept KV cache.
+  /// Number of leading blocks that are estimated to be in the external KV cache store.
   std::uint32_t exportedBlocks = 0;
   std::vector<LookupEntry> entries;
 };
 
-/// The request of `lookupId` went to `engine`: its blocks will be cached there and its uncached
-/// tokens are queued there.
+/// Announces that the request of `lookupId` was dispatched to `engine`, where its blocks will be
+/// cached and its uncached tokens are queued.
 struct DispatchNotice {
   std::uint64_t lookupId = 0;
   ShortEngineId engine = 0;
@@ -68,7 +71,7 @@
 std::string encode(const LookupRequest& request);
 std::string encode(const LookupReply& reply);
 std::string encode(const DispatchNotice& notice);
-/// Empty when the bytes are none of these messages.
+/// Empty if `bytes` is not a valid encoding of any of these messages.
 std::optional<CacheMessage> decodeCacheMessage(std::string_view bytes);
 
 }  // namespace covewing::routing
--- a/src/routing/cache_stores.cc
+++ b/src/routing/cache_stores.cc
@@ -9,7 +9,8 @@
 
 namespace {
 
-/// No replica has an instance of this form.
+/// Prefix of store names. No replica has an instance name of this form, so that the names of stores
+/// and replicas cannot collide.
 constexpr std::string_view kNamePrefix = "store/";
 
 }  // namespace
--- a/src/routing/cache_stores.h
+++ b/src/routing/cache_stores.h
@@ -1,9 +1,10 @@
 /// \file
-/// The stores of kept cache that replicas may save to and fetch from, and whether they answer.
+/// The external KV cache stores to which replicas may save prompt parts and from which they may
+/// fetch them, and the availability of these stores.
 ///
-/// Each part of a prompt has one store by rendezvous hashing, so that every node saves it to and
-/// seeks it at the same one, whether or not the node watches that store. Nodes that watch a store
-/// know at first hand whether it answers; the others go by what these tell.
+/// Rendezvous hashing assigns one store to each prompt part, so that all nodes save and look up the
+/// part at the same store, whether or not they watch that store. Nodes that watch a store observe
+/// its availability directly; other nodes rely on the reports of those that do.
 #pragma once
 
 #include <string>
@@ -16,38 +17,41 @@
 namespace covewing::routing {
 
 struct CacheStoreState {
-  /// Its name among the holders of cached parts.
+  /// Name of the store among the holders of cached prompt parts.
   std::string name;
   base::Endpoint endpoint;
   std::string zone;
   std::uint32_t eventWatchers = 0;
-  /// Whether it answered the last call of this node's watch; empty when this node does not watch
-  /// it.
+  /// Whether the last poll of the store by this node succeeded; empty if this node does not watch
+  /// the store.
   std::optional<bool> localAvailability;
-  /// Whether it answered other nodes, by their name.
+  /// Availability as reported by other nodes, by node name.
   std::map<std::string, bool, std::less<>> reportedAvailability;
 
-  /// This node's own knowledge, else what most other nodes say; false while nothing is known.
+  /// Returns this node's own observation if there is one, otherwise the majority of the reports of
+  /// other nodes. False if neither exists.
   bool available() const;
 };
 
 class CacheStores {
  public:
-  /// Takes the stores of a route table in force; what is known of those that stay is kept.
+  /// Replaces the stores by those of a route table in force. The state of stores that remain is
+  /// kept.
   void update(const config::RouteTable& table);
   const std::vector<CacheStoreState>& all() const { return stores_; }
   const CacheStoreState* find(std::string_view name) const;
-  /// What this node's own watch sees. The listener is told when it changes.
+  /// Records the result of this node's own poll of a store. Calls the listener if it changed.
   void setLocalAvailability(std::string_view name, bool available);
-  /// This node watches the store no longer.
+  /// Clears this node's own observation, since it no longer watches the store.
   void clearLocalAvailability(std::string_view name);
   void onLocalAvailabilityChanged(
       std::function<void(const std::string& name, bool available)> listener) {
     listener_ = std::move(listener);
   }
-  /// Another node says whether the store answers it.
+  /// Records the availability of a store as reported by another node.
   void onReportedAvailability(std::string_view name, std::string_view node, bool available);
-  /// The available store of a part; null when none is available.
+  /// Returns the store to use for a prompt part among the available ones; null if none is
+  /// available.
   const CacheStoreState* choose(std::uint64_t part) const;
 
  private:
--- a/src/routing/cache_watch.cc
+++ b/src/routing/cache_watch.cc
@@ -54,7 +54,7 @@
   Targets targets;
   for (const auto& [instance, record] : environment_.replicas.all()) {
     const auto& facts = record->facts();
-    // What lists no model keeps no cache of prompts.
+    // A replica that lists no models has no prompt cache.
     if (facts.models.empty()) continue;
     const auto limit = watcherLimit_(facts.service);
     const bool watches =
--- a/src/routing/cache_watch.h
+++ b/src/routing/cache_watch.h
@@ -1,17 +1,18 @@
 /// \file
-/// Keeps PrefixHolders current by watching the cache events of replicas and of stores of kept
-/// cache.
+/// Keeps PrefixHolders up to date by watching the cache events of replicas and of external KV cache
+/// stores.
 ///
-/// Each of them lets a bounded number of callers watch it. Where there are more nodes than that, a
-/// replica or store is watched by its home and the node next in line (routing/replica_homes.h): who
-/// sends a request there asks the home.
+/// Each replica or store accepts a limited number of watchers. If there are more nodes than that, a
+/// replica or store is watched by its home and by the next node in the home order
+/// (routing/replica_homes.h). Nodes that send requests there query the home.
 ///
-/// A new watcher is sent all events that the replica still keeps, some hundred kilobytes. So a node
-/// begins to watch only when it has been in line for a while: a node that has just started sees
-/// itself alone at first, and one that restarts is back in a moment.
+/// A new watcher receives all events that the replica still retains, some hundred kilobytes.
+/// Therefore a node starts to watch only after it has been eligible for a while: a node that has
+/// just started initially sees no other members, and a node that restarts is back after a short
+/// time.
 ///
-/// A replica that names a rate limit takes calls within it as well: its home alone watches it then,
-/// and seldom.
+/// A replica that reports a rate limit counts these polls against it as well. In that case, only
+/// its home watches it, and polls it infrequently.
 #pragma once
 
 #include <cstdint>
@@ -33,28 +34,28 @@
 namespace covewing::routing {
 
 struct CacheWatchOptions {
-  /// How long a replica may hold a call without events.
+  /// How long a replica may hold a poll open while it has no events to return.
   base::Duration longPollTimeout = std::chrono::seconds(1);
-  /// Between an answer and the next call: events are taken in batches.
+  /// Delay between a reply and the next poll, so that events are received in batches.
   base::Duration pollDelay = std::chrono::milliseconds(150);
-  /// Between calls to a replica with a rate limit: this many intervals of the rate, so that most of
-  /// it is left for requests, within these bounds.
+  /// Delay between polls of a replica with a rate limit: this many intervals of the rate, so that
+  /// most of the rate remains available for requests, within the minimum and maximum below.
   std::int64_t rateLimitIntervals = 20;
   base::Duration minimumRateLimitedDelay = std::chrono::seconds(2);
   base::Duration maximumRateLimitedDelay = std::chrono::minutes(2);
-  /// After a failed call.
+  /// Delay before the next poll after a failed one, if it is longer than the regular delay.
   base::Duration backoff = std::chrono::milliseconds(700);
-  /// How often the choice of watchers is looked at again.
+  /// Interval at which the set of watched replicas and stores is re-evaluated.
   base::Duration reviewInterval = std::chrono::milliseconds(500);
-  /// Nodes that watch a replica or store where not all can. Two, so that the next home knows its
-  /// cache when the home ends.
+  /// Number of nodes that watch a replica or store which does not accept all nodes as watchers. Two
+  /// nodes watch it so that, if the home fails, the next home already has its cache contents.
   std::uint32_t watchersPerTarget = 2;
-  /// How long a node must have been in line before it watches: more than a restart takes, and than
-  /// the membership takes to form.
+  /// How long a node must have been eligible before it starts to watch. Must exceed the duration of
+  /// a restart and the time in which the membership forms.
   base::Duration eligibilityDelay = std::chrono::milliseconds(2000);
 };
 
-/// All must outlive the watch and share its thread.
+/// All references must outlive the watch and are used on its thread.
 struct CacheWatchEnvironment {
   base::Clock& clock;
   base::TimerService& timers;
@@ -67,7 +68,7 @@
   PrefixHolders& holders;
 };
 
-/// A replica or store began to hold a part, or no longer holds it.
+/// Reports that a replica or store started to hold a prompt part or no longer holds it.
 struct CacheChange {
   base::EngineId holder;
   CacheScope scope = 0;
@@ -78,11 +79,12 @@
 
 class CacheWatch {
  public:
-  /// Called with the changes at those replicas and stores that this node is the home of, where not
-  /// all nodes watch them.
+  /// Called for changes at the replicas and stores of which this node is the home, provided that
+  /// not all nodes watch them.
   using ChangeListener = std::function<void(const CacheChange&)>;
 
-  /// The callers that a replica of this service lets watch it at once; 0: none.
+  /// Returns how many callers may watch a replica of the service at the same time; 0 if watching is
+  /// not possible.
   using WatcherLimit = std::function<std::uint32_t(const std::string& service)>;
 
   CacheWatch(CacheWatchOptions options, CacheWatchEnvironment environment, WatcherLimit limit);
@@ -90,7 +92,7 @@
   CacheWatch(const CacheWatch&) = delete;
   CacheWatch& operator=(const CacheWatch&) = delete;
 
-  /// Called with a replica that names a rate limit, before a call to it.
+  /// Called with a replica that reports a rate limit, before each poll of it.
   using PollListener = std::function<void(const ReplicaRecord& replica)>;
 
   void start();
@@ -100,17 +102,18 @@
 
  private:
   struct Watch {
-    /// Tells this watch from an earlier one of the same name, whose calls may still be under way.
+    /// Distinguishes this watch from an earlier one of the same name whose polls may still be in
+    /// flight.
     std::uint64_t id = 0;
     base::Endpoint endpoint;
-    /// Of the replica; empty for a store.
+    /// Zone of the replica; empty for a store.
     std::string zone;
-    /// Callers that may watch.
+    /// Maximum number of callers that may watch at the same time.
     std::uint32_t limit = 0;
     std::uint64_t since = 0;
     std::uint64_t epoch = 0;
     base::TimerId timer = 0;
-    /// The next call waits as the replica named a rate limit.
+    /// True if the next poll is delayed because the replica reported a rate limit.
     bool rateLimited = false;
   };
   struct Target {
@@ -118,29 +121,30 @@
     std::string zone;
     std::uint32_t limit = 0;
   };
-  /// What should be watched, by name.
+  /// The replicas and stores to watch, by name.
   using Targets = std::map<std::string, Target>;
 
   void review();
   Targets selectTargets() const;
-  /// Whether this node should watch what lets `limit` callers watch it.
+  /// Whether this node should watch a replica or store that accepts `limit` watchers.
   bool shouldWatch(const std::string& name, std::string_view zone, std::uint32_t limit) const;
-  /// Of what should be watched, that for which this node has been in line long enough.
+  /// Returns those of `targets` for which this node has been eligible long enough.
   Targets stableTargets(const Targets& targets);
-  /// The watch with this name and number; null when it has ended.
+  /// Returns the watch with this name and id; null if it has ended.
   Watch* find(const std::string& name, std::uint64_t watchId);
   void poll(const std::string& name, std::uint64_t watchId);
-  /// What the replica said of itself in the answer.
+  /// Records the notices that the replica included in its reply.
   void recordNotices(ReplicaRecord& replica, base::TimePoint sentAt,
                      const clients::CacheFeedReply& reply) const;
   void onReply(const std::string& name, Watch& watch, const clients::CacheFeedReply& reply);
   void applyEvents(const std::string& name, const Watch& watch,
                    const clients::CacheFeedReply& reply);
   void schedule(const std::string& name, Watch& watch, base::Duration delay);
-  /// The rate limit that the replica names, in requests a second; empty without one.
+  /// The rate limit that the replica reports, in requests per second; empty if it reports none.
   std::optional<double> rateLimitOf(const std::string& name) const;
   base::Duration delayFor(std::optional<double> rateLimit) const;
-  /// Replicas that no longer name a limit are not waited for any more.
+  /// Polls replicas that no longer report a rate limit at once instead of waiting for the end of
+  /// the delay.
   void pollNoLongerLimited();
 
   CacheWatchOptions options_;
@@ -150,7 +154,7 @@
   ChangeListener changeListener_;
   PollListener pollListener_;
   std::map<std::string, Watch> watches_;
-  /// Since when this node has been in line.
+  /// The time since which this node has been eligible to watch each target, by name.
   std::map<std::string, base::TimePoint> eligibleSince_;
   std::uint64_t lastWatchId_ = 0;
   base::TimerId reviewTimer_ = 0;
--- a/src/routing/candidates.h
+++ b/src/routing/candidates.h
@@ -1,6 +1,6 @@
 /// \file
-/// Lists and orders that several policies share: the engines that qualify for a query and their
-/// rendezvous order.
+/// Helpers shared by several policies: the engines that qualify for a query, and their rendezvous
+/// order.
 #pragma once
 
 #include <string_view>
@@ -12,25 +12,26 @@
 
 namespace covewing::routing {
 
-/// Engines that may take the query, ascending by id; pointers are valid until control returns to
-/// the event loop.
+/// Returns the engines that may serve the query, in ascending order of id. The pointers are valid
+/// until control returns to the event loop.
 std::vector<const EngineState*> qualifyingEngines(const FleetView& fleet, const RouteQuery& query);
 
-/// Of `engines`, those in `zone`; all of them where none lies there.
+/// Returns the engines in `zone`, or all of `engines` if none is in that zone.
 std::vector<const EngineState*> preferZone(std::vector<const EngineState*> engines,
                                            std::string_view zone);
 
-/// Sorts by rendezvous weight for `key`, heaviest first: every node with the same view gets the
-/// same order, and an engine's coming or going moves only its own keys.
+/// Sorts the engines by descending rendezvous weight for `key`. Nodes with the same view obtain the
+/// same order, and adding or removing an engine affects only the keys of that engine.
 void sortByRendezvous(std::vector<const EngineState*>& engines, std::uint64_t key);
 
-/// Key of the query's prefix: the hash of its block number `depth` (from 0), or of its last whole
-/// block where it is shorter, or of its identity where it has none.
+/// Returns the key of the query's prefix: the hash of the block with index `depth` (from 0), of the
+/// last complete block if the prompt is shorter, or of the cache identity if the prompt has no
+/// complete block.
 std::uint64_t prefixKey(const RouteQuery& query, std::size_t depth);
 
-/// A decision for `engine`, without a cache match.
+/// Returns a decision for `engine` without a cache match.
 RouteDecision decideFor(const EngineState& engine);
-/// The decision when no engine qualifies.
+/// Returns the decision for a query for which no engine qualifies.
 RouteDecision noEngine(const RouteQuery& query);
 
 }  // namespace covewing::routing
--- a/src/routing/engine_cache_index.cc
+++ b/src/routing/engine_cache_index.cc
@@ -18,7 +18,8 @@
 }
 
 bool EngineCacheIndex::apply(const clients::EngineReport& report, base::TimePoint now) {
-  // A first report that does not start at the engine's first event shows a part of its cache only.
+  // A first report that does not start at the engine's first event covers only a part of its cache
+  // and is therefore treated as a gap.
   const bool gap = report.firstSequence > nextSequence_;
   if (gap) startGeneration(now);
   nextSequence_ = report.nextSequence;
@@ -43,7 +44,8 @@
   generation_ = 0;
   hasDoubtful_ = false;
   resyncDue_ = false;
-  // A snapshot may be newer than published events: those come again and change nothing.
+  // A snapshot may be newer than the published events. Those events are received again and have no
+  // further effect.
   nextSequence_ = snapshot.nextSequence;
   for (const auto& event : snapshot.events) {
     blocks_.insert(fingerprintOf(event.block), generation_);
--- a/src/routing/engine_cache_index.h
+++ b/src/routing/engine_cache_index.h
@@ -1,7 +1,8 @@
 /// \file
-/// What a home node believes to be in one engine's cache: from the engine's events, which come late
-/// and with gaps, from snapshots, and from dispatches announced by routers, whose blocks will be
-/// there before their events are. It is a hint only; the engine decides what it reuses.
+/// Approximate index of one engine's cache, kept by a home node. Its sources are the engine's
+/// events, which are delayed and may have gaps; snapshots; and the dispatches that routers
+/// announce, whose blocks will be cached before the corresponding events arrive. The index is only
+/// a hint: the engine decides which blocks it reuses.
 #pragma once
 
 #include <cstdint>
@@ -15,16 +16,16 @@
 namespace covewing::routing {
 
 struct CacheIndexOptions {
-  /// Entries that a gap made doubtful are dropped after this long without a resync.
+  /// Entries that became doubtful because of a gap are dropped after this long without a resync.
   base::Duration doubtfulRetention = std::chrono::seconds(10);
   /// Announced blocks count as cached for this long unless the engine's events confirm them.
   base::Duration announcementRetention = std::chrono::seconds(3);
 };
 
 struct CacheMatch {
-  /// Leading blocks believed cached, announced ones included.
+  /// Number of leading blocks that are estimated to be cached, including announced ones.
   std::uint32_t blocks = 0;
-  /// The match rests on entries that may be outdated.
+  /// True if the match is based on entries that may be out of date.
   bool doubtful = false;
 };
 
@@ -32,20 +33,20 @@
  public:
   explicit EngineCacheIndex(const CacheIndexOptions& options) : options_(options) {}
 
-  /// Takes events in. A sequence number above the expected one shows a gap: entries become doubtful
-  /// and a resync is due. Returns false at a gap.
+  /// Applies the events of a report. A sequence number above the expected one indicates a gap: the
+  /// existing entries become doubtful and a resync is due. Returns false if there is a gap.
   bool apply(const clients::EngineReport& report, base::TimePoint now);
-  /// Replaces all entries by a snapshot.
+  /// Replaces all entries with those of a snapshot.
   void resync(const clients::EngineReport& snapshot);
-  /// Forgets everything, as after a restart of the engine.
+  /// Removes all state, for example after a restart of the engine.
   void clear();
 
-  /// The deepest checkpoint believed cached. Engines evict a chain from its end, so a checkpoint
-  /// stands for all blocks before it.
+  /// Returns the deepest checkpoint that is estimated to be cached. Engines evict a chain from its
+  /// end, so a cached checkpoint implies that all blocks before it are cached.
   CacheMatch match(const prefix::Checkpoints& checkpoints) const;
-  /// A prompt was sent to the engine and will be in its cache.
+  /// Records that a prompt was dispatched to the engine and will be in its cache.
   void announce(const prefix::Checkpoints& checkpoints, base::TimePoint now);
-  /// Drops what has outlived its time; to be called a few times a second.
+  /// Drops expired entries and announcements. To be called several times per second.
   void expire(base::TimePoint now);
 
   bool resyncDue() const { return resyncDue_; }
@@ -63,16 +64,16 @@
   void startGeneration(base::TimePoint now);
 
   CacheIndexOptions options_;
-  /// Marked with the generation in which the entry was confirmed.
+  /// Cached blocks, each marked with the generation in which it was last confirmed.
   prefix::BlockTable blocks_;
-  /// Grows with each gap; entries of earlier ones are doubtful.
+  /// Incremented at each gap. Entries of earlier generations are doubtful.
   Mark generation_ = 0;
   base::TimePoint gapAt_{};
   bool hasDoubtful_ = false;
   bool resyncDue_ = false;
   std::uint64_t nextSequence_ = 0;
 
-  /// Announced checkpoints, marked with the number of their announcement.
+  /// Announced checkpoints, each marked with the number of its announcement.
   prefix::BlockTable announced_;
   std::deque<Announcement> announcements_;
   Mark lastAnnouncement_ = 0;
--- a/src/routing/engine_directory.cc
+++ b/src/routing/engine_directory.cc
@@ -13,8 +13,9 @@
   return !engine.leaving && !engine.unreachable && engine.role == clients::EngineRole::kServing;
 }
 
-/// The version of the model that most of `engines` have, the newest of these; 0 if none has any.
-/// Where all that have the model share a version, that is the newest such version.
+/// Returns the version of the model that most of `engines` have loaded, the newest of these on a
+/// tie; 0 if no engine has the model. If all engines that have the model share a version, the
+/// result is the newest such version.
 base::WeightsVersion mostCommonVersion(const std::vector<const EngineState*>& engines,
                                        std::string_view model) {
   std::map<base::WeightsVersion, std::size_t> counts;
@@ -115,7 +116,7 @@
   const auto found = tracking_.find(base::engineIdOf(machine.name));
   if (found == tracking_.end()) return;
   found->second.listed = false;
-  // Signs of life are waited for from now on.
+  // The grace period for other evidence that the engine is alive starts now.
   found->second.lastSeenAt = environment_.clock.now();
 }
 
@@ -189,7 +190,7 @@
 // --- polling
 
 base::Duration EngineDirectory::firstPollDelay(base::EngineId engine) {
-  // Who knows no other node yet takes itself for the home of all.
+  // A node that has not discovered any other member considers itself the home of all engines.
   const bool alone = environment_.members.liveMembers().size() <= 1;
   if (!alone && polls(engine)) return base::Duration::zero();
   const auto spread =
@@ -220,7 +221,7 @@
   } else if (home || !tracking.stateKnown) {
     poll(*engine, tracking);
   } else {
-    // No longer a home: what this node missed says nothing any more.
+    // This node is no longer a home, so the polls that it missed are no longer evidence.
     tracking.missedPolls = 0;
     refresh(*engine, tracking);
     return;
--- a/src/routing/engine_directory.h
+++ b/src/routing/engine_directory.h
@@ -1,8 +1,10 @@
 /// \file
-/// The engines and application replicas as this node knows them, from four sources: the platform's
-/// machine list (a lagging hint, see routing/machine_list_watch.h), reports polled from the engines
-/// that this node is a home of, gossip records that homes publish on change, and this node's own
-/// dispatches. Later and nearer evidence wins; an incarnation never goes back.
+/// This node's view of the engines and application replicas. It combines four sources: the
+/// platform's machine list, which lags behind and is only a hint (see
+/// routing/machine_list_watch.h); reports polled from the engines of which this node is a home;
+/// gossip records that homes publish on changes; and the results of this node's own dispatches.
+/// Newer and more direct evidence takes precedence. The recorded incarnation of an engine never
+/// decreases.
 #pragma once
 
 #include <functional>
@@ -26,41 +28,45 @@
 
 namespace covewing::routing {
 
-/// Which engines a node polls. Only baselines that need everybody's state use kAllEngines.
+/// Which engines a node polls. Only baseline policies that need the state of every engine use
+/// kAllEngines.
 enum class PollScope : std::uint8_t { kHomeEngines, kAllEngines };
 
 struct EngineDirectoryOptions {
   PollScope pollScope = PollScope::kHomeEngines;
-  /// 0: by the number of live nodes (routing/engine_homes.h).
+  /// Number of homes of each engine. 0 derives it from the number of live nodes
+  /// (routing/engine_homes.h).
   std::size_t homesPerEngine = 0;
-  /// Mean time between two polls of one engine's report.
+  /// Mean interval between two polls of one engine's report.
   base::Duration pollInterval = std::chrono::milliseconds(500);
-  /// Mean time between two polls, by a node that is no home of it, of an engine whose state is
-  /// known from nowhere.
+  /// Mean interval between two polls of an engine whose state no source has provided, by a node
+  /// that is not one of its homes.
   base::Duration unknownPollInterval = std::chrono::seconds(2);
-  /// The first of these comes within this time for each engine known, so that after a start the
-  /// homes' records come first where there are many engines.
+  /// The first such poll of an engine is delayed by a random time of up to this duration per known
+  /// engine. After a start with many engines, the records of the homes therefore arrive first.
   base::Duration unknownPollSpread = std::chrono::milliseconds(5);
-  /// Mean time between two looks at what time changes: notes that lapse, homes that move, engines
-  /// that are forgotten.
+  /// Mean interval between two reviews of time-dependent state: marks that expire, homes that move,
+  /// and engines that have to be removed.
   base::Duration reviewInterval = std::chrono::milliseconds(500);
-  /// Relative spread of the intervals.
+  /// Relative jitter of the intervals.
   double jitter = 0.2;
   MachineListWatchOptions machines;
-  /// Polls without an answer until the engine counts as unreachable.
+  /// Number of missed polls after which an engine counts as unreachable.
   std::uint32_t missedPollsUntilUnreachable = 2;
-  /// A failed dispatch keeps the engine out for this long unless a poll answers earlier; doubled at
-  /// each further failure up to the maximum.
+  /// A failed dispatch marks the engine unreachable for this long, unless it responds to a poll
+  /// earlier. The duration doubles with each further failure, up to the maximum.
   base::Duration initialUnreachableBackoff = std::chrono::seconds(1);
   base::Duration maximumUnreachableBackoff = std::chrono::seconds(8);
-  /// An application that has refused work because it leaves gets none for so long, or until the
-  /// list has it no more. Applications do not tell their restarts, so that it cannot hold for good.
+  /// An application that refused a request because it is leaving receives no requests for this
+  /// long, or until it is removed from the machine list. The mark has to expire, since applications
+  /// do not report their restarts.
   base::Duration applicationLeavingTimeout = std::chrono::seconds(30);
-  /// An engine missing from the list is forgotten after this long without any sign of life.
+  /// An engine that is missing from the machine list is removed after this long without any other
+  /// evidence that it is alive.
   base::Duration absenceGracePeriod = std::chrono::seconds(10);
 };
 
-/// All must outlive the directory and share its thread.
+/// All references must outlive the directory and are used on its thread.
 struct EngineDirectoryEnvironment {
   base::Clock& clock;
   base::TimerService& timers;
@@ -72,15 +78,16 @@
   membership::RecordDissemination& records;
 };
 
-/// Observer of what the directory learns. Calls come on the node's thread.
+/// Observer of changes in the directory. Called on the node's thread.
 class EngineListener {
  public:
   virtual ~EngineListener() = default;
-  /// An engine that this node polls answered; `engine` holds the state after the report.
+  /// An engine that this node polls has responded. `engine` holds the state after the report was
+  /// applied.
   virtual void onReport(const EngineState& engine, const clients::EngineReport& report) = 0;
-  /// The engine runs under a new incarnation: its cache is empty.
+  /// The engine runs under a new incarnation, so its cache is empty.
   virtual void onRestarted(const EngineState& engine) = 0;
-  /// The engine is no longer in the directory.
+  /// The engine was removed from the directory.
   virtual void onForgotten(base::EngineId engine) = 0;
 };
 
@@ -91,39 +98,42 @@
   EngineDirectory(const EngineDirectory&) = delete;
   EngineDirectory& operator=(const EngineDirectory&) = delete;
 
-  /// Fetches the machine list and starts polling; call once.
+  /// Fetches the machine list and starts polling. Must be called once.
   void start();
-  /// `listener` must outlive the directory or be removed.
+  /// `listener` must outlive the directory or be removed before it is destroyed.
   void addListener(EngineListener& listener);
   void removeListener(EngineListener& listener);
 
   const std::vector<EngineState>& engines() const override { return engines_; }
-  /// Valid until control returns to the event loop.
+  /// The pointer is valid until control returns to the event loop; null if the engine is not known.
   const EngineState* find(base::EngineId id) const override;
   std::vector<clients::BackEndAddress> applicationReplicas(
       std::string_view application) const override;
   base::WeightsVersion defaultVersion(std::string_view model) const override;
 
-  /// A dispatch found the engine unreachable.
+  /// Records that a dispatch could not reach the engine.
   void markUnreachable(base::EngineId id);
-  /// The engine or application refused work because it is leaving.
+  /// Records that the engine or application refused a request because it is leaving.
   void markLeaving(base::EngineId id);
-  /// The engine named its incarnation, such as with a refused identity.
+  /// Records the incarnation that the engine reported, for example when it refused a request
+  /// because of a mismatched identity.
   void observeIncarnation(base::EngineId id, base::Incarnation incarnation);
-  /// The homes of an engine, best first; empty for an unknown engine.
+  /// Returns the homes of an engine in order of preference; empty if the engine is not known.
   std::vector<base::NodeId> homes(base::EngineId engine) const;
   bool isHomeOf(base::EngineId engine) const;
-  /// This node polls the engine's reports, as a home or because it polls all.
+  /// Whether this node polls the engine's reports, either as one of its homes or because it polls
+  /// all engines.
   bool polls(base::EngineId engine) const;
 
  private:
   struct Tracking {
-    /// Some source has told incarnation and weights.
+    /// True if any source has provided the incarnation and the loaded weights.
     bool stateKnown = false;
     bool listed = false;
     bool listedLeaving = false;
     bool reportedLeaving = false;
-    /// It has refused work because it leaves: holds until another incarnation of it is known.
+    /// The engine refused a request because it is leaving. Cleared when a newer incarnation of the
+    /// engine is observed.
     bool leavingObserved = false;
     std::optional<base::TimePoint> unreachableUntil;
     std::uint32_t failedDispatches = 0;
@@ -134,7 +144,7 @@
     base::TimerId pollTimer = 0;
     std::uint64_t nextSequence = 0;
     std::uint64_t recordVersion = 0;
-    /// The record last published or heard, to publish only changes.
+    /// The record that was last published or received. Used to publish only changes.
     std::optional<EngineRecord> record;
     mutable std::uint64_t homesVersion = 0;
     mutable std::vector<base::NodeId> homes;
@@ -160,7 +170,7 @@
 
   void onRecord(const membership::GossipRecord& gossip);
   void publishIfChanged(const EngineState& engine, Tracking& tracking);
-  /// Takes a newer incarnation over; false when `incarnation` is older than the one known.
+  /// Records a newer incarnation. Returns false if `incarnation` is older than the recorded one.
   bool advanceIncarnation(EngineState& engine, Tracking& tracking, base::Incarnation incarnation);
   void refresh(EngineState& engine, Tracking& tracking);
   const std::vector<base::NodeId>& homesOfState(const EngineState& engine) const;
@@ -171,12 +181,14 @@
   std::vector<EngineListener*> listeners_;
   std::vector<EngineState> engines_;
   std::map<base::EngineId, Tracking> tracking_;
-  /// By name.
+  /// Application replicas by machine name.
   std::map<std::string, clients::Machine> applications_;
-  /// Applications that said that they leave, by identifier.
+  /// For each application replica that reported that it is leaving, the time until which the report
+  /// is valid.
   std::map<base::EngineId, base::TimePoint> applicationsLeavingUntil_;
   MachineListWatch machineList_;
-  /// Outlived by callbacks that must no longer reach this object.
+  /// Expires with this object. Callbacks that may outlive it hold a weak pointer and do nothing
+  /// once it has expired.
   std::shared_ptr<bool> lifetime_ = std::make_shared<bool>(true);
 };
 
--- a/src/routing/engine_homes.cc
+++ b/src/routing/engine_homes.cc
@@ -12,7 +12,7 @@
   bool selected = false;
 };
 
-/// In the order of `live`.
+/// Returns the members with the given draining state and their weights, in the order of `live`.
 std::vector<WeightedMember> computeWeights(base::EngineId engine,
                                            const std::vector<membership::Member>& live,
                                            bool draining) {
@@ -25,9 +25,9 @@
   return weighted;
 }
 
-/// The heaviest candidate that is not taken and whose zone is accepted; null if there is none. Ties
-/// cannot occur between different ids except by hash collision, where the smaller id wins. A few
-/// passes over all cost less than sorting them.
+/// Returns the candidate with the greatest weight that is not selected yet and whose zone is
+/// accepted; null if there is none. Weights of different ids are equal only after a hash collision;
+/// then the smaller id wins. A few linear passes cost less than sorting all candidates.
 template <class Accepts>
 WeightedMember* heaviest(std::vector<WeightedMember>& candidates, Accepts accepts) {
   WeightedMember* best = nullptr;
@@ -42,7 +42,8 @@
   return std::find(usedZones.begin(), usedZones.end(), zone) != usedZones.end();
 }
 
-/// Adds homes from `candidates` in three passes: the engine's zone, unused zones, then any.
+/// Adds homes from `candidates` in three passes: first from the engine's zone, then from unused
+/// zones, then from any zone.
 void selectHomes(std::vector<WeightedMember>& candidates, std::string_view engineZone,
                  std::size_t count, std::vector<base::NodeId>& homes,
                  std::vector<std::string_view>& usedZones) {
--- a/src/routing/engine_ranking.cc
+++ b/src/routing/engine_ranking.cc
@@ -45,7 +45,7 @@
   input.storedTokens = tokensOf(result.exportedBlocks);
   input.tokensAhead = engineResult.tokensAhead;
   input.requests = engineResult.requests;
-  // What is known of another incarnation's cache does not count.
+  // The cache state of another incarnation does not apply.
   if (engineResult.known && engineResult.incarnation == engine.incarnation) {
     input.cachedTokens = tokensOf(engineResult.matchedBlocks);
     input.doubtful = engineResult.doubtful;
--- a/src/routing/engine_ranking.h
+++ b/src/routing/engine_ranking.h
@@ -1,6 +1,6 @@
 /// \file
-/// Ranks engines for a query by expected time to first token and turns the choice into a decision.
-/// Shared by the policies that know caches and queues.
+/// Ranks engines for a query by expected time to first token and converts the choice into a
+/// decision. Shared by the policies that use cache and queue state.
 #pragma once
 
 #include <string_view>
@@ -13,16 +13,17 @@
 
 namespace covewing::routing {
 
-/// Where the deciding node is and what it expects of the store of kept KV cache.
+/// Location of the deciding node, and the wait that it expects at the external KV cache store.
 struct NodeContext {
   std::string_view zone;
   std::string_view region;
   base::Duration importWait{};
 };
 
-/// Chooses among the engines of `result` that still qualify; of near-equal ones one is drawn. An
-/// engine that no home answered for counts as empty and as loaded as the average of the others;
-/// where none is known, the first one is taken. Empty when none qualifies any more.
+/// Chooses among the engines of `result` that still qualify; among near-equal ones, one is drawn at
+/// random. An engine for which no home replied is assumed to have an empty cache and the average
+/// load of the others. If no engine is known, the first one is chosen. The decision has no engine
+/// if none qualifies any more.
 RouteDecision chooseByService(const FleetView& fleet, const RouteQuery& query,
                               const LookupResult& result, const PolicyTuning& tuning,
                               const NodeContext& context, base::RandomSource& random);
--- a/src/routing/engine_record.h
+++ b/src/routing/engine_record.h
@@ -1,6 +1,7 @@
 /// \file
-/// State of an engine as it is spread by gossip: what every node must know to send it work. Small
-/// and published only when it changes; load and cache contents never travel this way.
+/// State of an engine as distributed by gossip: the data that every node needs in order to dispatch
+/// requests to it. Records are small and published only on changes; load and cache contents are
+/// never distributed this way.
 #pragma once
 
 #include <optional>
@@ -14,7 +15,7 @@
 
 namespace covewing::routing {
 
-/// Key prefix of engine records; the engine's listed name follows.
+/// Key prefix of engine records, followed by the engine's name in the machine list.
 inline constexpr std::string_view kEngineRecordPrefix = "engine/";
 
 /// Value of the gossip record "engine/NAME".
@@ -31,11 +32,11 @@
 
 std::string engineRecordKey(std::string_view engineName);
 std::string encodeEngineRecord(const EngineRecord& record);
-/// Empty when the bytes are not a record.
+/// Empty if `bytes` is not a valid record.
 std::optional<EngineRecord> decodeEngineRecord(std::string_view bytes);
 
-/// Version of the next record of an engine: the incarnation orders first, then a counter that
-/// follows the record known so far.
+/// Returns the version of the next record of an engine. The incarnation is the most significant
+/// part, followed by a counter that continues from the known record.
 std::uint64_t nextRecordVersion(base::Incarnation incarnation, std::uint64_t knownVersion);
 
 }  // namespace covewing::routing
--- a/src/routing/fleet_load.h
+++ b/src/routing/fleet_load.h
@@ -1,8 +1,8 @@
 /// \file
-/// The work that other nodes have under way at each replica, as they told this node.
+/// The load that other nodes have in progress at each replica, as they report it to this node.
 ///
-/// Each node tells all of its work at once, so that a lost message is repaired by the next one. A
-/// node that is silent for longer than `memory` counts as one that this node does not hear.
+/// Each message contains the sender's complete load, so that the next message makes up for a lost
+/// one. The load of a node that has sent no update for longer than `retention` counts as not known.
 #pragma once
 
 #include <cstddef>
@@ -15,27 +15,27 @@
 
 namespace covewing::routing {
 
-/// News that come less often than this are older than what they tell of: requests run for a few
-/// hundred milliseconds.
+/// Load updates at longer intervals than this are out of date on arrival, since requests run for a
+/// few hundred milliseconds.
 inline constexpr base::Duration kLongestUsefulLoadInterval = std::chrono::milliseconds(250);
 
-/// Work under way at one replica.
+/// Load in progress at one replica.
 struct ReplicaLoad {
   std::uint32_t requests = 0;
-  /// Tokens of memory that the requests need.
+  /// Cache memory that the requests need, in tokens.
   std::uint64_t tokens = 0;
-  /// Tokens to be read of the prompts of the requests whose answers have not begun.
+  /// Prompt tokens that remain to be prefilled for the requests whose responses have not started.
   std::uint64_t pendingPrefillTokens = 0;
 
   bool operator==(const ReplicaLoad&) const = default;
   ReplicaLoad& operator+=(const ReplicaLoad& other);
 };
 
-/// What one node has under way. Replicas without work are left out.
+/// Load of one node, by replica. Replicas without load are omitted.
 using LoadByReplica = std::unordered_map<base::EngineId, ReplicaLoad>;
 
 struct FleetLoadOptions {
-  /// News older than this are forgotten. Nodes repeat theirs more often.
+  /// Older updates are discarded. Nodes repeat their updates at shorter intervals.
   base::Duration retention = std::chrono::milliseconds(2500);
 };
 
@@ -43,16 +43,16 @@
  public:
   explicit FleetLoad(FleetLoadOptions options = {}) : options_(options) {}
 
-  /// Takes what a node has under way in place of what it told before. News of an earlier run of the
-  /// node, or sent before some that are known, are dropped.
+  /// Replaces the load that a node reported before. An update is dropped if it belongs to an
+  /// earlier incarnation of the node or was sent before one that is already recorded.
   void onUpdate(base::NodeId node, base::Incarnation incarnation, std::uint64_t sequence,
                 LoadByReplica load, base::TimePoint now);
-  /// The sum over the nodes that are heard.
+  /// Returns the sum of the load of the nodes whose updates are current.
   ReplicaLoad loadOfOtherNodes(base::EngineId replica, base::TimePoint now) const;
-  /// Time between two news of one node at present; zero where nothing was heard.
+  /// Interval at which each node currently sends updates; zero if it is not known.
   base::Duration interval() const { return interval_; }
   void setInterval(base::Duration interval) { interval_ = interval; }
-  /// Nodes whose news are known.
+  /// Returns the number of nodes whose updates are current.
   std::size_t reportingNodes(base::TimePoint now) const;
 
  private:
--- a/src/routing/fleet_view.h
+++ b/src/routing/fleet_view.h
@@ -1,6 +1,6 @@
 /// \file
-/// Back ends as one node knows them. Load is known only where this node polls the engine; the rest
-/// comes from gossip and the machine list.
+/// One node's view of the back ends. Load is known only for the engines that this node polls; the
+/// other state comes from gossip and the machine list.
 #pragma once
 
 #include <cstdint>
@@ -16,8 +16,8 @@
 
 namespace covewing::routing {
 
-/// A load report and when it came, on this node's clock. Work sent since is counted by the engine's
-/// home (routing/queue_estimate.h).
+/// A load report and the time of its receipt on this node's clock. Requests dispatched since then
+/// are counted by the engine's home (routing/queue_estimate.h).
 struct ReceivedLoad {
   clients::EngineLoad load;
   base::TimePoint receivedAt;
@@ -30,7 +30,8 @@
   base::Incarnation incarnation = 0;
   clients::EngineRole role = clients::EngineRole::kServing;
   bool leaving = false;
-  /// Held dead or unreachable from here: no new work until it is seen again.
+  /// True if this node considers the engine dead or unreachable; it receives no new requests until
+  /// it responds again.
   bool unreachable = false;
   std::vector<clients::LoadedWeights> weights;
   std::optional<ReceivedLoad> load;
@@ -38,18 +39,21 @@
   bool serves(std::string_view model, std::string_view adapter, base::WeightsVersion version) const;
 };
 
-/// Read access to the engines. Ascending by id, so that equal views are equal everywhere.
+/// Read access to the engines, in ascending order of id, so that equal views have the same order on
+/// all nodes.
 class FleetView {
  public:
   virtual ~FleetView() = default;
   virtual const std::vector<EngineState>& engines() const = 0;
   virtual const EngineState* find(base::EngineId id) const = 0;
-  /// Live, not leaving replicas of an application, own zone first.
+  /// Returns the replicas of an application that are live and not leaving, those in the own zone
+  /// first.
   virtual std::vector<clients::BackEndAddress> applicationReplicas(
       std::string_view application) const = 0;
-  /// The version that most serving engines of the own region have loaded of the model, the newest
-  /// of these; so the newest that all have, where they share one. Other regions, which swap
-  /// versions on their own, count only where the own one has no engine with the model. 0 if none.
+  /// Returns the version of the model that most serving engines of the own region have loaded, the
+  /// newest of these on a tie. Where all those engines share a version, the result is therefore the
+  /// newest shared one. Other regions change versions independently and are considered only if no
+  /// engine of the own region has the model. 0 if no engine has it.
   virtual base::WeightsVersion defaultVersion(std::string_view model) const = 0;
 };
 
--- a/src/routing/full_index_policy.h
+++ b/src/routing/full_index_policy.h
@@ -1,6 +1,7 @@
 /// \file
-/// Baseline: every node polls all engines and keeps the whole cache index; the engine with the
-/// least expected time to first token of all is taken. Its control traffic grows with the fleet.
+/// Baseline policy: every node polls all engines and keeps the complete cache index. Chooses the
+/// engine with the lowest expected time to first token of the whole fleet. The control traffic
+/// grows with the size of the fleet.
 #pragma once
 
 #include <memory>
--- a/src/routing/import_queue.h
+++ b/src/routing/import_queue.h
@@ -1,7 +1,8 @@
 /// \file
-/// Estimate of the queue at the store of kept KV cache. Its transfers share one bandwidth and no
-/// report tells how many wait, so a node counts its own imports and takes all nodes to import as
-/// much: the estimate errs on the long side where this node imports more than others.
+/// Estimate of the queue at the external KV cache store. All transfers share one bandwidth, and no
+/// report states how many of them are queued. Therefore a node counts its own imports and assumes
+/// that every node imports as much. The estimate is too high where this node imports more than the
+/// others.
 #pragma once
 
 #include <cstdint>
@@ -12,17 +13,17 @@
 
 class ImportQueue {
  public:
-  /// `tokensPerSecond` is the bandwidth of the store for all importers together.
+  /// `tokensPerSecond` is the total bandwidth of the store, shared by all importers.
   explicit ImportQueue(double tokensPerSecond) : tokensPerSecond_(tokensPerSecond) {}
 
-  /// An engine was told to import; `nodes` live nodes share the store.
+  /// Records that an engine was instructed to import `tokens`; `nodes` live nodes share the store.
   void onImport(std::uint32_t tokens, std::size_t nodes, base::TimePoint now);
-  /// Time until a transfer that is asked for now would start.
+  /// Returns the time until a transfer that is requested now would start.
   base::Duration wait(base::TimePoint now) const;
 
  private:
   double tokensPerSecond_;
-  /// When the transfers counted so far will have ended.
+  /// Expected end of the transfers counted so far.
   base::TimePoint busyUntil_{};
 };
 
--- a/src/routing/least_loaded_policy.h
+++ b/src/routing/least_loaded_policy.h
@@ -1,6 +1,6 @@
 /// \file
-/// Baseline: the engine with the fewest requests, by reports of all engines and own dispatches
-/// since; caches play no part.
+/// Baseline policy: chooses the engine with the fewest requests, counted from the reports of all
+/// engines and this node's own dispatches since then. Caches are not considered.
 #pragma once
 
 #include <memory>
--- a/src/routing/load_baseline.h
+++ b/src/routing/load_baseline.h
@@ -1,6 +1,6 @@
 /// \file
-/// What the load-only baselines share: a lookup without a prompt, and the choice of the engine with
-/// the fewest requests.
+/// Helpers shared by the baseline policies that consider only load: a lookup without a prompt, and
+/// the choice of the engine with the fewest requests.
 #pragma once
 
 #include <vector>
@@ -11,14 +11,15 @@
 
 namespace covewing::routing {
 
-/// Decision for the engine of `result` with the fewest requests, then the fewest tokens ahead; of
-/// equal ones one is drawn. Engines that no longer qualify are passed over.
+/// Returns a decision for the engine of `result` with the fewest requests; on a tie, the fewest
+/// tokens ahead; if that is equal as well, one is drawn at random. Engines that no longer qualify
+/// are skipped.
 RouteDecision chooseFewestRequests(const FleetView& fleet, const RouteQuery& query,
                                    const LookupResult& result, base::RandomSource& random);
 
 std::vector<base::EngineId> idsOf(const std::vector<const EngineState*>& engines);
 
-/// Announces a dispatch whose whole prompt counts as work.
+/// Announces a dispatch for which the complete prompt counts as uncached.
 void announceWholePrompt(CacheLookup* lookup, const RouteQuery& query,
                          const RouteDecision& decision);
 
--- a/src/routing/load_exchange.cc
+++ b/src/routing/load_exchange.cc
@@ -19,7 +19,7 @@
   const auto delay = interval();
   environment_.fleet.setInterval(delay);
   if (delay <= kLongestUsefulLoadInterval) sendIfDue();
-  // Where there are too many nodes, their number is looked at again now and then.
+  // If there are too many nodes to send updates, their number is still checked again periodically.
   timer_ =
       environment_.timers.schedule(std::min(delay, options_.repeatInterval), [this] { tick(); });
 }
--- a/src/routing/load_exchange.h
+++ b/src/routing/load_exchange.h
@@ -1,10 +1,11 @@
 /// \file
-/// Tells all other nodes what this node has under way at each replica, and keeps what they tell.
+/// Sends this node's load at each replica to all other nodes, and records the load that they
+/// report.
 ///
-/// A node sends a bounded number of messages a second, so the more nodes there are, the older are
-/// the news. With so many nodes that news are older than what they tell of
-/// (kLongestUsefulLoadInterval), nobody relies on them and nothing is sent: each node takes an even
-/// share of each replica (ReplicaSelector).
+/// The number of messages that a node sends per second is limited, so the updates become older as
+/// the number of nodes grows. If there are so many nodes that updates would be out of date on
+/// arrival (kLongestUsefulLoadInterval), no node relies on them and none are sent; each node then
+/// uses an even share of each replica (ReplicaSelector).
 #pragma once
 
 #include <cstdint>
@@ -20,15 +21,15 @@
 namespace covewing::routing {
 
 struct LoadExchangeOptions {
-  /// Least time between two messages to the same node.
+  /// Minimum interval between two messages to the same node.
   base::Duration interval = std::chrono::milliseconds(50);
-  /// Messages that a node sends a second at most.
+  /// Maximum number of messages that a node sends per second.
   double messagesPerSecond = 120;
-  /// News that did not change are repeated after this.
+  /// An unchanged update is sent again after this interval.
   base::Duration repeatInterval = std::chrono::milliseconds(1000);
 };
 
-/// All must outlive the sharing and share its thread.
+/// All references must outlive the exchange and are used on its thread.
 struct LoadExchangeEnvironment {
   base::Clock& clock;
   base::TimerService& timers;
@@ -52,9 +53,9 @@
 
  private:
   void tick();
-  /// Tells the load where it changed, or was told too long ago.
+  /// Sends the load if it has changed or was last sent too long ago.
   void sendIfDue();
-  /// What this node has under way.
+  /// The load that this node has in progress.
   LoadByReplica ownLoad() const;
   void broadcast(const LoadByReplica& load);
   base::Duration interval() const;
--- a/src/routing/load_messages.cc
+++ b/src/routing/load_messages.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Type number on the wire; never reused.
+/// Type number on the wire; must never be reused.
 constexpr std::uint64_t kLoadUpdateType = 1;
 constexpr std::uint32_t kUpdateFields = 3;
 constexpr std::uint32_t kEntryFields = 4;
--- a/src/routing/load_messages.h
+++ b/src/routing/load_messages.h
@@ -1,5 +1,5 @@
 /// \file
-/// Messages on the replica-load channel: a node tells the others what it has under way.
+/// Messages of the replica-load channel, on which a node reports its load to the other nodes.
 #pragma once
 
 #include <cstdint>
@@ -12,13 +12,13 @@
 namespace covewing::routing {
 
 struct LoadUpdate {
-  /// Grows with each message of one run of the sender.
+  /// Increases with each message of one incarnation of the sender.
   std::uint64_t number = 0;
   LoadByReplica load;
 };
 
 std::string encode(const LoadUpdate& update);
-/// Empty when the bytes are not news of load.
+/// Empty if `bytes` is not a valid load update.
 std::optional<LoadUpdate> decodeLoadUpdate(std::string_view bytes);
 
 }  // namespace covewing::routing
--- a/src/routing/machine_list_watch.cc
+++ b/src/routing/machine_list_watch.cc
@@ -11,7 +11,8 @@
 namespace {
 
 constexpr std::uint32_t kRecordFields = 8;
-/// Machines that are gone stay known for as long as records about them may still be on their way.
+/// Entries of removed machines are retained for as long as records about them may still be in
+/// transit.
 constexpr base::Duration kRemovedRetention = std::chrono::minutes(30);
 
 }  // namespace
@@ -92,7 +93,8 @@
   if (!hasReadList_ || interval <= options_.minimumInterval) {
     return environment_.random.jittered(options_.minimumInterval, options_.jitter);
   }
-  // At any time from now on, also after a start of all nodes at once.
+  // The time is drawn from the whole range, so that reads are spread out even after all nodes start
+  // at the same time.
   return environment_.random.jittered(interval, 1.0);
 }
 
--- a/src/routing/machine_list_watch.h
+++ b/src/routing/machine_list_watch.h
@@ -1,14 +1,16 @@
 /// \file
-/// The platform's machine list as the fleet knows it together. Reading the whole list is dear (a
-/// hundred kilobytes at 640 engines), so the nodes share it: the more nodes there are, the more
-/// seldom each one reads, and whoever finds a change tells all others by a gossip record.
+/// The platform's machine list, which the nodes read jointly. Reading the complete list is
+/// expensive (a hundred kilobytes at 640 engines), so the nodes share the reads: the more nodes
+/// there are, the less often each one reads. A node that finds a change publishes it to all others
+/// as a gossip record.
 ///
-/// - The mean time between two reads by any node is constant; a node's own reads come at random
-///   times, so that nobody is set aside for them and a part of the fleet that is cut off reads
-///   more often by itself.
-/// - The list lags, and its replicas may differ: what was heard lately wins over what is read.
-/// - A node reads the list once at its start. What it finds then is news to itself only, and is
-///   not spread.
+/// - The mean interval between two reads by any node is constant. Each node reads at random times,
+///   so that no node has to be designated as the reader, and a partition of the fleet automatically
+///   reads more often per node.
+/// - The list lags behind and its replicas may differ, so a recent record takes precedence over the
+///   list.
+/// - A node reads the list once when it starts. What it finds then is new only to itself and is not
+///   published.
 #pragma once
 
 #include <cstdint>
@@ -25,21 +27,22 @@
 
 namespace covewing::routing {
 
-/// Key prefix of the records that tell of changes in the machine list; the machine's name follows.
+/// Key prefix of the records that report changes of the machine list, followed by the machine's
+/// name.
 inline constexpr std::string_view kMachineRecordPrefix = "machine/";
 
 struct MachineListWatchOptions {
-  /// Mean time between two reads by all nodes together.
+  /// Mean interval between two reads by any node of the fleet.
   base::Duration fleetInterval = std::chrono::milliseconds(500);
-  /// Shortest mean time between two reads by one node.
+  /// Minimum mean interval between two reads by the same node.
   base::Duration minimumInterval = std::chrono::seconds(2);
-  /// Spread of the minimum interval.
+  /// Relative jitter of the minimum interval.
   double jitter = 0.2;
-  /// A record that came within this time wins over what is read.
+  /// A record takes precedence over the list for this long after it was received or published.
   base::Duration recordPrecedence = std::chrono::seconds(10);
 };
 
-/// All must outlive the watch and share its thread.
+/// All references must outlive the watch and are used on its thread.
 struct MachineListWatchEnvironment {
   base::Clock& clock;
   base::TimerService& timers;
@@ -49,13 +52,13 @@
   membership::RecordDissemination& records;
 };
 
-/// Observer of the list. Calls come on the node's thread.
+/// Observer of changes of the list. Called on the node's thread.
 class MachineObserver {
  public:
   virtual ~MachineObserver() = default;
-  /// The machine is new, or something about it changed.
+  /// The machine is new or one of its attributes has changed.
   virtual void onMachine(const clients::Machine& machine) = 0;
-  /// The machine is no longer in the list.
+  /// The machine was removed from the list.
   virtual void onMachineRemoved(const clients::Machine& machine) = 0;
 };
 
@@ -66,9 +69,9 @@
   MachineListWatch(const MachineListWatch&) = delete;
   MachineListWatch& operator=(const MachineListWatch&) = delete;
 
-  /// Reads the list and listens to other nodes' records; call once.
+  /// Reads the list and subscribes to the records of other nodes. Must be called once.
   void start();
-  /// The list was read since the start.
+  /// Whether the list has been read since the start.
   bool hasReadList() const { return hasReadList_; }
 
  private:
@@ -76,7 +79,8 @@
     clients::Machine machine;
     bool removed = false;
     std::uint64_t recordVersion = 0;
-    /// When another node told of it, or this one told others.
+    /// Time at which a record about this machine was last received or published; empty if there was
+    /// none.
     std::optional<base::TimePoint> recordAt;
   };
 
@@ -93,20 +97,22 @@
   MachineListWatchOptions options_;
   MachineListWatchEnvironment environment_;
   MachineObserver& observer_;
-  /// By name.
+  /// Entries by machine name.
   std::map<std::string, Entry, std::less<>> entries_;
   bool hasReadList_ = false;
-  /// Outlived by callbacks that must no longer reach this object.
+  /// Expires with this object. Callbacks that may outlive it hold a weak pointer and do nothing
+  /// once it has expired.
   std::shared_ptr<bool> lifetime_ = std::make_shared<bool>(true);
 };
 
-/// Value of the record "machine/NAME".
+/// Value of the gossip record "machine/NAME".
 struct MachineRecord {
   clients::Machine machine;
   bool removed = false;
 };
 std::string encodeMachineRecord(const MachineRecord& record);
-/// The record's machine has no name. Empty when the bytes are not a record.
+/// Empty if `bytes` is not a valid record. The machine of the result has no name, since the
+/// record's key contains it.
 std::optional<MachineRecord> decodeMachineRecord(std::string_view bytes);
 
 }  // namespace covewing::routing
--- a/src/routing/memory_estimate.cc
+++ b/src/routing/memory_estimate.cc
@@ -6,15 +6,16 @@
 namespace covewing::routing {
 
 namespace {
-/// Memory of an answer of ordinary length, 256 tokens.
+/// Memory of a response of typical length, 256 tokens, in blocks.
 constexpr std::uint32_t kResponseBlocks = 16;
 }  // namespace
 
 PromptFootprint footprintOf(const prefix::Checkpoints& checkpoints, std::uint32_t matchedBlocks) {
   PromptFootprint footprint;
   if (!checkpoints.fingerprints.empty()) {
-    // The first checkpoint that every spacing has in common would be deeper than short prompts are;
-    // prompts of unlike length that share a root are counted apart, which errs on the full side.
+    // The first checkpoint that all spacings have in common would be deeper than short prompts are.
+    // Prompts of different lengths that share a root are therefore counted separately, which
+    // overestimates the memory in use.
     footprint.root = checkpoints.fingerprints.front();
   }
   footprint.sharedBlocks = matchedBlocks;
--- a/src/routing/memory_estimate.h
+++ b/src/routing/memory_estimate.h
@@ -1,8 +1,9 @@
 /// \file
-/// Estimate of the cache memory that an engine's running and waiting requests hold. Engines never
-/// preempt: a request that finds no memory waits until others have finished, however short its own
-/// computation, and no report tells how much is held. The latest announced prompts, as many as the
-/// engine has requests, are taken to be the active ones; a prefix that several share counts once.
+/// Estimate of the cache memory in use by an engine's running and waiting requests. Engines never
+/// preempt requests: a request that does not fit into memory waits until others have finished, no
+/// matter how little it has to compute, and no report states how much memory is in use. The
+/// estimate assumes that the active prompts are the most recently announced ones, as many as the
+/// engine has requests. A prefix shared by several prompts counts once.
 #pragma once
 
 #include <cstdint>
@@ -12,26 +13,29 @@
 
 namespace covewing::routing {
 
-/// The part of a prompt that matters for memory.
+/// The properties of a prompt that determine its memory use.
 struct PromptFootprint {
-  /// Tells prompts with a common start apart from others.
+  /// Identifies prompts that share a prefix.
   prefix::BlockFingerprint root = 0;
   std::uint32_t sharedBlocks = 0;
   std::uint32_t ownBlocks = 0;
 };
 
-/// Footprint of a prompt at an engine that holds its `matchedBlocks` leading blocks.
+/// Returns the footprint of a prompt at an engine that has its `matchedBlocks` leading blocks
+/// cached.
 PromptFootprint footprintOf(const prefix::Checkpoints& checkpoints, std::uint32_t matchedBlocks);
 
 class MemoryEstimate {
  public:
   void onDispatched(const PromptFootprint& footprint);
   void setCapacity(std::uint32_t blocks) { capacity_ = blocks; }
-  /// Forgets the oldest prompts beyond the number of requests that the engine has.
+  /// Removes the oldest prompts in excess of `requests`, the number of requests that the engine
+  /// has.
   void keepLatest(std::size_t requests);
   void clear();
 
-  /// Blocks missing for one more prompt; 0 where it fits or the capacity is not known.
+  /// Returns the number of blocks by which one more prompt exceeds the capacity; 0 if it fits or
+  /// the capacity is not known.
   std::uint32_t missingBlocks(const PromptFootprint& footprint) const;
 
  private:
--- a/src/routing/policy_factory.h
+++ b/src/routing/policy_factory.h
@@ -1,5 +1,5 @@
 /// \file
-/// Routing policies by name.
+/// Creates routing policies by name.
 #pragma once
 
 #include <memory>
@@ -20,30 +20,32 @@
 
 namespace covewing::routing {
 
-/// The name that settings use for the shipped policy.
+/// Name of the shipped policy in the settings.
 inline constexpr std::string_view kDefaultPolicy = "default";
 
-/// Parameters of the shipped policy, with the values found best on the bench
+/// Parameters of the shipped policy. The defaults performed best on the bench
 /// (docs/MEASUREMENTS.md).
 struct PolicyTuning {
   ServiceModel service;
-  /// Engines asked about for a prefix of ordinary heat.
+  /// Number of engines to query for a prefix with ordinary demand.
   std::size_t candidates = 8;
-  /// Further engines, drawn at random, as a way out of an overloaded set.
+  /// Number of further engines, drawn at random, as an alternative to an overloaded set.
   std::size_t spillCandidates = 2;
-  /// Most engines asked about.
+  /// Maximum number of engines to query, without the engines drawn at random.
   std::size_t maximumCandidates = 16;
-  /// Engines added for each engine's worth of demand on one prefix root.
+  /// Number of engines added per unit of demand on one prefix root, where one unit is the prefill
+  /// capacity of one engine.
   double candidatesPerDemand = 2.0;
-  /// Block whose hash stands for the prefix root.
+  /// Index of the block whose hash identifies the prefix root.
   std::size_t rootBlock = 31;
-  /// Choices within this much of the best are near-equal, and one is drawn.
+  /// Engines whose cost exceeds the lowest one by at most this are near-equal, and one of them is
+  /// drawn at random.
   base::Duration nearEqualTolerance = std::chrono::milliseconds(5);
-  /// Prefixes shorter than this are not worth keeping in the store, in blocks.
+  /// Minimum length, in blocks, of a prefix that is worth keeping in the external KV cache store.
   std::uint32_t minimumExportBlocks = 32;
 };
 
-/// What policies are built from. All references must outlive the policy and share its thread.
+/// Dependencies of a policy. All references must outlive the policy and are used on its thread.
 struct PolicyEnvironment {
   const FleetView& fleet;
   base::Clock& clock;
@@ -52,23 +54,25 @@
   base::EventLog& log;
   /// Zone of this node.
   std::string zone;
-  /// Knowledge of caches and queues; policies that need it decide by hashing where it is null.
+  /// Source of cache and queue state. If null, policies that need it choose by hashing.
   CacheLookup* lookup = nullptr;
-  /// For policies that probe engines themselves.
+  /// For policies that probe engines directly; may be null.
   clients::EngineClient* engines = nullptr;
-  /// Live nodes, for estimates of the whole system's rates from this node's own.
+  /// Live members, used to extrapolate from this node's own rates to those of the whole fleet; may
+  /// be null.
   const membership::MemberDirectory* members = nullptr;
   PolicyTuning tuning = {};
 };
 
-/// The policy of this name; null, with the names that exist in `reason`, if there is none.
+/// Creates the policy of this name. If there is none, returns null and lists the available names in
+/// `reason`.
 std::unique_ptr<RoutingPolicy> makePolicy(std::string_view name, PolicyEnvironment environment,
                                           base::Reason& reason);
 
-/// The engines that the directory must poll for the policy of this name.
+/// Returns which engines the directory must poll for the policy of this name.
 PollScope pollScopeOf(std::string_view policy);
 
-/// Names of all policies, "default" first.
+/// Returns the names of all policies, "default" first.
 std::vector<std::string_view> policyNames();
 
 }  // namespace covewing::routing
--- a/src/routing/power_of_two_policy.h
+++ b/src/routing/power_of_two_policy.h
@@ -1,5 +1,5 @@
 /// \file
-/// Baseline: of two engines drawn at random, the one with fewer requests.
+/// Baseline policy: draws two engines at random and chooses the one with fewer requests.
 #pragma once
 
 #include <memory>
--- a/src/routing/prefix_affinity_policy.cc
+++ b/src/routing/prefix_affinity_policy.cc
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// Load of a request besides its prefill, as prompt tokens: its decoding steps.
+/// Load that the decoding steps of a request add to its prefill, expressed in prompt tokens.
 constexpr std::uint32_t kDecodeTokens = 200;
 
 }  // namespace
@@ -34,7 +34,8 @@
 
 std::size_t PrefixAffinityPolicy::candidateCount(std::uint64_t root, base::TimePoint now) {
   const auto& tuning = environment_.tuning;
-  // Callers spread over all nodes, so this node's rate stands for the whole.
+  // Callers are spread evenly over all nodes, so the total rate is extrapolated from this node's
+  // own.
   const double demand = prefixDemand_.tokensPerSecond(root, now) *
                         static_cast<double>(liveNodes()) / tuning.service.prefillTokensPerSecond;
   const auto extra = static_cast<std::size_t>(std::floor(demand * tuning.candidatesPerDemand));
@@ -48,7 +49,7 @@
   const auto root = prefixKey(query, tuning.rootBlock);
   sortByRendezvous(engines, root);
   const auto regular = std::min(candidateCount(root, environment_.clock.now()), engines.size());
-  // Moves randomly drawn engines behind the regular ones.
+  // Places randomly drawn engines behind the regular ones.
   const auto wanted = std::min(regular + tuning.spillCandidates, engines.size());
   for (std::size_t index = regular; index < wanted; ++index) {
     const auto drawn = index + environment_.random.below(engines.size() - index);
--- a/src/routing/prefix_affinity_policy.h
+++ b/src/routing/prefix_affinity_policy.h
@@ -1,8 +1,8 @@
 /// \file
-/// The shipped policy. The prompt's root chooses a small set of engines by rendezvous hashing,
-/// wider while the root is hot; the homes of these engines tell what they have cached and queued;
-/// the engine with the least expected time to first token is taken. Falls back to the rendezvous
-/// order where no home answers.
+/// The shipped policy. Rendezvous hashing of the prompt's root selects a small set of engines,
+/// which is larger while demand for the root is high. The homes of these engines report their
+/// cached blocks and queues, and the engine with the lowest expected time to first token is chosen.
+/// If no home replies, the rendezvous order decides.
 #pragma once
 
 #include <memory>
--- a/src/routing/probe_pool_policy.cc
+++ b/src/routing/probe_pool_policy.cc
@@ -80,7 +80,8 @@
 std::optional<std::size_t> ProbePoolPolicy::bestProbe(const RouteQuery& query) const {
   if (pool_.empty()) return std::nullopt;
   const auto threshold = hotThreshold();
-  // Cold before hot; cold ones by latency, hot ones by requests in flight.
+  // Cold engines precede hot ones; cold engines are ordered by latency, hot ones by requests in
+  // flight.
   const auto rankOf = [&](const Probe& probe) {
     const bool hot = probe.requests > threshold;
     return std::tuple(hot, hot ? probe.requests : probe.queuedTokens);
--- a/src/routing/probe_pool_policy.h
+++ b/src/routing/probe_pool_policy.h
@@ -1,8 +1,8 @@
 /// \file
-/// Baseline after the idea of a pool of load probes: each request sends a few probes to random
-/// engines; answers go to a small pool; engines whose requests in flight exceed a quantile of those
-/// seen lately are hot, and the cold engine with the lowest expected latency is taken. Caches play
-/// no part.
+/// Baseline policy that keeps a pool of load probes. Each request sends a few probes to random
+/// engines, and the replies are added to a small pool. An engine is hot if its requests in flight
+/// exceed a quantile of those seen recently; the cold engine with the lowest expected latency is
+/// chosen. Caches are not considered.
 #pragma once
 
 #include <cstdint>
@@ -16,15 +16,15 @@
 namespace covewing::routing {
 
 struct ProbePoolOptions {
-  /// Probes sent for each request.
+  /// Number of probes sent for each request.
   std::size_t probesPerRequest = 3;
   std::size_t poolSize = 16;
   base::Duration probeLifetime = std::chrono::seconds(1);
-  /// Uses of one probe before it is removed.
+  /// Number of times that a probe is used before it is removed.
   std::uint32_t maximumUses = 3;
-  /// Engines above this quantile of requests in flight are hot.
+  /// Engines whose number of requests in flight is above this quantile are hot.
   double hotQuantile = 0.84;
-  /// Recent answers that the quantile is taken of.
+  /// Number of recent replies from which the quantile is computed.
   std::size_t historySize = 128;
 };
 
@@ -42,7 +42,7 @@
     base::EngineId engine;
     base::TimePoint receivedAt{};
     std::uint32_t requests = 0;
-    /// Prompt tokens queued, the measure of latency.
+    /// Queued prompt tokens, used as the measure of expected latency.
     std::uint64_t queuedTokens = 0;
     std::uint32_t uses = 0;
   };
@@ -51,7 +51,8 @@
   void onProbeReply(base::EngineId engine, const clients::EngineReport& report);
   void expireProbes();
   std::uint32_t hotThreshold() const;
-  /// Index in the pool of the best probe of a qualifying engine.
+  /// Returns the index in the pool of the best probe of a qualifying engine; empty if there is
+  /// none.
   std::optional<std::size_t> bestProbe(const RouteQuery& query) const;
 
   PolicyEnvironment environment_;
--- a/src/routing/queue_estimate.h
+++ b/src/routing/queue_estimate.h
@@ -1,8 +1,9 @@
 /// \file
-/// Estimate of the prefill work queued at an engine. Reports lag, and count a waiting prompt by
-/// what was cached when it came, not by what will be when it runs: ten prompts that wait for one
-/// long prefix count ten times. So the work that routers announced is replayed against the engine's
-/// speed, and a report only bounds it from both sides.
+/// Estimate of the prefill work queued at an engine. Reports are delayed, and they count a waiting
+/// prompt by what was cached when it arrived rather than by what will be cached when it runs: ten
+/// prompts that wait for the same long prefix count ten times. Therefore the work that routers
+/// announce is replayed against the engine's speed, and a report only provides lower and upper
+/// bounds.
 #pragma once
 
 #include <array>
@@ -16,14 +17,15 @@
 namespace covewing::routing {
 
 struct QueueEstimateOptions {
-  /// Prompt tokens that an engine computes a second.
+  /// Prompt tokens that an engine computes per second.
   double prefillTokensPerSecond = 6500;
-  /// How old a load report is on arrival.
+  /// Age of a load report on arrival.
   base::Duration reportLag = std::chrono::milliseconds(375);
-  /// Work not seen in a report for this long is over or was never there.
+  /// Announced work that no report has covered for this long has finished or never reached the
+  /// engine.
   base::Duration dispatchRetention = std::chrono::seconds(5);
-  /// Least work that a request stands for which a report shows waiting, in tokens: where the replay
-  /// says that all is done, requests wait for memory.
+  /// Minimum work, in tokens, per request that a report shows as waiting. If all work is complete
+  /// according to the replay but requests are still waiting, they wait for memory.
   double waitingTokens = 2000;
 };
 
@@ -36,9 +38,10 @@
                     base::TimePoint now);
   void clear();
 
-  /// Prompt tokens that are computed before a request of this priority that comes now.
+  /// Returns the prompt tokens that will be computed before a request of this priority that arrives
+  /// now.
   std::uint64_t tokensAhead(base::PriorityClass priority, base::TimePoint now) const;
-  /// Requests running or waiting.
+  /// Returns the number of requests that are running or waiting.
   std::uint32_t requests() const;
 
  private:
@@ -51,16 +54,17 @@
   /// Prompt tokens by priority class.
   using WorkByPriority = std::array<double, base::kPriorityClassCount>;
 
-  /// Computes for `span`, the most important class first.
+  /// Subtracts the work that the engine computes within `span`, in order of priority.
   void compute(WorkByPriority& work, base::Duration span) const;
 
   QueueEstimateOptions options_;
   clients::EngineLoad load_;
-  /// Announced work that was left when the reported load was true, and that work bounded by it.
+  /// Announced work that remained at the time of the latest reported load, and the same work
+  /// limited to the bounds from that report.
   WorkByPriority replayed_{};
   WorkByPriority bounded_{};
   base::TimePoint sampledAt_{};
-  /// Later than `sampledAt_`.
+  /// Dispatches that were announced later than `sampledAt_`.
   std::deque<Dispatch> dispatches_;
 };
 
--- a/src/routing/random_policy.h
+++ b/src/routing/random_policy.h
@@ -1,5 +1,5 @@
 /// \file
-/// Baseline: any qualifying engine with equal probability.
+/// Baseline policy: chooses any qualifying engine with equal probability.
 #pragma once
 
 #include "routing/policy_factory.h"
--- a/src/routing/round_robin_policy.h
+++ b/src/routing/round_robin_policy.h
@@ -1,5 +1,5 @@
 /// \file
-/// Baseline: qualifying engines in turn.
+/// Baseline policy: chooses the qualifying engines in rotation.
 #pragma once
 
 #include "routing/policy_factory.h"
--- a/src/routing/routing_service.h
+++ b/src/routing/routing_service.h
@@ -1,6 +1,6 @@
 /// \file
-/// Everything about routing on one node, wired together: engine directory, cache index home, lookup
-/// client and the policy in use.
+/// The routing components of one node, connected to each other: engine directory, cache index home,
+/// lookup client and the policy in use.
 #pragma once
 
 #include <functional>
@@ -17,13 +17,14 @@
 
 namespace covewing::routing {
 
-/// Builds a policy that is not in the factory, such as one that only experiments may use.
+/// Creates a policy that is not available through the policy factory, for example one that is used
+/// only in experiments.
 using PolicyFactory = std::function<std::unique_ptr<RoutingPolicy>(PolicyEnvironment)>;
 
 struct RoutingOptions {
-  /// Checked with `policyNames` before; an unknown name falls back to the shipped policy.
+  /// Must have been validated with `policyNames`; an unknown name selects the shipped policy.
   std::string policy{kDefaultPolicy};
-  /// Used in place of `policy` where set.
+  /// Replaces `policy` if set.
   PolicyFactory makePolicy;
   EngineDirectoryOptions directory;
   CacheIndexHomeOptions home;
@@ -32,7 +33,7 @@
   PolicyTuning tuning;
 };
 
-/// All must outlive the service and share its thread.
+/// All references must outlive the service and are used on its thread.
 struct RoutingEnvironment {
   base::Clock& clock;
   base::TimerService& timers;
