--- a/tests/routing/cache_messages_test.cc
+++ b/tests/routing/cache_messages_test.cc
@@ -38,7 +38,8 @@
 
 BOOST_AUTO_TEST_SUITE(CacheMessagesTest)
 
-RC_BOOST_PROP(ARequestComesBackAsSent, (std::uint16_t chainLength, std::uint8_t engines)) {
+RC_BOOST_PROP(RequestRoundTripPreservesAllFields,
+              (std::uint16_t chainLength, std::uint8_t engines)) {
   const auto request = makeRequest(chainLength, engines % 16);
   const auto message = decodeCacheMessage(encode(request));
   RC_ASSERT(message.has_value());
@@ -52,7 +53,7 @@
   RC_ASSERT(decoded->checkpoints.fingerprints == request.checkpoints.fingerprints);
 }
 
-BOOST_AUTO_TEST_CASE(AReplyComesBackAsSent) {
+BOOST_AUTO_TEST_CASE(ReplyRoundTripPreservesAllFields) {
   const auto message = decodeCacheMessage(encode(makeReply(makeRequest(100, 3))));
   BOOST_REQUIRE(message.has_value());
   const auto* reply = std::get_if<LookupReply>(&*message);
@@ -68,7 +69,7 @@
   BOOST_TEST(reply->entries[2].incarnation == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(ANoticeComesBackAsSent) {
+BOOST_AUTO_TEST_CASE(NoticeRoundTripPreservesAllFields) {
   const DispatchNotice notice{9, 77, base::PriorityClass::kBackground, 4096};
   const auto message = decodeCacheMessage(encode(notice));
   BOOST_REQUIRE(message.has_value());
@@ -80,18 +81,18 @@
   BOOST_TEST(decoded->uncachedTokens == 4096U);
 }
 
-BOOST_AUTO_TEST_CASE(ALongPromptAndThreeEnginesStayWithinTheByteBudget) {
+BOOST_AUTO_TEST_CASE(MessagesForLongPromptAndThreeEnginesStayWithinByteBudget) {
   const auto request = makeRequest(1000, 3);
   BOOST_TEST(encode(request).size() <= 130U);
   BOOST_TEST(encode(makeReply(request)).size() <= 60U);
   BOOST_TEST(encode(DispatchNotice{50'000, 0xffffffff, {}, 70'000}).size() <= 20U);
 }
 
-RC_BOOST_PROP(ArbitraryBytesAreRefusedOrDecoded, (const std::string& bytes)) {
+RC_BOOST_PROP(ArbitraryBytesAreRejectedOrDecoded, (const std::string& bytes)) {
   decodeCacheMessage(bytes);
 }
 
-BOOST_AUTO_TEST_CASE(ARequestWithTheWrongNumberOfCheckpointsIsRefused) {
+BOOST_AUTO_TEST_CASE(RequestWithWrongCheckpointCountIsRejected) {
   auto request = makeRequest(100, 1);
   request.checkpoints.fingerprints.pop_back();
   BOOST_TEST(!decodeCacheMessage(encode(request)).has_value());
--- a/tests/routing/cache_stores_test.cc
+++ b/tests/routing/cache_stores_test.cc
@@ -1,4 +1,5 @@
-// Which store of kept cache a part belongs to, and whether a store is taken to answer.
+// Assignment of prompt parts to external KV cache stores, and the evaluation of the availability of
+// a store.
 #include "routing/cache_stores.h"
 
 #include <boost/test/unit_test.hpp>
@@ -39,9 +40,9 @@
 
 BOOST_FIXTURE_TEST_SUITE(CacheStoresTest, StoresFixture)
 
-BOOST_AUTO_TEST_CASE(StoreThatNothingIsKnownOfIsNotChosen) { BOOST_TEST(chosen().empty()); }
+BOOST_AUTO_TEST_CASE(StoreWithUnknownAvailabilityIsNotChosen) { BOOST_TEST(chosen().empty()); }
 
-BOOST_AUTO_TEST_CASE(AvailableStoresShareThePartsAndEachPartKeepsIts) {
+BOOST_AUTO_TEST_CASE(PartsAreSpreadOverAvailableStoresAndKeepTheirStore) {
   stores.setLocalAvailability(one, true);
   stores.setLocalAvailability(two, true);
   BOOST_TEST(chosen().size() == 2U);
@@ -52,7 +53,7 @@
   BOOST_TEST((again->name == name || again->name == "store/0.0.0.9:3"));
 }
 
-BOOST_AUTO_TEST_CASE(NodeThatDoesNotWatchGoesByWhatMostOthersSay) {
+BOOST_AUTO_TEST_CASE(NodeThatDoesNotWatchFollowsTheMajorityOfReports) {
   stores.onReportedAvailability(one, "n1", true);
   stores.onReportedAvailability(one, "n2", true);
   stores.onReportedAvailability(one, "n3", false);
@@ -61,7 +62,7 @@
   BOOST_TEST((stores.choose(1) == nullptr));
 }
 
-BOOST_AUTO_TEST_CASE(OwnWatchCountsForMoreThanReports) {
+BOOST_AUTO_TEST_CASE(OwnObservationOverridesReports) {
   stores.onReportedAvailability(one, "n1", true);
   stores.setLocalAvailability(one, false);
   BOOST_TEST((stores.choose(1) == nullptr));
@@ -69,7 +70,7 @@
   BOOST_TEST(stores.choose(1)->name == one);
 }
 
-BOOST_AUTO_TEST_CASE(ChangesOfTheOwnWatchAreToldOnce) {
+BOOST_AUTO_TEST_CASE(ChangesOfOwnObservationAreNotifiedOnce) {
   std::vector<bool> notified;
   stores.onLocalAvailabilityChanged(
       [&notified](const std::string& /*name*/, bool value) { notified.push_back(value); });
@@ -78,7 +79,7 @@
   BOOST_TEST(notified == (std::vector<bool>{true, false, true}), boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(AnotherTableKeepsWhatIsKnown) {
+BOOST_AUTO_TEST_CASE(UpdatedTableKeepsStoreState) {
   stores.setLocalAvailability(one, true);
   stores.onReportedAvailability(two, "n1", true);
   stores.update(*table);
--- a/tests/routing/cache_watch_test.cc
+++ b/tests/routing/cache_watch_test.cc
@@ -1,4 +1,4 @@
-// Watching the caches of replicas and stores.
+// Watching the cache events of replicas and stores.
 #include "routing/cache_watch.h"
 
 #include <boost/test/unit_test.hpp>
@@ -79,7 +79,7 @@
   CacheStores stores;
   PrefixHolders holders;
   prefix::PartChain chain = *prefix::PartChain::parse("aa:50,own:5");
-  /// A node that watches as soon as it is in line.
+  /// Options of a node that starts to watch as soon as it is eligible.
   static CacheWatchOptions atOnce() {
     CacheWatchOptions options;
     options.eligibilityDelay = {};
@@ -94,7 +94,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(CacheWatchTest, WatchFixture)
 
-BOOST_AUTO_TEST_CASE(EventsAreTakenInAndTheNextCallGoesOnBehindThem) {
+BOOST_AUTO_TEST_CASE(EventsAreAppliedAndNextPollContinuesAfterThem) {
   feed.calls.back().callback(reply(7, 12, 50));
   BOOST_TEST(matched() == 50U);
   time.advance(milliseconds(400));
@@ -104,7 +104,7 @@
   BOOST_TEST(matched() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(RestartOrGapDropsWhatWasKnown) {
+BOOST_AUTO_TEST_CASE(RestartOrGapDropsHolderEntries) {
   feed.calls.back().callback(reply(7, 12, 50));
   time.advance(milliseconds(400));
   auto restarted = reply(8, 1, 50);
@@ -113,14 +113,14 @@
   BOOST_TEST(matched() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(FailedCallIsRepeatedLater) {
+BOOST_AUTO_TEST_CASE(FailedPollIsRetriedAfterBackoff) {
   feed.calls.back().callback({});
   BOOST_TEST(feed.calls.size() == 1U);
   time.advance(seconds(1));
   BOOST_TEST(feed.calls.size() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(OnlyTheHomeAndTheNextInLineWatchAReplicaThatNotAllMayWatch) {
+BOOST_AUTO_TEST_CASE(ReplicaWithFewWatcherSlotsIsWatchedByItsHomeAndTheNextHomeOnly) {
   std::size_t watchers = 0;
   std::vector<membership::Member> all;
   for (int number = 0; number < 20; ++number)
@@ -139,17 +139,17 @@
   BOOST_TEST(watchers == 2U);
 }
 
-// A watch that ended and began again while a call was under way went on twice; its second timer
-// outlived it and ended the process.
-BOOST_AUTO_TEST_CASE(WatchThatBeginsAgainGoesOnOnce) {
+// Guards against polling twice: if a watch ended and restarted while a poll was in flight, both
+// polls scheduled a next one, and the second timer outlived the watch and crashed the process.
+BOOST_AUTO_TEST_CASE(RestartedWatchPollsOnlyOnce) {
   const auto early = feed.calls.back();
   replicas.onRemoved("r1");
   time.advance(milliseconds(600));
-  Replica again;
-  again.instance = "r1";
-  again.service = "llm";
-  again.models = {{"m", 1}};
-  replicas.onListed(again);
+  Replica relisted;
+  relisted.instance = "r1";
+  relisted.service = "llm";
+  relisted.models = {{"m", 1}};
+  replicas.onListed(relisted);
   time.advance(milliseconds(600));
   BOOST_TEST(feed.calls.size() == 2U);
   const auto late = feed.calls.back();
@@ -162,13 +162,15 @@
   BOOST_TEST(feed.calls.size() == 3U);
 }
 
-// Nodes that do not watch a replica fetched what it had dropped long before.
-BOOST_AUTO_TEST_CASE(HomeOfAReplicaTellsWhatItKeepsAndDropsWhereNotAllWatch) {
+// Guards against fetching parts that the replica dropped long before: nodes that do not watch a
+// replica depend on its home for these changes.
+BOOST_AUTO_TEST_CASE(HomePublishesCacheChangesWhereNotAllNodesWatch) {
   std::vector<CacheChange> changes;
   watch.onChange([&](const CacheChange& change) { changes.push_back(change); });
   feed.calls.back().callback(reply(7, 12, 50));
   BOOST_TEST(changes.empty());
-  // Two more than may watch, none of them in line before this node.
+  // Adds nodes until there are two more than may watch, none of them before this node in the home
+  // order.
   const auto homes = ReplicaHomes(members);
   for (int number = 0; members.members.size() < 6; ++number) {
     members.members.push_back(FakeMembers::member("n" + std::to_string(number)));
@@ -185,14 +187,15 @@
   BOOST_TEST(changes[1].currentTokens == 0U);
 }
 
-// Each new watcher is sent all events that the replica still keeps.
-BOOST_AUTO_TEST_CASE(NodeThatIsInLineForAMomentDoesNotWatch) {
+// Guards against needless transfers: each new watcher receives all events that the replica still
+// retains.
+BOOST_AUTO_TEST_CASE(BrieflyEligibleNodeDoesNotWatch) {
   FakeFeed calls;
   FakeMembers view;
   CacheWatch late({}, {time, time, random, log, calls, replicas, stores, view, holders},
                   [](const std::string& /*service*/) { return 1U; });
   late.start();
-  // Alone for a moment, as after a start; then it sees the others.
+  // The node sees no other members for a short time, as after a start, and then discovers them.
   time.advance(milliseconds(1400));
   const auto alone = view.members;
   for (int number = 0; number < 200; ++number)
@@ -204,7 +207,7 @@
   BOOST_TEST(calls.calls.size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(StoreIsAvailableWhileItAnswers) {
+BOOST_AUTO_TEST_CASE(StoreIsAvailableWhileItResponds) {
   config::RouteTableContents contents;
   config::Service service;
   service.name = "kept";
@@ -222,8 +225,9 @@
   BOOST_TEST((stores.choose(1) == nullptr));
 }
 
-// An entry by another writer that named no model was asked for its cache.
-BOOST_AUTO_TEST_CASE(WhatListsNoModelIsNotAsked) {
+// Guards against polling a replica that lists no models and therefore has no prompt cache, such as
+// one listed by another writer.
+BOOST_AUTO_TEST_CASE(ReplicaWithoutModelsIsNotPolled) {
   replicas.onRemoved("r1");
   Replica other;
   other.instance = "other";
@@ -235,7 +239,7 @@
   BOOST_TEST(feed.calls.size() == before);
 }
 
-BOOST_AUTO_TEST_CASE(ReplicaThatSaysThatItLeavesInAnswerToAWatchIsKnownToLeave) {
+BOOST_AUTO_TEST_CASE(LeavingNoticeInPollReplyIsRecorded) {
   auto refusal = clients::CacheFeedReply{};
   refusal.status = clients::CacheFeedStatus::kBusy;
   refusal.leaving = true;
@@ -243,8 +247,9 @@
   BOOST_TEST(!replicas.find("r1")->inService());
 }
 
-// A replica that takes one request a second got two calls a second from those that watch its cache.
-BOOST_AUTO_TEST_CASE(ReplicaWithARateLimitIsWatchedSeldomAndByItsHomeAlone) {
+// Guards against exhausting the rate limit: a replica that accepts one request per second received
+// two polls per second from the nodes that watched its cache.
+BOOST_AUTO_TEST_CASE(RateLimitedReplicaIsPolledInfrequentlyAndOnlyByItsHome) {
   std::size_t limitedCalls = 0;
   watch.onRateLimitedPoll([&](const ReplicaRecord& /*replica*/) { ++limitedCalls; });
   auto limited = reply(7, 12, 50);
@@ -256,7 +261,7 @@
   time.advance(seconds(20));
   BOOST_TEST(feed.calls.size() == 2U);
   BOOST_TEST(limitedCalls == 1U);
-  // Other nodes of a small fleet leave it to the home.
+  // In a small fleet, the other nodes leave the watch to the home as well.
   members.members.push_back(FakeMembers::member("other"));
   members.members.push_back(FakeMembers::member("another"));
   time.advance(seconds(1));
@@ -264,7 +269,7 @@
   BOOST_TEST(watch.watchCount() == (home ? 1U : 0U));
 }
 
-BOOST_AUTO_TEST_CASE(ReplicaThatNoLongerNamesALimitIsWatchedAgainAtOnce) {
+BOOST_AUTO_TEST_CASE(ReplicaWhoseRateLimitEndsIsPolledAtOnce) {
   auto limited = reply(7, 12, 50);
   limited.rateLimit = clients::RateLimitNotice::of(0.2);
   feed.calls.back().callback(limited);
--- a/tests/routing/delayed_network.h
+++ b/tests/routing/delayed_network.h
@@ -1,5 +1,6 @@
 /// \file
-/// A network between the nodes of a test: messages arrive after a millisecond, or are lost.
+/// A simulated network between the nodes of a test. Messages arrive after one millisecond or are
+/// lost.
 #pragma once
 
 #include <cstdint>
@@ -21,11 +22,11 @@
 
   DelayedNetwork(test_support::VirtualTime& time, std::uint64_t seed) : random(seed), time_(time) {}
 
-  /// The node at the address receives from now on.
+  /// Registers the receiver of the messages to this address.
   void attach(std::uint32_t address, Receiver receiver) {
     receivers_[address] = std::move(receiver);
   }
-  /// What is sent to the address from now on, or under way, is lost.
+  /// Unregisters the receiver. Messages to the address that are in flight or sent later are lost.
   void detach(std::uint32_t address) { receivers_.erase(address); }
 
   void send(const base::PeerIdentity& sender, const base::Endpoint& destination,
@@ -41,11 +42,11 @@
                    });
   }
 
-  /// Part of the messages that are lost.
+  /// Fraction of the messages that are lost.
   double loss = 0;
-  /// Addresses that neither send nor receive.
+  /// Addresses that can neither send nor receive.
   std::set<std::uint32_t> cut;
-  /// True for a message that is lost.
+  /// Returns true for a message that is to be lost.
   std::function<bool(const base::Endpoint& destination, std::string_view payload)> filter;
   std::size_t sent = 0;
   base::SeededRandom random;
@@ -55,7 +56,7 @@
   std::map<std::uint32_t, Receiver> receivers_;
 };
 
-/// One node's end of the network.
+/// Connection of one node to the network.
 class DelayedLink final : public base::PeerTransport {
  public:
   DelayedLink(DelayedNetwork& network, base::PeerIdentity self) : network_(network), self_(self) {}
--- a/tests/routing/engine_cache_index_test.cc
+++ b/tests/routing/engine_cache_index_test.cc
@@ -61,7 +61,7 @@
   BOOST_TEST(!index.match(checkpoints).doubtful);
 }
 
-BOOST_AUTO_TEST_CASE(ASnapshotReplacesEverythingAndEndsTheDoubt) {
+BOOST_AUTO_TEST_CASE(SnapshotReplacesEntriesAndClearsDoubtfulState) {
   index.apply(makeEvents(0, chain, 0, 64, CacheEventKind::kStored), kStart);
   index.apply(makeEvents(70, chain, 0, 0, CacheEventKind::kStored), kStart);
   auto snapshot = makeEvents(0, chain, 0, 32, CacheEventKind::kStored);
@@ -70,7 +70,7 @@
   BOOST_TEST(!index.resyncDue());
   BOOST_TEST(index.match(checkpoints).blocks == 32U);
   BOOST_TEST(!index.match(checkpoints).doubtful);
-  // Events from before the snapshot come again; that is no gap.
+  // Events from before the snapshot are received again; this is not a gap.
   BOOST_TEST(index.apply(makeEvents(70, chain, 0, 4, CacheEventKind::kStored), kStart));
 }
 
@@ -92,7 +92,7 @@
   BOOST_TEST(index.match(checkpoints).blocks == 16U);
 }
 
-BOOST_AUTO_TEST_CASE(ClearForgetsEntriesAndSequence) {
+BOOST_AUTO_TEST_CASE(ClearRemovesEntriesAndSequence) {
   index.apply(makeEvents(0, chain, 0, 64, CacheEventKind::kStored), kStart);
   index.announce(checkpoints, kStart);
   index.clear();
--- a/tests/routing/engine_directory_test.cc
+++ b/tests/routing/engine_directory_test.cc
@@ -44,7 +44,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(EngineDirectoryTest, DirectoryFixture)
 
-BOOST_AUTO_TEST_CASE(ASingleNodeLearnsEveryListedEngineByPolling) {
+BOOST_AUTO_TEST_CASE(SingleNodePollsEveryListedEngine) {
   addEngine("rules-1", "north", 4);
   addEngine("rules-2", "south", 4);
   directory.start();
@@ -69,7 +69,7 @@
   BOOST_TEST(engine("rules-1").leaving);
 }
 
-BOOST_AUTO_TEST_CASE(ANodeThatIsNoHomeLearnsFromRecords) {
+BOOST_AUTO_TEST_CASE(NodeThatIsNotAHomeAppliesRecords) {
   members.set({makeMember("node-b", "north"), makeMember("node-c", "south")});
   directory.start();
   EngineRecord record;
@@ -91,7 +91,7 @@
   BOOST_TEST(engines.polls == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(AnEngineThatStopsAnsweringBecomesUnreachableAndReturns) {
+BOOST_AUTO_TEST_CASE(UnresponsiveEngineIsUnreachableUntilItResponds) {
   addEngine("rules-1", "north", 4);
   directory.start();
   time.advance(1s);
@@ -104,7 +104,7 @@
   BOOST_TEST(!engine("rules-1").unreachable);
 }
 
-BOOST_AUTO_TEST_CASE(AFailedDispatchKeepsTheEngineOutUntilAPollAnswers) {
+BOOST_AUTO_TEST_CASE(FailedDispatchMarksEngineUnreachableUntilPollSucceeds) {
   addEngine("rules-1", "north", 4);
   directory.start();
   time.advance(100ms);
@@ -128,7 +128,7 @@
   BOOST_TEST(engine("rules-1").incarnation == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(ANotedLeaveHoldsAgainstALaggingList) {
+BOOST_AUTO_TEST_CASE(LeavingMarkOverridesLaggingMachineList) {
   addEngine("rules-1", "north", 4);
   directory.start();
   time.advance(1s);
@@ -138,8 +138,9 @@
   BOOST_TEST(engine("rules-1").leaving);
 }
 
-// What an application had said was dropped: only engines were looked up.
-BOOST_AUTO_TEST_CASE(ApplicationThatRefusedBecauseItLeavesIsNotOfferedWork) {
+// Guards against losing the refusal of a leaving application, which happened when its identifier
+// was looked up among the engines only.
+BOOST_AUTO_TEST_CASE(LeavingApplicationReceivesNoRequests) {
   for (const char* name : {"pairings-1", "pairings-2"}) {
     auto machine = makeEngineMachine(name, "north");
     machine.kind = clients::MachineKind::kApplication;
@@ -154,13 +155,14 @@
   const auto offered = directory.applicationReplicas("pairings");
   BOOST_REQUIRE(offered.size() == 1U);
   BOOST_TEST(offered.front().name == "pairings-2");
-  // It may have started again, which it does not tell.
+  // The application may have restarted in the meantime, which it does not report.
   time.advance(11s);
   BOOST_TEST(directory.applicationReplicas("pairings").size() == 2U);
 }
 
-// It got new work again after 10 s where the list told of its leaving later than that.
-BOOST_AUTO_TEST_CASE(ANotedLeaveHoldsUntilTheEngineHasRestarted) {
+// Guards against the mark expiring after 10 s: the engine then received new requests again if the
+// machine list showed it as leaving only later.
+BOOST_AUTO_TEST_CASE(LeavingMarkIsKeptUntilEngineRestarts) {
   addEngine("rules-1", "north", 4);
   directory.start();
   time.advance(1s);
@@ -171,7 +173,7 @@
   BOOST_TEST(!engine("rules-1").leaving);
 }
 
-BOOST_AUTO_TEST_CASE(AnEngineGoneFromTheListIsForgottenOnlyWithoutSignsOfLife) {
+BOOST_AUTO_TEST_CASE(UnlistedEngineIsRemovedOnlyIfItDoesNotRespond) {
   addEngine("rules-1", "north", 4);
   addEngine("rules-2", "north", 4);
   directory.start();
@@ -205,7 +207,7 @@
   BOOST_TEST(directory.defaultVersion("rules") == 4U);
 }
 
-BOOST_AUTO_TEST_CASE(TheDefaultVersionIsTheOwnRegions) {
+BOOST_AUTO_TEST_CASE(DefaultVersionIsThatOfTheOwnRegion) {
   addEngine("rules-1", "north", 5);
   addEngine("rules-2", "far", 4);
   machines.machines->back().region = "elsewhere";
--- a/tests/routing/engine_homes_test.cc
+++ b/tests/routing/engine_homes_test.cc
@@ -32,7 +32,7 @@
 
 BOOST_AUTO_TEST_SUITE(EngineHomesTest)
 
-RC_BOOST_PROP(HomesLieInDifferentZonesAndTheFirstInTheEnginesOwn, (std::uint64_t engine)) {
+RC_BOOST_PROP(HomesAreInDifferentZonesAndTheFirstInTheEnginesZone, (std::uint64_t engine)) {
   const auto members = makeMembers(9, 3);
   const auto homes = homesOf({engine}, "zone-1", members);
   RC_ASSERT(homes.size() == kHomesPerEngine);
@@ -40,13 +40,13 @@
   RC_ASSERT(memberOf(members, homes[1]).zone != "zone-1");
 }
 
-RC_BOOST_PROP(ALostMemberMovesOnlyItsOwnEngines, (std::uint64_t engine)) {
+RC_BOOST_PROP(FailedMemberMovesOnlyItsOwnEngines, (std::uint64_t engine)) {
   const auto before = makeMembers(9, 3);
   auto after = before;
-  const auto lost = after[4].id;
+  const auto failed = after[4].id;
   after.erase(after.begin() + 4);
   const auto homes = homesOf({engine}, "zone-0", before);
-  if (std::find(homes.begin(), homes.end(), lost) == homes.end()) {
+  if (std::find(homes.begin(), homes.end(), failed) == homes.end()) {
     RC_ASSERT(homesOf({engine}, "zone-0", after) == homes);
   }
 }
@@ -65,7 +65,7 @@
   BOOST_TEST(memberOf(members, homes[0]).name == "node-3");
 }
 
-BOOST_AUTO_TEST_CASE(LargeFleetsHaveOneHomeAnEngine) {
+BOOST_AUTO_TEST_CASE(LargeFleetsHaveOneHomePerEngine) {
   BOOST_TEST(homesPerEngine(kSingleHomeMinimumNodes - 1) == kHomesPerEngine);
   BOOST_TEST(homesPerEngine(kSingleHomeMinimumNodes) == 1U);
 }
--- a/tests/routing/fakes.h
+++ b/tests/routing/fakes.h
@@ -1,6 +1,6 @@
 /// \file
-/// Fakes for routing tests: hand-driven time, a scripted machine list and engines, and a fixed
-/// membership.
+/// Fakes for routing tests: manually advanced time, a scripted machine list and engines, and a
+/// fixed membership.
 #pragma once
 
 #include <functional>
@@ -17,7 +17,7 @@
 
 namespace covewing::routing::testing {
 
-/// Clock and timers that run only when told to.
+/// Clock and timers that advance only when `advance` is called.
 class ManualTime final : public base::Clock, public base::TimerService {
  public:
   base::TimePoint now() const override { return now_; }
@@ -29,7 +29,7 @@
   void cancel(base::TimerId timer) override {
     std::erase_if(queue_, [&](const auto& entry) { return entry.first.second == timer; });
   }
-  /// Runs everything due within `span`, in order.
+  /// Runs all timers that are due within `span`, in order.
   void advance(base::Duration span) {
     const auto end = now_ + span;
     while (!queue_.empty() && queue_.begin()->first.first <= end) {
@@ -59,7 +59,8 @@
   ManualTime& time_;
 };
 
-/// Engines that answer polls with what a test put into `reports`; others do not answer.
+/// Engines that reply to polls with the contents of `reports`; engines without an entry do not
+/// respond.
 class FakeEngines final : public clients::EngineClient {
  public:
   explicit FakeEngines(ManualTime& time) : time_(time) {}
@@ -142,7 +143,7 @@
   std::uint64_t version_ = 0;
 };
 
-/// Record store of one node; `deliver` plays another node's gossip.
+/// Record store of one node; `deliver` simulates gossip from another node.
 class FakeRecords final : public membership::RecordDissemination {
  public:
   void publish(membership::GossipRecord record) override {
--- a/tests/routing/load_exchange_test.cc
+++ b/tests/routing/load_exchange_test.cc
@@ -1,5 +1,5 @@
-// What nodes tell each other of the work that they have under way, and what becomes of losses,
-// restarts and silence.
+// Exchange of load reports between nodes, and its behaviour under message loss, restarts and
+// unresponsive nodes.
 #include "routing/load_exchange.h"
 
 #include <boost/test/unit_test.hpp>
@@ -28,11 +28,11 @@
 
 struct LoadNode;
 
-/// Delivers messages to the node of the endpoint's address, or loses them.
+/// Delivers messages to the node with the endpoint's address, or drops them.
 class Network {
  public:
   std::vector<std::unique_ptr<LoadNode>> nodes;
-  /// Part of the messages that are lost.
+  /// Fraction of the messages that are lost.
   double loss = 0;
   std::size_t sent = 0;
   base::SeededRandom random{7};
@@ -48,7 +48,7 @@
   base::PeerIdentity self_;
 };
 
-/// One node with its replicas and the news that it hears.
+/// One node with its replicas and the load updates that it receives.
 struct LoadNode {
   LoadNode(test_support::VirtualTime& time, test_support::RecordingLog& log, Network& network,
            std::vector<membership::Member> ownFirst)
@@ -102,7 +102,7 @@
   ReplicaLoad recordedLoadOfOthers(std::size_t viewer, std::size_t replica) {
     return node(viewer).fleet.loadOfOtherNodes(replicaId(replica), time.now());
   }
-  /// What all nodes but one have under way in truth.
+  /// The load that all nodes except one actually have in progress.
   ReplicaLoad actualLoadOfOthers(std::size_t viewer, std::size_t replica) {
     ReplicaLoad sum;
     for (std::size_t number = 0; number < network.nodes.size(); ++number) {
@@ -120,7 +120,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(LoadSharingTest, ExchangeFixture)
 
-BOOST_AUTO_TEST_CASE(WorkOfOtherNodesIsKnownWithinTwoIntervals) {
+BOOST_AUTO_TEST_CASE(LoadOfOtherNodesIsKnownWithinTwoIntervals) {
   build(3);
   node(1).record(0).onDispatched(900);
   node(2).record(0).onDispatched(100);
@@ -133,7 +133,7 @@
   BOOST_TEST(recordedLoadOfOthers(0, 0).tokens == 100U);
 }
 
-BOOST_AUTO_TEST_CASE(NothingIsSentWhileNothingChangesButTheRepetition) {
+BOOST_AUTO_TEST_CASE(UnchangedLoadIsOnlyRepeatedPeriodically) {
   build(3);
   time.advance(seconds(1));
   const auto before = network.sent;
@@ -141,7 +141,7 @@
   BOOST_TEST(network.sent - before <= 3U * 2U * 11U);
 }
 
-BOOST_AUTO_TEST_CASE(NodeThatFallsSilentIsForgotten) {
+BOOST_AUTO_TEST_CASE(LoadOfUnresponsiveNodeExpires) {
   build(3);
   node(1).record(0).onDispatched(900);
   time.advance(milliseconds(100));
@@ -152,7 +152,7 @@
   BOOST_TEST(recordedLoadOfOthers(0, 0).requests == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(NewsOfAnEarlierRunAreDropped) {
+BOOST_AUTO_TEST_CASE(OutdatedUpdatesAreDropped) {
   build(2);
   auto& fleet = node(0).fleet;
   const auto sender = base::nodeIdOf("other");
@@ -164,18 +164,19 @@
   BOOST_TEST(recordedLoadOfOthers(0, 0).requests == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(MessagesANodeSendsAreBoundedHoweverManyNodesThereAre) {
+BOOST_AUTO_TEST_CASE(MessageRateIsBoundedForAnyNumberOfNodes) {
   build(25);
   for (int step = 0; step < 200; ++step) {
     node(0).record(0).onDispatched(1);
     time.advance(milliseconds(50));
   }
-  // Ten seconds of one busy node, and what 24 idle nodes repeat.
+  // Ten seconds of updates from one node with changing load, and the repeated updates of 24 idle
+  // nodes.
   BOOST_TEST(network.sent <= 10U * 120U + 25U * 24U * 11U);
   BOOST_TEST(network.sent >= 10U * 60U);
 }
 
-BOOST_AUTO_TEST_CASE(NothingIsSentWhereNewsWouldBeTooOldToRelyOn) {
+BOOST_AUTO_TEST_CASE(NothingIsSentIfUpdatesWouldBeOutOfDate) {
   build(61);
   for (int step = 0; step < 200; ++step) {
     node(0).record(0).onDispatched(1);
@@ -185,16 +186,16 @@
   BOOST_TEST((node(0).fleet.interval() > kLongestUsefulLoadInterval));
 }
 
-BOOST_AUTO_TEST_CASE(MalformedNewsAreDropped) {
+BOOST_AUTO_TEST_CASE(MalformedUpdatesAreDropped) {
   build(2);
   node(0).exchange->onPeerMessage({base::nodeIdOf("x"), 1, {}}, "nonsense");
   BOOST_TEST(log.count(base::Event::kMessageRejected) == 1U);
   BOOST_TEST(!decodeLoadUpdate("").has_value());
 }
 
-// A history of random work under loss, checked against the truth once it has been quiet for long
-// enough to be repeated.
-BOOST_AUTO_TEST_CASE(ViewsMeetTheTruthAfterLosses) {
+// Applies random load changes under message loss, and compares the views with the actual load after
+// the load has been unchanged for long enough to be sent again.
+BOOST_AUTO_TEST_CASE(ViewsConvergeAfterMessageLoss) {
   build(5);
   base::SeededRandom random{11};
   network.loss = 0.4;
--- a/tests/routing/machine_list_watch_test.cc
+++ b/tests/routing/machine_list_watch_test.cc
@@ -52,7 +52,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(MachineListWatchTest, WatchFixture)
 
-BOOST_AUTO_TEST_CASE(WhatIsFoundAtTheStartIsNotSpread) {
+BOOST_AUTO_TEST_CASE(InitialListIsNotPublished) {
   machines.list.machines->push_back(makeEngineMachine("rules-1", "north"));
   watch.start();
   BOOST_TEST(!watch.hasReadList());
@@ -62,7 +62,7 @@
   BOOST_TEST(records.published.empty());
 }
 
-BOOST_AUTO_TEST_CASE(ChangesAreSpreadOnce) {
+BOOST_AUTO_TEST_CASE(ChangesArePublishedOnce) {
   machines.list.machines->push_back(makeEngineMachine("rules-1", "north"));
   watch.start();
   time.advance(100ms);
@@ -79,19 +79,19 @@
   BOOST_TEST(records.published[1].version > records.published[0].version);
 }
 
-BOOST_AUTO_TEST_CASE(ManyNodesShareTheReading) {
+BOOST_AUTO_TEST_CASE(ReadsAreSharedAmongManyNodes) {
   watch.start();
   time.advance(1s);
   growFleet(340);
   time.advance(3s);
   const auto before = machines.fetches;
   time.advance(3400s);
-  // One node reads each 170 s in the mean.
+  // Each node reads every 170 s on average.
   BOOST_TEST(machines.fetches - before > 10U);
   BOOST_TEST(machines.fetches - before < 40U);
 }
 
-BOOST_AUTO_TEST_CASE(AChangeThatAnotherNodeToldIsTakenOver) {
+BOOST_AUTO_TEST_CASE(ChangePublishedByAnotherNodeIsApplied) {
   watch.start();
   time.advance(100ms);
   auto machine = makeEngineMachine("pairings-1", "north");
@@ -102,12 +102,12 @@
   BOOST_TEST((observed.at("pairings-1") == machine));
   deliverRecord(machine, true, 2);
   BOOST_TEST(observed.empty());
-  // Older news changes nothing.
+  // An older record has no effect.
   deliverRecord(machine, false, 1);
   BOOST_TEST(observed.empty());
 }
 
-BOOST_AUTO_TEST_CASE(NewsWinsOverALaggingListAndThenTheListWins) {
+BOOST_AUTO_TEST_CASE(RecentRecordOverridesListUntilPrecedenceExpires) {
   machines.list.machines->push_back(makeEngineMachine("rules-1", "north"));
   watch.start();
   time.advance(100ms);
--- a/tests/routing/routing_service_test.cc
+++ b/tests/routing/routing_service_test.cc
@@ -55,7 +55,7 @@
   return query;
 }
 
-/// Three nodes in three zones and six engines.
+/// Three nodes in three zones, and six engines.
 struct ServiceFixture {
   struct NodeParts {
     NodeParts(ServiceFixture& fixture, membership::Member self)
@@ -134,7 +134,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(RoutingServiceTest, ServiceFixture)
 
-BOOST_AUTO_TEST_CASE(RoutersMeetAtTheEngineThatAnotherRouterJustUsed) {
+BOOST_AUTO_TEST_CASE(RoutersChooseTheEngineThatAnotherRouterJustUsed) {
   const auto query = makeQuery(1);
   const auto first = dispatch(0, query);
   BOOST_REQUIRE(first.engine.has_value());
@@ -145,7 +145,7 @@
   BOOST_TEST(second.matchedBlocks == 256U);
 }
 
-BOOST_AUTO_TEST_CASE(EventsOfTheEngineDecideOnceTheyAreThere) {
+BOOST_AUTO_TEST_CASE(ReceivedCacheEventsDetermineTheChoice) {
   const auto query = makeQuery(2);
   const auto candidates = choose(0, query).candidates;
   BOOST_REQUIRE(candidates.size() >= 2U);
@@ -161,7 +161,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(ABusyHolderIsPassedOver) {
+BOOST_AUTO_TEST_CASE(OverloadedHolderIsNotChosen) {
   const auto query = makeQuery(3);
   const auto first = nameOf(dispatch(0, query));
   engines.reports[first].load.waiting[0] = 50;
@@ -170,7 +170,7 @@
   BOOST_TEST(nameOf(choose(1, query)) != first);
 }
 
-BOOST_AUTO_TEST_CASE(ARestartDropsWhatTheEngineHeld) {
+BOOST_AUTO_TEST_CASE(RestartClearsTheEnginesCacheIndex) {
   const auto query = makeQuery(4);
   const auto first = nameOf(dispatch(0, query));
   auto& report = engines.reports[first];
@@ -181,7 +181,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(WithoutAnswersTheRendezvousOrderDecides) {
+BOOST_AUTO_TEST_CASE(RendezvousOrderDecidesWithoutReplies) {
   const auto query = makeQuery(5);
   nodes[1]->transport.cut = true;
   nodes[2]->transport.cut = true;
@@ -207,7 +207,7 @@
   BOOST_TEST(third.importBlocks == second.exportBlocks);
 }
 
-BOOST_AUTO_TEST_CASE(ALostEventIsMendedByASnapshot) {
+BOOST_AUTO_TEST_CASE(LostEventIsRepairedBySnapshot) {
   const auto query = makeQuery(7);
   const auto holder = choose(0, query).candidates[0].name;
   auto& report = engines.reports[holder];
@@ -243,19 +243,19 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(LoadPoliciesAvoidTheBusyEngine) {
+BOOST_AUTO_TEST_CASE(LoadBasedPoliciesAvoidTheOverloadedEngine) {
   for (const auto* name : {"least_loaded", "power_of_two", "probe_pool", "full_index"}) {
     ServiceFixture fixture{name};
     fixture.engines.reports["rules-0"].load.running = 60;
     fixture.engines.reports["rules-0"].load.waiting = {0, 0, 50, 0};
     fixture.engines.reports["rules-0"].load.queuedPrefillTokens = {0, 0, 90'000, 0};
     fixture.time.advance(2s);
-    std::size_t busy = 0;
+    std::size_t overloadedChoices = 0;
     for (std::uint64_t seed = 100; seed < 160; ++seed) {
       const auto decision = fixture.dispatch(seed % 3, makeQuery(seed));
-      busy += fixture.nameOf(decision) == "rules-0" ? 1 : 0;
+      overloadedChoices += fixture.nameOf(decision) == "rules-0" ? 1 : 0;
     }
-    BOOST_TEST(busy <= 6U, name);
+    BOOST_TEST(overloadedChoices <= 6U, name);
   }
 }
 
