--- a/src/routing/cache_index_home.h
+++ b/src/routing/cache_index_home.h
@@ -1,7 +1,7 @@
 /// \file
-/// The part of a node that is a home of some engines: it keeps their cache index and queue
-/// estimates from the reports that the engine directory polls, answers routers' lookups, and asks
-/// engines for snapshots, paced, where events were lost.
+/// The component of a node that acts as the home of some engines. It maintains their cache index
+/// and queue estimates from the reports that the engine directory polls, serves the lookups of
+/// routers, and requests rate-limited snapshots from engines whose events were lost.
 #pragma once
 
 #include <cstdint>
@@ -26,20 +26,21 @@
 struct CacheIndexHomeOptions {
   CacheIndexOptions index;
   QueueEstimateOptions queue;
-  /// Wait for memory where a prompt does not fit, in prompt tokens: at least, and for each block
-  /// that is missing.
+  /// Expected wait for cache memory if a prompt does not fit, expressed in prompt tokens: a fixed
+  /// part, and a part for each missing block.
   double memoryWaitTokens = 1000;
   double memoryWaitTokensPerBlock = 1;
-  /// Time between two rounds of expiry and resync.
+  /// Interval between two maintenance passes, each of which expires entries and starts a resync if
+  /// one is due.
   base::Duration maintenanceInterval = std::chrono::milliseconds(250);
-  /// Mean rate of snapshot bytes that this node asks for.
+  /// Average rate, in bytes per second, of the snapshots that this node requests.
   double resyncBytesPerSecond = 32'768;
-  /// A lookup waits this long for the announcement that belongs to it.
-  base::Duration lookupMemory = std::chrono::seconds(2);
-  /// How long a prefix counts as lately asked for.
-  base::Duration sharedMemory = std::chrono::seconds(60);
-  /// How long an export is believed to be in the store.
-  base::Duration exportMemory = std::chrono::seconds(60);
+  /// How long a lookup is retained for the dispatch notice that belongs to it.
+  base::Duration lookupRetention = std::chrono::seconds(2);
+  /// How long a prefix counts as recently requested after a lookup.
+  base::Duration recentRequestWindow = std::chrono::seconds(60);
+  /// How long an exported block is assumed to remain in the external KV cache store.
+  base::Duration exportRetention = std::chrono::seconds(60);
 };
 
 struct CacheIndexHomeEnvironment {
@@ -51,7 +52,7 @@
   EngineDirectory& directory;
 };
 
-/// Counts for metrics and measurements.
+/// Counters for metrics and measurements.
 struct CacheIndexHomeCounters {
   std::uint64_t lookups = 0;
   std::uint64_t gaps = 0;
@@ -68,8 +69,9 @@
 
   void start();
 
-  /// Answers for the engines that this node follows; others are marked as not known.
-  LookupReply answer(base::NodeId asker, const LookupRequest& request);
+  /// Returns the state of the requested engines. Engines that this node does not track, that are
+  /// unreachable, or for which it has no current report, are marked as not known.
+  LookupReply handleLookup(base::NodeId requester, const LookupRequest& request);
   void onDispatch(base::NodeId router, const DispatchNotice& notice);
 
   void onReport(const EngineState& engine, const clients::EngineReport& report) override;
@@ -81,7 +83,7 @@
   std::size_t memoryBytes() const;
 
  private:
-  struct Followed {
+  struct TrackedEngine {
     base::EngineId id;
     std::vector<clients::LoadedWeights> weights;
     EngineCacheIndex index;
@@ -90,34 +92,36 @@
     base::TimePoint reportedAt{};
   };
   struct PendingLookup {
-    base::NodeId asker;
+    base::NodeId requester;
     std::uint64_t lookupId = 0;
     base::TimePoint expiry;
     prefix::Checkpoints checkpoints;
   };
 
-  Followed* find(EngineTag32 engine);
-  /// Tokens computed ahead, and the wait for memory in the same unit.
-  std::uint32_t tokensAhead(Followed& followed, const LookupRequest& request,
+  TrackedEngine* find(ShortEngineId engine);
+  /// Prompt tokens to be computed before the request, plus the expected wait for memory in the same
+  /// unit.
+  std::uint32_t tokensAhead(TrackedEngine& tracked, const LookupRequest& request,
                             std::uint32_t matchedBlocks) const;
-  LookupEntry entryFor(EngineTag32 engine, const LookupRequest& request);
-  void dropOnWeightsChange(Followed& followed, const EngineState& engine);
-  void noteExports(const clients::EngineReport& report);
-  std::uint32_t depthIn(const prefix::BlockTable& table, const prefix::Checkpoints& checkpoints,
-                        base::Duration memory) const;
+  LookupEntry entryFor(ShortEngineId engine, const LookupRequest& request);
+  void dropOnWeightsChange(TrackedEngine& tracked, const EngineState& engine);
+  void recordExports(const clients::EngineReport& report);
+  std::uint32_t matchedDepth(const prefix::BlockTable& table,
+                             const prefix::Checkpoints& checkpoints,
+                             base::Duration retention) const;
   void scheduleMaintenance();
   void maintain();
-  void expireMemories(base::TimePoint now);
+  void expireTables(base::TimePoint now);
   void startResync();
-  void onSnapshot(EngineTag32 engine, const std::optional<clients::EngineReport>& snapshot);
+  void onSnapshot(ShortEngineId engine, const std::optional<clients::EngineReport>& snapshot);
   prefix::BlockTable::Mark stampOf(base::TimePoint time) const;
 
   CacheIndexHomeOptions options_;
   CacheIndexHomeEnvironment environment_;
-  std::map<EngineTag32, Followed> followed_;
+  std::map<ShortEngineId, TrackedEngine> trackedEngines_;
   std::deque<PendingLookup> lookups_;
-  /// Checkpoints of lookups, and of exports, stamped with their time.
-  prefix::BlockTable asked_;
+  /// Checkpoints of recent lookups and of exported blocks, each marked with its time.
+  prefix::BlockTable requested_;
   prefix::BlockTable exported_;
   bool resyncOutstanding_ = false;
   base::TimePoint nextResync_{};
--- a/src/routing/engine_cache_index.cc
+++ b/src/routing/engine_cache_index.cc
@@ -18,7 +18,8 @@
 }
 
 bool EngineCacheIndex::apply(const clients::EngineReport& report, base::TimePoint now) {
-  // A first report that does not start at the engine's first event shows a part of its cache only.
+  // A first report that does not start at the engine's first event covers only a part of its cache
+  // and is therefore treated as a gap.
   const bool gap = report.firstSequence > nextSequence_;
   if (gap) startGeneration(now);
   nextSequence_ = report.nextSequence;
@@ -43,7 +44,8 @@
   generation_ = 0;
   hasDoubtful_ = false;
   resyncDue_ = false;
-  // A snapshot may be newer than published events: those come again and change nothing.
+  // A snapshot may be newer than the published events. Those events are received again and have no
+  // further effect.
   nextSequence_ = snapshot.nextSequence;
   for (const auto& event : snapshot.events) {
     blocks_.insert(fingerprintOf(event.block), generation_);
@@ -75,7 +77,7 @@
 void EngineCacheIndex::announce(const prefix::Checkpoints& checkpoints, base::TimePoint now) {
   if (checkpoints.fingerprints.empty()) return;
   ++lastAnnouncement_;
-  announcements_.push_back({now + options_.announcedFor, lastAnnouncement_});
+  announcements_.push_back({now + options_.announcementRetention, lastAnnouncement_});
   for (const auto fingerprint : checkpoints.fingerprints) {
     announced_.insert(fingerprint, lastAnnouncement_);
   }
@@ -95,7 +97,7 @@
     announced_.eraseIf(
         [&](Mark mark) { return static_cast<Mark>(lastAnnouncement_ - mark) > live; });
   }
-  if (hasDoubtful_ && now - gapAt_ >= options_.doubtfulFor) {
+  if (hasDoubtful_ && now - gapAt_ >= options_.doubtfulRetention) {
     blocks_.eraseIf([this](Mark mark) { return !isCurrent(mark); });
     hasDoubtful_ = false;
   }
--- a/src/routing/full_index_policy.h
+++ b/src/routing/full_index_policy.h
@@ -1,6 +1,7 @@
 /// \file
-/// Baseline: every node polls all engines and keeps the whole cache index; the engine with the
-/// least expected time to first token of all is taken. Its control traffic grows with the fleet.
+/// Baseline policy: every node polls all engines and keeps the complete cache index. Chooses the
+/// engine with the lowest expected time to first token of the whole fleet. The control traffic
+/// grows with the size of the fleet.
 #pragma once
 
 #include <memory>
@@ -19,7 +20,7 @@
   void choose(RouteQuery query, RouteCallback callback) override;
   void onDispatched(const RouteQuery& query, const RouteDecision& decision) override;
   void onFinished(base::EngineId /*engine*/, std::uint32_t /*promptTokens*/,
-                  std::uint32_t /*cachedTokens*/, base::Duration /*firstTokenAfter*/) override {}
+                  std::uint32_t /*cachedTokens*/, base::Duration /*timeToFirstToken*/) override {}
 
  private:
   PolicyEnvironment environment_;
--- a/src/routing/least_loaded_policy.h
+++ b/src/routing/least_loaded_policy.h
@@ -1,6 +1,6 @@
 /// \file
-/// Baseline: the engine with the fewest requests, by reports of all engines and own dispatches
-/// since; caches play no part.
+/// Baseline policy: chooses the engine with the fewest requests, counted from the reports of all
+/// engines and this node's own dispatches since then. Caches are not considered.
 #pragma once
 
 #include <memory>
@@ -17,7 +17,7 @@
   void choose(RouteQuery query, RouteCallback callback) override;
   void onDispatched(const RouteQuery& query, const RouteDecision& decision) override;
   void onFinished(base::EngineId /*engine*/, std::uint32_t /*promptTokens*/,
-                  std::uint32_t /*cachedTokens*/, base::Duration /*firstTokenAfter*/) override {}
+                  std::uint32_t /*cachedTokens*/, base::Duration /*timeToFirstToken*/) override {}
 
  private:
   PolicyEnvironment environment_;
--- a/src/routing/power_of_two_policy.h
+++ b/src/routing/power_of_two_policy.h
@@ -1,5 +1,5 @@
 /// \file
-/// Baseline: of two engines drawn at random, the one with fewer requests.
+/// Baseline policy: draws two engines at random and chooses the one with fewer requests.
 #pragma once
 
 #include <memory>
@@ -15,7 +15,7 @@
   void choose(RouteQuery query, RouteCallback callback) override;
   void onDispatched(const RouteQuery& query, const RouteDecision& decision) override;
   void onFinished(base::EngineId /*engine*/, std::uint32_t /*promptTokens*/,
-                  std::uint32_t /*cachedTokens*/, base::Duration /*firstTokenAfter*/) override {}
+                  std::uint32_t /*cachedTokens*/, base::Duration /*timeToFirstToken*/) override {}
 
  private:
   PolicyEnvironment environment_;
--- a/src/routing/prefix_affinity_policy.cc
+++ b/src/routing/prefix_affinity_policy.cc
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// Load of a request besides its prefill, as prompt tokens: its decoding steps.
+/// Load that the decoding steps of a request add to its prefill, expressed in prompt tokens.
 constexpr std::uint32_t kDecodeTokens = 200;
 
 }  // namespace
@@ -32,12 +32,13 @@
   return environment_.members == nullptr ? 1 : environment_.members->liveMembers().size();
 }
 
-std::size_t PrefixAffinityPolicy::width(std::uint64_t root, base::TimePoint now) {
+std::size_t PrefixAffinityPolicy::candidateCount(std::uint64_t root, base::TimePoint now) {
   const auto& tuning = environment_.tuning;
-  // Callers spread over all nodes, so this node's rate stands for the whole.
+  // Callers are spread evenly over all nodes, so the total rate is extrapolated from this node's
+  // own.
   const double demand = prefixDemand_.tokensPerSecond(root, now) *
                         static_cast<double>(liveNodes()) / tuning.service.prefillTokensPerSecond;
-  const auto extra = static_cast<std::size_t>(std::floor(demand * tuning.widthPerDemand));
+  const auto extra = static_cast<std::size_t>(std::floor(demand * tuning.candidatesPerDemand));
   const auto wanted = std::min(tuning.candidates + extra, tuning.maximumCandidates);
   return std::max<std::size_t>(1, prefixDemand_.holderCount(root, wanted, now));
 }
@@ -47,8 +48,8 @@
   auto engines = qualifyingEngines(environment_.fleet, query);
   const auto root = prefixKey(query, tuning.rootBlock);
   sortByRendezvous(engines, root);
-  const auto regular = std::min(width(root, environment_.clock.now()), engines.size());
-  // Moves randomly drawn engines behind the regular ones.
+  const auto regular = std::min(candidateCount(root, environment_.clock.now()), engines.size());
+  // Places randomly drawn engines behind the regular ones.
   const auto wanted = std::min(regular + tuning.spillCandidates, engines.size());
   for (std::size_t index = regular; index < wanted; ++index) {
     const auto drawn = index + environment_.random.below(engines.size() - index);
@@ -93,6 +94,6 @@
 
 void PrefixAffinityPolicy::onFinished(base::EngineId /*engine*/, std::uint32_t /*promptTokens*/,
                                       std::uint32_t /*cachedTokens*/,
-                                      base::Duration /*firstTokenAfter*/) {}
+                                      base::Duration /*timeToFirstToken*/) {}
 
 }  // namespace covewing::routing
--- a/src/routing/prefix_affinity_policy.h
+++ b/src/routing/prefix_affinity_policy.h
@@ -1,8 +1,8 @@
 /// \file
-/// The shipped policy. The prompt's root chooses a small set of engines by rendezvous hashing,
-/// wider while the root is hot; the homes of these engines tell what they have cached and queued;
-/// the engine with the least expected time to first token is taken. Falls back to the rendezvous
-/// order where no home answers.
+/// The shipped policy. Rendezvous hashing of the prompt's root selects a small set of engines,
+/// which is larger while demand for the root is high. The homes of these engines report their
+/// cached blocks and queues, and the engine with the lowest expected time to first token is chosen.
+/// If no home replies, the rendezvous order decides.
 #pragma once
 
 #include <memory>
@@ -21,11 +21,11 @@
   void choose(RouteQuery query, RouteCallback callback) override;
   void onDispatched(const RouteQuery& query, const RouteDecision& decision) override;
   void onFinished(base::EngineId engine, std::uint32_t promptTokens, std::uint32_t cachedTokens,
-                  base::Duration firstTokenAfter) override;
+                  base::Duration timeToFirstToken) override;
 
  private:
   std::vector<base::EngineId> candidates(const RouteQuery& query);
-  std::size_t width(std::uint64_t root, base::TimePoint now);
+  std::size_t candidateCount(std::uint64_t root, base::TimePoint now);
   std::string_view region() const;
   std::size_t liveNodes() const;
 
--- a/src/routing/random_policy.h
+++ b/src/routing/random_policy.h
@@ -1,5 +1,5 @@
 /// \file
-/// Baseline: any qualifying engine with equal probability.
+/// Baseline policy: chooses any qualifying engine with equal probability.
 #pragma once
 
 #include "routing/policy_factory.h"
@@ -13,7 +13,7 @@
   void choose(RouteQuery query, RouteCallback callback) override;
   void onDispatched(const RouteQuery& /*query*/, const RouteDecision& /*decision*/) override {}
   void onFinished(base::EngineId /*engine*/, std::uint32_t /*promptTokens*/,
-                  std::uint32_t /*cachedTokens*/, base::Duration /*firstTokenAfter*/) override {}
+                  std::uint32_t /*cachedTokens*/, base::Duration /*timeToFirstToken*/) override {}
 
  private:
   PolicyEnvironment environment_;
--- a/tests/routing/cache_messages_test.cc
+++ b/tests/routing/cache_messages_test.cc
@@ -27,7 +27,7 @@
 LookupReply makeReply(const LookupRequest& request) {
   LookupReply reply;
   reply.lookupId = request.lookupId;
-  reply.sharedBlocks = 640;
+  reply.recentlyRequestedBlocks = 640;
   reply.exportedBlocks = 320;
   for (const auto engine : request.engines)
     reply.entries.push_back({engine, true, true, 512, 12'000, 33, 2});
@@ -38,7 +38,8 @@
 
 BOOST_AUTO_TEST_SUITE(CacheMessagesTest)
 
-RC_BOOST_PROP(ARequestComesBackAsSent, (std::uint16_t chainLength, std::uint8_t engines)) {
+RC_BOOST_PROP(RequestRoundTripPreservesAllFields,
+              (std::uint16_t chainLength, std::uint8_t engines)) {
   const auto request = makeRequest(chainLength, engines % 16);
   const auto message = decodeCacheMessage(encode(request));
   RC_ASSERT(message.has_value());
@@ -52,13 +53,13 @@
   RC_ASSERT(decoded->checkpoints.fingerprints == request.checkpoints.fingerprints);
 }
 
-BOOST_AUTO_TEST_CASE(AReplyComesBackAsSent) {
+BOOST_AUTO_TEST_CASE(ReplyRoundTripPreservesAllFields) {
   const auto message = decodeCacheMessage(encode(makeReply(makeRequest(100, 3))));
   BOOST_REQUIRE(message.has_value());
   const auto* reply = std::get_if<LookupReply>(&*message);
   BOOST_REQUIRE(reply != nullptr);
   BOOST_REQUIRE(reply->entries.size() == 3U);
-  BOOST_TEST(reply->sharedBlocks == 640U);
+  BOOST_TEST(reply->recentlyRequestedBlocks == 640U);
   BOOST_TEST(reply->exportedBlocks == 320U);
   BOOST_TEST(reply->entries[2].known);
   BOOST_TEST(reply->entries[2].doubtful);
@@ -68,7 +69,7 @@
   BOOST_TEST(reply->entries[2].incarnation == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(ANoticeComesBackAsSent) {
+BOOST_AUTO_TEST_CASE(NoticeRoundTripPreservesAllFields) {
   const DispatchNotice notice{9, 77, base::PriorityClass::kBackground, 4096};
   const auto message = decodeCacheMessage(encode(notice));
   BOOST_REQUIRE(message.has_value());
@@ -80,18 +81,18 @@
   BOOST_TEST(decoded->uncachedTokens == 4096U);
 }
 
-BOOST_AUTO_TEST_CASE(ALongPromptAndThreeEnginesStayWithinTheByteBudget) {
+BOOST_AUTO_TEST_CASE(MessagesForLongPromptAndThreeEnginesStayWithinByteBudget) {
   const auto request = makeRequest(1000, 3);
   BOOST_TEST(encode(request).size() <= 130U);
   BOOST_TEST(encode(makeReply(request)).size() <= 60U);
   BOOST_TEST(encode(DispatchNotice{50'000, 0xffffffff, {}, 70'000}).size() <= 20U);
 }
 
-RC_BOOST_PROP(ArbitraryBytesAreRefusedOrDecoded, (const std::string& bytes)) {
+RC_BOOST_PROP(ArbitraryBytesAreRejectedOrDecoded, (const std::string& bytes)) {
   decodeCacheMessage(bytes);
 }
 
-BOOST_AUTO_TEST_CASE(ARequestWithTheWrongNumberOfCheckpointsIsRefused) {
+BOOST_AUTO_TEST_CASE(RequestWithWrongCheckpointCountIsRejected) {
   auto request = makeRequest(100, 1);
   request.checkpoints.fingerprints.pop_back();
   BOOST_TEST(!decodeCacheMessage(encode(request)).has_value());
--- a/tests/routing/fakes.h
+++ b/tests/routing/fakes.h
@@ -1,6 +1,6 @@
 /// \file
-/// Fakes for routing tests: hand-driven time, a scripted machine list and engines, and a fixed
-/// membership.
+/// Fakes for routing tests: manually advanced time, a scripted machine list and engines, and a
+/// fixed membership.
 #pragma once
 
 #include <functional>
@@ -17,7 +17,7 @@
 
 namespace covewing::routing::testing {
 
-/// Clock and timers that run only when told to.
+/// Clock and timers that advance only when `advance` is called.
 class ManualTime final : public base::Clock, public base::TimerService {
  public:
   base::TimePoint now() const override { return now_; }
@@ -29,7 +29,7 @@
   void cancel(base::TimerId timer) override {
     std::erase_if(queue_, [&](const auto& entry) { return entry.first.second == timer; });
   }
-  /// Runs everything due within `span`, in order.
+  /// Runs all timers that are due within `span`, in order.
   void advance(base::Duration span) {
     const auto end = now_ + span;
     while (!queue_.empty() && queue_.begin()->first.first <= end) {
@@ -59,7 +59,8 @@
   ManualTime& time_;
 };
 
-/// Engines that answer polls with what a test put into `reports`; others do not answer.
+/// Engines that reply to polls with the contents of `reports`; engines without an entry do not
+/// respond.
 class FakeEngines final : public clients::EngineClient {
  public:
   explicit FakeEngines(ManualTime& time) : time_(time) {}
@@ -72,12 +73,12 @@
             std::function<void(std::optional<clients::EngineReport>)> callback) override {
     ++polls;
     polledFrom[engine.name] = fromSequence;
-    answer(reports, engine, std::move(callback));
+    reply(reports, engine, std::move(callback));
   }
   void snapshot(const clients::BackEndAddress& engine,
                 std::function<void(std::optional<clients::EngineReport>)> callback) override {
     ++snapshotRequests;
-    answer(snapshots, engine, std::move(callback));
+    reply(snapshots, engine, std::move(callback));
   }
   void order(const clients::BackEndAddress& /*engine*/, clients::EngineOrder /*order*/,
              std::function<void(clients::OrderReply)> callback) override {
@@ -91,9 +92,9 @@
   std::uint64_t snapshotRequests = 0;
 
  private:
-  void answer(const std::map<std::string, clients::EngineReport>& source,
-              const clients::BackEndAddress& engine,
-              std::function<void(std::optional<clients::EngineReport>)> callback) {
+  void reply(const std::map<std::string, clients::EngineReport>& source,
+             const clients::BackEndAddress& engine,
+             std::function<void(std::optional<clients::EngineReport>)> callback) {
     const auto found = source.find(engine.name);
     auto report = found == source.end() ? std::nullopt : std::optional(found->second);
     time_.schedule(std::chrono::milliseconds(1),
@@ -142,7 +143,7 @@
   std::uint64_t version_ = 0;
 };
 
-/// Record store of one node; `deliver` plays another node's gossip.
+/// Record store of one node; `deliver` simulates gossip from another node.
 class FakeRecords final : public membership::RecordDissemination {
  public:
   void publish(membership::GossipRecord record) override {
