--- a/src/routing/instance_notices.h
+++ b/src/routing/instance_notices.h
@@ -26,7 +26,7 @@
   /// answer that was overtaken must not shorten what a later one asked for.
   void startBackOff(base::TimePoint until) {
     backOffUntil_ = std::max(backOffUntil_, until);
-    tried_ = false;
+    probed_ = false;
   }
   bool backingOff(base::TimePoint now) const { return now < backOffUntil_; }
   base::TimePoint backOffUntil() const { return backOffUntil_; }
@@ -36,14 +36,14 @@
   /// A request is sent. True where it tries the run; call endProbe then once, when its answer began
   /// or will not.
   bool beginProbe() {
-    if (tried_) return false;
+    if (probed_) return false;
     probeInFlight_ = true;
     return true;
   }
   /// `taken`: the run did not turn the request away.
-  void endProbe(bool taken) {
+  void endProbe(bool accepted) {
     probeInFlight_ = false;
-    tried_ = tried_ || taken;
+    probed_ = probed_ || accepted;
   }
 
   InstanceRateLimit& rateLimit() { return rateLimit_; }
@@ -53,7 +53,7 @@
   bool leaving_ = false;
   base::TimePoint backOffUntil_{};
   /// It has taken a request since its last rest.
-  bool tried_ = true;
+  bool probed_ = true;
   bool probeInFlight_ = false;
   InstanceRateLimit rateLimit_;
 };
--- a/src/routing/instance_rate_limit.cc
+++ b/src/routing/instance_rate_limit.cc
@@ -8,12 +8,12 @@
 namespace {
 
 /// A message between nodes is taken to be under way for at most this.
-constexpr base::Duration kLongestDelivery = std::chrono::milliseconds(200);
+constexpr base::Duration kMaximumDelivery = std::chrono::milliseconds(200);
 
 }  // namespace
 
 RateLimitEvidence evidenceOf(const KnownRateLimit& known, base::TimePoint now) {
-  return {known.notice, now - known.age - kLongestDelivery, now - known.age};
+  return {known.notice, now - known.age - kMaximumDelivery, now - known.age};
 }
 
 KnownRateLimit InstanceRateLimit::known(base::TimePoint now) const {
@@ -23,7 +23,7 @@
   return {notice, now - asOf_};
 }
 
-bool InstanceRateLimit::isBelow(const clients::RateLimitNotice& notice) const {
+bool InstanceRateLimit::isLowerThan(const clients::RateLimitNotice& notice) const {
   return perSecond_ && (!notice.limited() || *perSecond_ < notice.perSecond);
 }
 
@@ -36,7 +36,7 @@
   if (notice.kind == clients::RateLimitNotice::Kind::kNothing) return false;
   const bool same = equals(notice);
   // What ends or raises a limit must be younger than all that named it.
-  if (!same && (isBelow(notice) ? evidence.from : evidence.to) <= asOf_) return false;
+  if (!same && (isLowerThan(notice) ? evidence.from : evidence.to) <= asOf_) return false;
   asOf_ = std::max(asOf_, notice.limited() ? evidence.to : evidence.from);
   if (same) return false;
   everLimited_ = true;
@@ -44,6 +44,6 @@
   return true;
 }
 
-bool InstanceRateLimit::noteUnreadable() { return !std::exchange(unreadableNoted_, true); }
+bool InstanceRateLimit::recordUnreadable() { return !std::exchange(unreadableRecorded_, true); }
 
 }  // namespace covewing::routing
--- a/src/routing/instance_rate_limit.h
+++ b/src/routing/instance_rate_limit.h
@@ -43,17 +43,17 @@
   base::TimePoint asOf() const { return asOf_; }
   KnownRateLimit known(base::TimePoint now) const;
   /// A limit that cannot be read. True the first time, so that it is logged once.
-  bool noteUnreadable();
+  bool recordUnreadable();
 
  private:
   /// Whether the limit in force is lower than this one.
-  bool isBelow(const clients::RateLimitNotice& notice) const;
+  bool isLowerThan(const clients::RateLimitNotice& notice) const;
   bool equals(const clients::RateLimitNotice& notice) const;
 
   std::optional<double> perSecond_;
   base::TimePoint asOf_ = base::TimePoint::min();
   bool everLimited_ = false;
-  bool unreadableNoted_ = false;
+  bool unreadableRecorded_ = false;
 };
 
 }  // namespace covewing::routing
--- a/src/routing/ledger_capacity.cc
+++ b/src/routing/ledger_capacity.cc
@@ -4,24 +4,24 @@
 
 namespace covewing::routing {
 
-bool LedgerCapacity::rateBinds() const {
+bool LedgerCapacity::isRateBound() const {
   const auto& pacer = ledger_.pacer();
   return pacer.limited() &&
          (replica_.slots == 0 || ledger_.timePerRequest(replica_.slots) == pacer.interval());
 }
 
 std::uint32_t LedgerCapacity::slots() const {
-  if (rateBinds()) return 1;
-  return replica_.slots == 0 ? 0 : replica_.slots + kOverlap;
+  if (isRateBound()) return 1;
+  return replica_.slots == 0 ? 0 : replica_.slots + kExtraRequests;
 }
 
 std::uint32_t LedgerCapacity::slotsInUse() const {
-  if (rateBinds()) return ledger_.pacer().mayPass(now_) ? 0 : 1;
+  if (isRateBound()) return ledger_.pacer().mayPass(now_) ? 0 : 1;
   return ledger_.load(now_).requests;
 }
 
 base::Duration LedgerCapacity::meanRunTime() const {
-  return rateBinds() ? ledger_.pacer().interval() : ledger_.runTime();
+  return isRateBound() ? ledger_.pacer().interval() : ledger_.meanRunTime();
 }
 
 bool LedgerCapacity::fits(const admission::QueueEntry& entry, bool inTime) const {
@@ -30,16 +30,16 @@
   const auto current = ledger_.load(now_);
   // A replica without work takes any request, also one larger than the memory that was told.
   if (current.requests == 0) return true;
-  const auto slotsInAll = replica_.slots == 0 ? 0 : replica_.slots + kOverlap;
-  if (slotsInAll > 0 && current.requests >= slotsInAll) return false;
-  if (!ledger_.hasRoom(demand.work, now_)) return false;
+  const auto slotsWithExtra = replica_.slots == 0 ? 0 : replica_.slots + kExtraRequests;
+  if (slotsWithExtra > 0 && current.requests >= slotsWithExtra) return false;
+  if (!ledger_.hasCapacity(demand.work, now_)) return false;
   // One that is late, or that nobody else can take, is better served with pauses than not at all.
-  const bool mayGoElsewhere = inTime && !demand.acceptsPauses;
-  if (mayGoElsewhere && ledger_.pauseExcess(demand.work, demand.terms, now_).count() > 0)
+  const bool hasAlternatives = inTime && !demand.acceptsPauses;
+  if (hasAlternatives && ledger_.pauseExcess(demand.work, demand.terms, now_).count() > 0)
     return false;
-  const bool stays = demand.terms.mayQueue && inTime;
-  const auto longest = stays ? entry.softStartDeadline - now_ : demand.acceptableWait;
-  return ledger_.expectedWait(demand.work, now_) <= longest;
+  const bool isQueued = demand.terms.mayQueue && inTime;
+  const auto maximumWait = isQueued ? entry.softStartDeadline - now_ : demand.acceptableWait;
+  return ledger_.expectedWait(demand.work, now_) <= maximumWait;
 }
 
 }  // namespace covewing::routing
--- a/src/routing/ledger_capacity.h
+++ b/src/routing/ledger_capacity.h
@@ -32,7 +32,7 @@
   /// Requests sent beyond what the replica runs at once. It bridges the message that a run ended
   /// and the grant that follows: some 5 ms, in which a replica of 24 slots ends less than one run
   /// of a second. More would wait there in the replica's order, not in the queue's.
-  static constexpr std::uint32_t kOverlap = 1;
+  static constexpr std::uint32_t kExtraRequests = 1;
 
   LedgerCapacity(ReplicaLedger& ledger, const PlacementDemand& replica, DemandOf demandOf,
                  base::TimePoint now)
@@ -41,14 +41,14 @@
   bool fits(const admission::QueueEntry& entry, bool inTime) const override;
   std::uint32_t slots() const override;
   std::uint32_t slotsInUse() const override;
-  std::uint64_t memory() const override { return rateBinds() ? 0 : replica_.memory; }
+  std::uint64_t memory() const override { return isRateBound() ? 0 : replica_.memory; }
   std::uint64_t memoryInUse() const override { return ledger_.load(now_).tokens; }
   base::Duration meanRunTime() const override;
 
  private:
   /// The replica's rate limit allows fewer requests than its slots. Its room is then that of a
   /// replica with one slot, in which each request runs for the interval of the rate.
-  bool rateBinds() const;
+  bool isRateBound() const;
 
   ReplicaLedger& ledger_;
   PlacementDemand replica_;
--- a/src/routing/part_index.cc
+++ b/src/routing/part_index.cc
@@ -4,9 +4,9 @@
 
 namespace covewing::routing {
 
-void PartIndex::learn(std::uint64_t part, const PartHolder& holder, base::TimePoint now) {
-  if (parts_.size() >= options_.mostParts && !parts_.contains(part)) dropForgotten(now);
-  if (parts_.size() >= options_.mostParts && !parts_.contains(part)) return;
+void PartIndex::add(std::uint64_t part, const PartHolder& holder, base::TimePoint now) {
+  if (parts_.size() >= options_.maximumParts && !parts_.contains(part)) dropExpired(now);
+  if (parts_.size() >= options_.maximumParts && !parts_.contains(part)) return;
   auto& entries = parts_[part];
   std::erase_if(entries, [&](const Entry& entry) { return entry.holder == holder; });
   entries.insert(entries.begin(), {holder, now});
@@ -16,13 +16,13 @@
 void PartIndex::dropOldest(std::vector<Entry>& entries, CacheScope scope) const {
   std::size_t kept = 0;
   const auto beyond = std::ranges::find_if(entries, [&](const Entry& entry) {
-    return entry.holder.scope == scope && ++kept > options_.mostHolders;
+    return entry.holder.scope == scope && ++kept > options_.maximumHolders;
   });
   if (beyond != entries.end()) entries.erase(beyond);
-  if (entries.size() > options_.mostHoldersInAll) entries.pop_back();
+  if (entries.size() > options_.maximumHoldersOfAllScopes) entries.pop_back();
 }
 
-void PartIndex::forget(std::uint64_t part, const PartHolder& holder) {
+void PartIndex::remove(std::uint64_t part, const PartHolder& holder) {
   const auto known = parts_.find(part);
   if (known == parts_.end()) return;
   std::erase_if(known->second, [&](const Entry& entry) { return entry.holder == holder; });
@@ -35,15 +35,16 @@
   const auto found = parts_.find(part);
   if (found == parts_.end()) return holders;
   for (const Entry& entry : found->second) {
-    const bool known = now - entry.at <= options_.memory;
+    const bool known = now - entry.reportedAt <= options_.holderLifetime;
     if (known && entry.holder.scope == scope) holders.push_back(entry.holder);
   }
   return holders;
 }
 
-void PartIndex::dropForgotten(base::TimePoint now) {
-  std::erase_if(parts_,
-                [&](const auto& part) { return now - part.second.front().at > options_.memory; });
+void PartIndex::dropExpired(base::TimePoint now) {
+  std::erase_if(parts_, [&](const auto& part) {
+    return now - part.second.front().reportedAt > options_.holderLifetime;
+  });
 }
 
 }  // namespace covewing::routing
--- a/src/routing/part_index.h
+++ b/src/routing/part_index.h
@@ -19,22 +19,22 @@
   /// tenants share is held under as many scopes as there are isolated tenants and versions in use:
   /// with 6 for all of them, half of the lookups of such a part found no holder under their own
   /// (90 replicas, 16 tenants, first 10 s of a shortage).
-  std::size_t mostHolders = 6;
+  std::size_t maximumHolders = 6;
   /// Holders kept for each part under all scopes; the latest.
-  std::size_t mostHoldersInAll = 96;
+  std::size_t maximumHoldersOfAllScopes = 96;
   /// A replica that got no prompt with the part for so long is taken to have dropped it, should the
   /// news of that be lost.
-  base::Duration memory = std::chrono::seconds(60);
+  base::Duration holderLifetime = std::chrono::seconds(60);
   /// Parts kept at most.
-  std::size_t mostParts = 100'000;
+  std::size_t maximumParts = 100'000;
 };
 
 class PartIndex {
  public:
   explicit PartIndex(PartIndexOptions options = {}) : options_(options) {}
 
-  void learn(std::uint64_t part, const PartHolder& holder, base::TimePoint now);
-  void forget(std::uint64_t part, const PartHolder& holder);
+  void add(std::uint64_t part, const PartHolder& holder, base::TimePoint now);
+  void remove(std::uint64_t part, const PartHolder& holder);
   /// The holders under the scope, the latest first.
   std::vector<PartHolder> holdersOf(std::uint64_t part, CacheScope scope,
                                     base::TimePoint now) const;
@@ -43,10 +43,10 @@
  private:
   struct Entry {
     PartHolder holder;
-    base::TimePoint at{};
+    base::TimePoint reportedAt{};
   };
 
-  void dropForgotten(base::TimePoint now);
+  void dropExpired(base::TimePoint now);
   /// Drops the oldest of the scope, and of all, beyond the bounds.
   void dropOldest(std::vector<Entry>& entries, CacheScope scope) const;
 
--- a/src/routing/part_lookup.cc
+++ b/src/routing/part_lookup.cc
@@ -15,7 +15,7 @@
                                     [](const membership::Member&) { return true; });
 }
 
-bool PartLookup::avoided(base::NodeId home) const {
+bool PartLookup::isAvoided(base::NodeId home) const {
   const auto found = avoidedUntil_.find(home);
   return found != avoidedUntil_.end() && environment_.clock.now() < found->second;
 }
@@ -24,13 +24,13 @@
   environment_.peers.send(destination, base::Channel::kPartIndex, encode(message));
 }
 
-void PartLookup::lookup(std::uint64_t part, CacheScope scope, Found found) {
+void PartLookup::lookup(std::uint64_t part, CacheScope scope, HoldersCallback found) {
   const auto& home = homeOf(part);
   if (home.id == environment_.members.self().id) {
     found(index_.holdersOf(part, scope, environment_.clock.now()));
     return;
   }
-  if (avoided(home.id)) {
+  if (isAvoided(home.id)) {
     found(std::nullopt);
     return;
   }
@@ -43,19 +43,19 @@
 
 void PartLookup::announce(std::uint64_t part, const PartHolder& holder, bool held) {
   const auto& home = homeOf(part);
-  const PartUpdate notice{part, holder, held};
+  const PartUpdate update{part, holder, held};
   if (home.id == environment_.members.self().id) {
-    onNotice(notice);
+    onUpdate(update);
   } else {
-    send(home.endpoint, notice);
+    send(home.endpoint, update);
   }
 }
 
-void PartLookup::onNotice(const PartUpdate& notice) {
-  if (notice.held) {
-    index_.learn(notice.part, notice.holder, environment_.clock.now());
+void PartLookup::onUpdate(const PartUpdate& update) {
+  if (update.held) {
+    index_.add(update.part, update.holder, environment_.clock.now());
   } else {
-    index_.forget(notice.part, notice.holder);
+    index_.remove(update.part, update.holder);
   }
 }
 
@@ -66,18 +66,18 @@
   entry.mapped().found(std::nullopt);
 }
 
-void PartLookup::onQuestion(const base::PeerIdentity& sender, const PartQuery& question) {
-  auto holders = index_.holdersOf(question.part, question.scope, environment_.clock.now());
-  send(sender.endpoint, PartReply{question.nonce, std::move(holders)});
+void PartLookup::onQuery(const base::PeerIdentity& sender, const PartQuery& query) {
+  auto holders = index_.holdersOf(query.part, query.scope, environment_.clock.now());
+  send(sender.endpoint, PartReply{query.nonce, std::move(holders)});
 }
 
-void PartLookup::onAnswer(const base::PeerIdentity& sender, const PartReply& answer) {
+void PartLookup::onReply(const base::PeerIdentity& sender, const PartReply& reply) {
   // Also a late answer shows that the home is there.
   avoidedUntil_.erase(sender.node);
-  const auto entry = pending_.extract(answer.nonce);
+  const auto entry = pending_.extract(reply.nonce);
   if (entry.empty()) return;
   environment_.timers.cancel(entry.mapped().timer);
-  entry.mapped().found(answer.holders);
+  entry.mapped().found(reply.holders);
 }
 
 void PartLookup::onPeerMessage(const base::PeerIdentity& sender, std::string_view payload) {
@@ -86,9 +86,9 @@
     environment_.log.write(base::Event::kMessageRejected, {{"channel", "part index"}});
     return;
   }
-  if (const auto* question = std::get_if<PartQuery>(&*message)) onQuestion(sender, *question);
-  if (const auto* answer = std::get_if<PartReply>(&*message)) onAnswer(sender, *answer);
-  if (const auto* notice = std::get_if<PartUpdate>(&*message)) onNotice(*notice);
+  if (const auto* query = std::get_if<PartQuery>(&*message)) onQuery(sender, *query);
+  if (const auto* reply = std::get_if<PartReply>(&*message)) onReply(sender, *reply);
+  if (const auto* update = std::get_if<PartUpdate>(&*message)) onUpdate(*update);
 }
 
 }  // namespace covewing::routing
--- a/src/routing/part_lookup.h
+++ b/src/routing/part_lookup.h
@@ -50,7 +50,7 @@
 class PartLookup final : public base::PeerHandler {
  public:
   /// The holders that the home knows; empty when it did not answer.
-  using Found = std::function<void(const std::optional<std::vector<PartHolder>>&)>;
+  using HoldersCallback = std::function<void(const std::optional<std::vector<PartHolder>>&)>;
 
   PartLookup(PartLookupOptions options, PartLookupEnvironment environment)
       : options_(options), environment_(environment), index_(options.index) {}
@@ -60,7 +60,7 @@
 
   /// Asks for the holders under the scope. Calls `found` once; inside the call where the answer is
   /// known or cannot be had.
-  void lookup(std::uint64_t part, CacheScope scope, Found found);
+  void lookup(std::uint64_t part, CacheScope scope, HoldersCallback found);
   /// The holder has read a prompt with the part, or no longer holds it.
   void announce(std::uint64_t part, const PartHolder& holder, bool held = true);
   void onPeerMessage(const base::PeerIdentity& sender, std::string_view payload) override;
@@ -72,15 +72,15 @@
   struct Pending {
     base::NodeId home;
     base::TimerId timer = 0;
-    Found found;
+    HoldersCallback found;
   };
 
   const membership::Member& homeOf(std::uint64_t part) const;
-  bool avoided(base::NodeId home) const;
+  bool isAvoided(base::NodeId home) const;
   void send(const base::Endpoint& destination, const PartMessage& message);
-  void onQuestion(const base::PeerIdentity& sender, const PartQuery& question);
-  void onAnswer(const base::PeerIdentity& sender, const PartReply& answer);
-  void onNotice(const PartUpdate& notice);
+  void onQuery(const base::PeerIdentity& sender, const PartQuery& query);
+  void onReply(const base::PeerIdentity& sender, const PartReply& reply);
+  void onUpdate(const PartUpdate& update);
   void onTimeout(std::uint64_t nonce);
 
   PartLookupOptions options_;
--- a/src/routing/part_messages.cc
+++ b/src/routing/part_messages.cc
@@ -9,11 +9,11 @@
 namespace {
 
 /// Type numbers on the wire; never reused. 1 was a question without a scope.
-enum class MessageType : std::uint8_t { kAnswer = 2, kNotice = 3, kQuestion = 4 };
+enum class MessageType : std::uint8_t { kReply = 2, kUpdate = 3, kQuery = 4 };
 
-constexpr std::uint32_t kQuestionFields = 4;
-constexpr std::uint32_t kAnswerFields = 3;
-constexpr std::uint32_t kNoticeFields = 4;
+constexpr std::uint32_t kQueryFields = 4;
+constexpr std::uint32_t kReplyFields = 3;
+constexpr std::uint32_t kUpdateFields = 4;
 constexpr std::uint32_t kHolderFields = 2;
 
 void begin(base::Writer& writer, std::uint32_t fields, MessageType type) {
@@ -24,24 +24,24 @@
   writer.array(kHolderFields).unsignedInteger(holder.replica.value).unsignedInteger(holder.scope);
 }
 
-void write(base::Writer& writer, const PartQuery& question) {
-  begin(writer, kQuestionFields, MessageType::kQuestion);
-  writer.unsignedInteger(question.nonce).unsignedInteger(question.part);
-  writer.unsignedInteger(question.scope);
+void write(base::Writer& writer, const PartQuery& query) {
+  begin(writer, kQueryFields, MessageType::kQuery);
+  writer.unsignedInteger(query.nonce).unsignedInteger(query.part);
+  writer.unsignedInteger(query.scope);
 }
 
-void write(base::Writer& writer, const PartReply& answer) {
-  begin(writer, kAnswerFields, MessageType::kAnswer);
-  writer.unsignedInteger(answer.nonce);
-  writer.array(static_cast<std::uint32_t>(answer.holders.size()));
-  for (const PartHolder& holder : answer.holders) write(writer, holder);
+void write(base::Writer& writer, const PartReply& reply) {
+  begin(writer, kReplyFields, MessageType::kReply);
+  writer.unsignedInteger(reply.nonce);
+  writer.array(static_cast<std::uint32_t>(reply.holders.size()));
+  for (const PartHolder& holder : reply.holders) write(writer, holder);
 }
 
-void write(base::Writer& writer, const PartUpdate& notice) {
-  begin(writer, kNoticeFields, MessageType::kNotice);
-  writer.unsignedInteger(notice.part);
-  write(writer, notice.holder);
-  writer.boolean(notice.held);
+void write(base::Writer& writer, const PartUpdate& update) {
+  begin(writer, kUpdateFields, MessageType::kUpdate);
+  writer.unsignedInteger(update.part);
+  write(writer, update.holder);
+  writer.boolean(update.held);
 }
 
 PartHolder readHolder(base::Reader& reader) {
@@ -53,30 +53,30 @@
   return holder;
 }
 
-PartQuery readQuestion(base::Reader& reader) {
-  PartQuery question;
-  question.nonce = reader.unsignedInteger();
-  question.part = reader.unsignedInteger();
-  question.scope = reader.unsignedInteger();
-  return question;
+PartQuery readQuery(base::Reader& reader) {
+  PartQuery query;
+  query.nonce = reader.unsignedInteger();
+  query.part = reader.unsignedInteger();
+  query.scope = reader.unsignedInteger();
+  return query;
 }
 
-PartReply readAnswer(base::Reader& reader) {
-  PartReply answer;
-  answer.nonce = reader.unsignedInteger();
+PartReply readReply(base::Reader& reader) {
+  PartReply reply;
+  reply.nonce = reader.unsignedInteger();
   const auto count = reader.beginArray();
   for (std::uint32_t index = 0; index < count && reader.ok(); ++index)
-    answer.holders.push_back(readHolder(reader));
+    reply.holders.push_back(readHolder(reader));
   reader.endArray();
-  return answer;
+  return reply;
 }
 
-PartUpdate readNotice(base::Reader& reader) {
-  PartUpdate notice;
-  notice.part = reader.unsignedInteger();
-  notice.holder = readHolder(reader);
-  notice.held = reader.boolean();
-  return notice;
+PartUpdate readUpdate(base::Reader& reader) {
+  PartUpdate update;
+  update.part = reader.unsignedInteger();
+  update.holder = readHolder(reader);
+  update.held = reader.boolean();
+  return update;
 }
 
 }  // namespace
@@ -92,14 +92,14 @@
   reader.beginArray();
   std::optional<PartMessage> message;
   switch (static_cast<MessageType>(reader.unsignedInteger())) {
-    case MessageType::kQuestion:
-      message = readQuestion(reader);
+    case MessageType::kQuery:
+      message = readQuery(reader);
       break;
-    case MessageType::kAnswer:
-      message = readAnswer(reader);
+    case MessageType::kReply:
+      message = readReply(reader);
       break;
-    case MessageType::kNotice:
-      message = readNotice(reader);
+    case MessageType::kUpdate:
+      message = readUpdate(reader);
       break;
   }
   return reader.ok() ? std::move(message) : std::nullopt;
--- a/src/routing/placement.cc
+++ b/src/routing/placement.cc
@@ -12,10 +12,10 @@
       home_(options.home,
             {environment.clock, environment.timers, environment.log, environment.members,
              environment.replicas, environment.holders},
-            [this](const auto& asker, const auto& answer) { reply(asker, answer); }) {}
+            [this](const auto& sender, const auto& reply) { sendReply(sender, reply); }) {}
 
 Placement::~Placement() {
-  for (auto& [ticket, pending] : pending_) closeQuestion(pending);
+  for (auto& [ticket, pending] : pending_) closeQuery(pending);
   environment_.timers.cancel(toSelfTimer_);
 }
 
@@ -34,131 +34,133 @@
 
 // --- asking
 
-void Placement::place(Ticket ticket, PlacementRequest request, Found found) {
+void Placement::place(Ticket ticket, PlacementRequest request, ResultCallback found) {
   Pending pending;
-  pending.prospects.resize(request.candidates.size());
+  pending.candidateStates.resize(request.candidates.size());
   pending.request = std::move(request);
   pending.found = std::move(found);
   pending_.insert_or_assign(ticket, std::move(pending));
-  askOn(ticket);
+  queryNext(ticket);
 }
 
 void Placement::cancel(Ticket ticket) {
   auto entry = pending_.extract(ticket);
-  if (!entry.empty()) closeQuestion(entry.mapped());
+  if (!entry.empty()) closeQuery(entry.mapped());
 }
 
-void Placement::closeQuestion(Pending& pending) {
+void Placement::closeQuery(Pending& pending) {
   environment_.timers.cancel(pending.timer);
-  if (questions_.erase(pending.question) == 0) return;
+  if (openQueries_.erase(pending.queryId) == 0) return;
   // A grant that is under way is withdrawn as well.
-  if (pending.queueWithin) returnGrant(grantOf(pending));
+  if (pending.maximumQueueWait) returnGrant(grantOf(pending));
 }
 
 const ReplicaRecord& Placement::recordOf(const Pending& pending) const {
   return *pending.request.candidates[pending.position].record;
 }
 
-bool Placement::avoided(base::NodeId home) const {
-  const auto known = trust_.find(home);
-  return known != trust_.end() && environment_.clock.now() < known->second.avoidedUntil;
+bool Placement::isAvoided(base::NodeId home) const {
+  const auto known = homeReliability_.find(home);
+  return known != homeReliability_.end() && environment_.clock.now() < known->second.avoidedUntil;
 }
 
-PlacementQuery Placement::questionOf(const Pending& pending) const {
+PlacementQuery Placement::queryOf(const Pending& pending) const {
   const auto now = environment_.clock.now();
   const auto& request = pending.request;
   const auto& constraints = request.constraints;
   const auto& candidate = request.candidates[pending.position];
-  PlacementQuery question;
-  question.id = pending.question;
-  question.replica = base::engineIdOf(candidate.record->facts().instance);
-  question.model = request.model;
-  question.scope = candidate.scope;
-  question.parts = request.parts;
-  question.promptTokens = request.promptTokens;
-  question.work = candidate.work;
-  question.acceptableWait = request.acceptableWait;
-  question.terms.mayQueue = pending.queueWithin.has_value();
-  question.queueWithin = pending.queueWithin.value_or(base::Duration::max());
-  question.terms.urgency = constraints.urgency;
-  question.terms.tenant = constraints.tenant;
-  question.terms.age = now - constraints.arrivedAt;
-  question.terms.softStartWithin = constraints.softStartDeadline - candidate.prefillTime - now;
-  question.terms.hardStartWithin = constraints.hardStartDeadline - candidate.prefillTime - now;
-  question.terms.longestPause = constraints.longestPause;
-  question.terms.outputTokens = constraints.outputTokens;
-  question.rateLimit = candidate.record->notices().rateLimit().known(now);
-  return question;
+  PlacementQuery query;
+  query.id = pending.queryId;
+  query.replica = base::engineIdOf(candidate.record->facts().instance);
+  query.model = request.model;
+  query.scope = candidate.scope;
+  query.parts = request.parts;
+  query.promptTokens = request.promptTokens;
+  query.work = candidate.work;
+  query.acceptableWait = request.acceptableWait;
+  query.terms.mayQueue = pending.maximumQueueWait.has_value();
+  query.maximumQueueWait = pending.maximumQueueWait.value_or(base::Duration::max());
+  query.terms.urgency = constraints.urgency;
+  query.terms.tenant = constraints.tenant;
+  query.terms.age = now - constraints.arrivedAt;
+  query.terms.softStartWithin = constraints.softStartDeadline - candidate.prefillTime - now;
+  query.terms.hardStartWithin = constraints.hardStartDeadline - candidate.prefillTime - now;
+  query.terms.longestPause = constraints.longestPause;
+  query.terms.outputTokens = constraints.outputTokens;
+  query.rateLimit = candidate.record->notices().rateLimit().known(now);
+  return query;
 }
 
-bool Placement::enoughQueuesMet(const Pending& pending) const {
-  return pending.queuesMet >= options_.queuesToJoin;
+bool Placement::enoughQueuesSeen(const Pending& pending) const {
+  return pending.queuesSeen >= options_.queuesToJoin;
 }
 
-bool Placement::shouldAsk(Pending& pending) {
-  auto& prospect = pending.prospects[pending.position];
-  if (prospect.out) return false;
+bool Placement::shouldQuery(Pending& pending) {
+  auto& state = pending.candidateStates[pending.position];
+  if (state.ruledOut) return false;
   const auto& facts = recordOf(pending).facts();
   const auto replica = base::engineIdOf(facts.instance);
-  if (avoided(homes_.homeOf(replica, facts.zone).id)) return false;
+  if (isAvoided(homes_.homeOf(replica, facts.zone).id)) return false;
   const auto known = queues_.find(replica);
   if (known == queues_.end()) return true;
   if (environment_.clock.now() >= known->second.until) {
     queues_.erase(known);
     return true;
   }
-  prospect.wait = known->second.wait;
-  prospect.pauseExcess = known->second.pauseExcess;
+  state.wait = known->second.wait;
+  state.pauseExcess = known->second.pauseExcess;
   pending.queued = known->second.length;
-  if (!known->second.rateLimited) ++pending.queuesMet;
+  if (!known->second.rateLimited) ++pending.queuesSeen;
   return false;
 }
 
-void Placement::askOn(Ticket ticket) {
+void Placement::queryNext(Ticket ticket) {
   auto& pending = pending_.at(ticket);
   for (; pending.position < pending.request.candidates.size(); ++pending.position) {
-    if (pending.timeouts >= options_.mostTimeouts || enoughQueuesMet(pending)) break;
-    if (!shouldAsk(pending)) continue;
-    pending.queueWithin = mayQueueWithin(pending);
-    sendQuestion(ticket);
+    if (pending.timeouts >= options_.maximumTimeouts || enoughQueuesSeen(pending)) break;
+    if (!shouldQuery(pending)) continue;
+    pending.maximumQueueWait = queueWaitLimit(pending);
+    sendQuery(ticket);
     return;
   }
-  join(ticket);
+  joinQueue(ticket);
 }
 
-base::Duration Placement::costOf(const Pending& pending, std::size_t place) const {
-  return *pending.prospects[place].wait + pending.prospects[place].pauseExcess +
-         options_.moveMargin * static_cast<base::Duration::rep>(place);
+base::Duration Placement::costOf(const Pending& pending, std::size_t index) const {
+  return *pending.candidateStates[index].wait + pending.candidateStates[index].pauseExcess +
+         options_.moveMargin * static_cast<base::Duration::rep>(index);
 }
 
-bool Placement::goesBefore(const Pending& pending, std::size_t place, std::size_t other) const {
-  const bool keepsPauses = pending.prospects[place].pauseExcess == base::Duration::zero();
-  const bool otherKeeps = pending.prospects[other].pauseExcess == base::Duration::zero();
-  if (keepsPauses != otherKeeps) return keepsPauses;
-  return costOf(pending, place) < costOf(pending, other);
+bool Placement::isPreferred(const Pending& pending, std::size_t index, std::size_t other) const {
+  const bool meetsBounds = pending.candidateStates[index].pauseExcess == base::Duration::zero();
+  const bool otherMeetsBounds =
+      pending.candidateStates[other].pauseExcess == base::Duration::zero();
+  if (meetsBounds != otherMeetsBounds) return meetsBounds;
+  return costOf(pending, index) < costOf(pending, other);
 }
 
-std::optional<std::size_t> Placement::shortestWait(const Pending& pending) const {
+std::optional<std::size_t> Placement::candidateWithShortestWait(const Pending& pending) const {
   std::optional<std::size_t> best;
-  for (std::size_t place = 0; place < pending.prospects.size(); ++place) {
-    const auto& prospect = pending.prospects[place];
-    if (prospect.out || !prospect.wait) continue;
-    if (!best || goesBefore(pending, place, *best)) best = place;
+  for (std::size_t index = 0; index < pending.candidateStates.size(); ++index) {
+    const auto& state = pending.candidateStates[index];
+    if (state.ruledOut || !state.wait) continue;
+    if (!best || isPreferred(pending, index, *best)) best = index;
   }
   return best;
 }
 
-std::optional<base::Duration> Placement::mayQueueWithin(const Pending& pending) const {
-  if (pending.queuesMet == 0 || pending.queuesMet + 1 < options_.queuesToJoin) return std::nullopt;
-  const auto best = shortestWait(pending);
+std::optional<base::Duration> Placement::queueWaitLimit(const Pending& pending) const {
+  if (pending.queuesSeen == 0 || pending.queuesSeen + 1 < options_.queuesToJoin)
+    return std::nullopt;
+  const auto best = candidateWithShortestWait(pending);
   if (!best) return std::nullopt;
   const auto margin = options_.moveMargin * static_cast<base::Duration::rep>(pending.position);
   return costOf(pending, *best) - margin;
 }
 
-void Placement::join(Ticket ticket) {
+void Placement::joinQueue(Ticket ticket) {
   auto& pending = pending_.at(ticket);
-  const auto best = shortestWait(pending);
+  const auto best = candidateWithShortestWait(pending);
   if (!best) {
     ++counters_.declined;
     conclude(ticket, resultOf(pending));
@@ -166,32 +168,32 @@
   }
   pending.position = *best;
   pending.phase = Phase::kJoining;
-  pending.queueWithin = base::Duration::max();
-  sendQuestion(ticket);
+  pending.maximumQueueWait = base::Duration::max();
+  sendQuery(ticket);
 }
 
-void Placement::sendQuestion(Ticket ticket) {
+void Placement::sendQuery(Ticket ticket) {
   auto& pending = pending_.at(ticket);
   const auto& facts = recordOf(pending).facts();
   const auto& home = homes_.homeOf(base::engineIdOf(facts.instance), facts.zone);
   ++pending.queriesSent;
   ++counters_.queries;
-  pending.question = environment_.random.next();
+  pending.queryId = environment_.random.next();
   pending.homeId = home.id;
   pending.home = home.endpoint;
-  questions_.insert_or_assign(pending.question, ticket);
-  const auto question = questionOf(pending);
+  openQueries_.insert_or_assign(pending.queryId, ticket);
+  const auto query = queryOf(pending);
   if (isSelf(home.id)) {
-    takeAnswer(ticket, home_.answerTo(question, {home.id, home.incarnation, home.endpoint}));
+    handleReply(ticket, home_.decide(query, {home.id, home.incarnation, home.endpoint}));
     return;
   }
-  awaitAnswer(pending, options_.timeout, [this, ticket] { onTimeout(ticket); });
-  send(home.endpoint, question);
+  awaitReply(pending, options_.timeout, [this, ticket] { onTimeout(ticket); });
+  send(home.endpoint, query);
 }
 
-void Placement::awaitAnswer(Pending& pending, base::Duration within,
-                            std::function<void()> onMissed) {
-  pending.answerDue = environment_.clock.now() + within;
+void Placement::awaitReply(Pending& pending, base::Duration within,
+                           std::function<void()> onMissed) {
+  pending.replyDue = environment_.clock.now() + within;
   pending.timer = environment_.timers.schedule(within, std::move(onMissed));
 }
 
@@ -202,38 +204,40 @@
   const auto& facts = candidate.record->facts();
   const auto replica = base::engineIdOf(facts.instance);
   const auto& home = homes_.homeOf(replica, facts.zone);
-  const UngrantedDispatch taken{environment_.random.next(), replica, candidate.work, longestPause};
+  const UngrantedDispatch dispatch{environment_.random.next(), replica, candidate.work,
+                                   longestPause};
   if (isSelf(home.id)) {
-    home_.onTaken(taken);
+    home_.onUngrantedDispatch(dispatch);
   } else {
-    send(home.endpoint, taken);
+    send(home.endpoint, dispatch);
   }
-  return {taken.id, replica, home.id, home.endpoint, false, environment_.clock.now()};
+  return {dispatch.id, replica, home.id, home.endpoint, false, environment_.clock.now()};
 }
 
 void Placement::countControlCall(const ReplicaRecord& replica) {
   const auto& facts = replica.facts();
-  UngrantedDispatch taken;
-  taken.id = environment_.random.next();
-  taken.replica = base::engineIdOf(facts.instance);
-  taken.call = true;
-  const auto& home = homes_.homeOf(taken.replica, facts.zone);
+  UngrantedDispatch dispatch;
+  dispatch.id = environment_.random.next();
+  dispatch.replica = base::engineIdOf(facts.instance);
+  dispatch.controlCall = true;
+  const auto& home = homes_.homeOf(dispatch.replica, facts.zone);
   if (isSelf(home.id)) {
-    home_.onTaken(taken);
+    home_.onUngrantedDispatch(dispatch);
   } else {
-    send(home.endpoint, taken);
+    send(home.endpoint, dispatch);
   }
 }
 
-bool Placement::leaves(base::EngineId replica) const {
+bool Placement::isLeaving(base::EngineId replica) const {
   const auto record = environment_.replicas.find(replica);
   return record != nullptr && record->leaving();
 }
 
-void Placement::reportStarted(const PlacementGrant& grant, const clients::RateLimitNotice& said) {
-  const PlacementStarted message{grant.id, grant.replica, leaves(grant.replica), said};
+void Placement::reportStarted(const PlacementGrant& grant,
+                              const clients::RateLimitNotice& rateLimit) {
+  const PlacementStarted message{grant.id, grant.replica, isLeaving(grant.replica), rateLimit};
   if (isSelf(grant.homeId)) {
-    home_.onBegun(message);
+    home_.onStarted(message);
   } else {
     send(grant.home, message);
   }
@@ -241,15 +245,16 @@
 
 void Placement::reportEnded(const PlacementGrant& grant, PlacementOutcome outcome,
                             const StreamObservation& observed,
-                            const clients::RateLimitNotice& said) {
-  tell(grant, {grant.id, grant.replica, outcome, observed, leaves(grant.replica), said, false});
+                            const clients::RateLimitNotice& rateLimit) {
+  sendEnded(grant, {grant.id, grant.replica, outcome, observed, isLeaving(grant.replica), rateLimit,
+                    false});
 }
 
 void Placement::returnGrant(const PlacementGrant& grant, PlacementOutcome outcome) {
-  tell(grant, {grant.id, grant.replica, outcome, {}, leaves(grant.replica), {}, true});
+  sendEnded(grant, {grant.id, grant.replica, outcome, {}, isLeaving(grant.replica), {}, true});
 }
 
-void Placement::tell(const PlacementGrant& grant, const PlacementEnded& message) {
+void Placement::sendEnded(const PlacementGrant& grant, const PlacementEnded& message) {
   if (isSelf(grant.homeId)) {
     home_.onEnded(message, grant.homeId);
   } else {
@@ -257,21 +262,21 @@
   }
 }
 
-void Placement::reply(const base::PeerIdentity& asker, const PlacementReply& answer) {
-  if (!isSelf(asker.node)) {
-    send(asker.endpoint, answer);
+void Placement::sendReply(const base::PeerIdentity& sender, const PlacementReply& reply) {
+  if (!isSelf(sender.node)) {
+    send(sender.endpoint, reply);
     return;
   }
-  if (toSelf_.empty())
+  if (repliesToSelf_.empty())
     toSelfTimer_ =
         environment_.timers.schedule(base::Duration::zero(), [this] { deliverToSelf(); });
-  toSelf_.push_back(answer);
+  repliesToSelf_.push_back(reply);
 }
 
 void Placement::deliverToSelf() {
   const auto& self = environment_.members.self();
-  for (const auto& answer : std::exchange(toSelf_, {}))
-    onAnswer({self.id, self.incarnation, self.endpoint}, answer);
+  for (const auto& reply : std::exchange(repliesToSelf_, {}))
+    onReply({self.id, self.incarnation, self.endpoint}, reply);
 }
 
 void Placement::onPeerMessage(const base::PeerIdentity& sender, std::string_view payload) {
@@ -280,11 +285,12 @@
     environment_.log.write(base::Event::kMessageRejected, {{"channel", "placement"}});
     return;
   }
-  if (const auto* question = std::get_if<PlacementQuery>(&*message))
-    send(sender.endpoint, home_.answerTo(*question, sender));
-  if (const auto* answer = std::get_if<PlacementReply>(&*message)) onAnswer(sender, *answer);
-  if (const auto* taken = std::get_if<UngrantedDispatch>(&*message)) home_.onTaken(*taken);
-  if (const auto* begun = std::get_if<PlacementStarted>(&*message)) home_.onBegun(*begun);
+  if (const auto* query = std::get_if<PlacementQuery>(&*message))
+    send(sender.endpoint, home_.decide(*query, sender));
+  if (const auto* reply = std::get_if<PlacementReply>(&*message)) onReply(sender, *reply);
+  if (const auto* dispatch = std::get_if<UngrantedDispatch>(&*message))
+    home_.onUngrantedDispatch(*dispatch);
+  if (const auto* started = std::get_if<PlacementStarted>(&*message)) home_.onStarted(*started);
   if (const auto* ended = std::get_if<PlacementEnded>(&*message))
     home_.onEnded(*ended, sender.node);
 }
--- a/src/routing/placement.h
+++ b/src/routing/placement.h
@@ -40,7 +40,7 @@
   /// Longest wait for a home's answer. A round trip takes 2 to 4 ms, and a busy node answers late.
   base::Duration timeout = std::chrono::milliseconds(25);
   /// A request asks no more homes after so many did not answer.
-  std::size_t mostTimeouts = 2;
+  std::size_t maximumTimeouts = 2;
   /// A home that did not answer so many questions in a row is passed over for a while.
   std::size_t timeoutsToAvoid = 2;
   base::Duration avoidFor = std::chrono::milliseconds(1000);
@@ -48,13 +48,13 @@
   base::Duration moveMargin = std::chrono::milliseconds(20);
   /// Added to the time within which a home promised another answer: a busy node is late by some
   /// milliseconds, and a request that leaves the queue loses its place.
-  base::Duration promiseMargin = std::chrono::milliseconds(50);
+  base::Duration updateMargin = std::chrono::milliseconds(50);
   /// A request joins a queue after so many homes told that others wait there. One may be an uneven
   /// load that the next home has room for; each home more costs two messages in a shortage.
   std::size_t queuesToJoin = 2;
   /// A home that told of others waiting is known to have a queue for so long without being asked:
   /// some runs end meanwhile, few queues do, and the home that is joined grants at once if it did.
-  base::Duration queueKnownFor = std::chrono::milliseconds(200);
+  base::Duration queueAssumedFor = std::chrono::milliseconds(200);
   PlacementHomeOptions home;
 };
 
@@ -121,9 +121,11 @@
 
   /// Longest time from a paced grant to the first byte at the replica: what is paced must not
   /// arrive at once with what was paced before.
-  static constexpr base::Duration kLongestUse = std::chrono::milliseconds(500);
+  static constexpr base::Duration kMaximumUseDelay = std::chrono::milliseconds(500);
   /// Whether it still counts within the rate limit of its replica.
-  bool validForRateLimit(base::TimePoint now) const { return paced && now - at <= kLongestUse; }
+  bool validForRateLimit(base::TimePoint now) const {
+    return paced && now - at <= kMaximumUseDelay;
+  }
 };
 
 struct PlacementResult {
@@ -163,7 +165,7 @@
 
 class Placement final : public base::PeerHandler {
  public:
-  using Found = std::function<void(const PlacementResult&)>;
+  using ResultCallback = std::function<void(const PlacementResult&)>;
 
   Placement(PlacementOptions options, PlacementEnvironment environment);
   ~Placement() override;
@@ -176,7 +178,7 @@
   Ticket newTicket() { return ++lastTicket_; }
   /// Calls `found` once unless the request is cancelled; inside the call where only this node is
   /// asked and answers at once.
-  void place(Ticket ticket, PlacementRequest request, Found found);
+  void place(Ticket ticket, PlacementRequest request, ResultCallback found);
   /// The request is over: it waits nowhere any more, and `found` is not called. Tickets of requests
   /// that were placed are ignored.
   void cancel(Ticket ticket);
@@ -186,11 +188,11 @@
   /// A call that is no request goes to a replica with a rate limit: its home counts it.
   void countControlCall(const ReplicaRecord& replica);
   /// The answer to the request began. Its home is told what the replica has said of itself.
-  void reportStarted(const PlacementGrant& grant, const clients::RateLimitNotice& said = {});
+  void reportStarted(const PlacementGrant& grant, const clients::RateLimitNotice& rateLimit = {});
   /// The request ended, or was turned away. Tells what the replica has said of itself as well.
   void reportEnded(const PlacementGrant& grant, PlacementOutcome outcome,
                    const StreamObservation& observed = {},
-                   const clients::RateLimitNotice& said = {});
+                   const clients::RateLimitNotice& rateLimit = {});
   /// The request is not sent to the replica after all.
   void returnGrant(const PlacementGrant& grant,
                    PlacementOutcome outcome = PlacementOutcome::kWithdrawn);
@@ -201,45 +203,45 @@
  private:
   enum class Phase : std::uint8_t {
     /// Homes are asked in turn.
-    kAsking,
+    kQuerying,
     /// The home with the shortest wait is asked to queue the request.
     kJoining,
     kQueued,
   };
   /// What is known of a candidate while one request is placed.
-  struct Prospect {
+  struct CandidateState {
     std::optional<base::Duration> wait;
     /// By how much the longest pause would be over what routes allow; zero: no stream there pauses
     /// too long.
     base::Duration pauseExcess{};
     /// Not worth asking for this request any more.
-    bool out = false;
+    bool ruledOut = false;
   };
   /// A request whose homes are being asked, or which waits at one.
   struct Pending {
     PlacementRequest request;
-    Found found;
-    std::vector<Prospect> prospects;
-    Phase phase = Phase::kAsking;
+    ResultCallback found;
+    std::vector<CandidateState> candidateStates;
+    Phase phase = Phase::kQuerying;
     std::size_t position = 0;
     std::size_t queriesSent = 0;
     std::size_t repliesReceived = 0;
     std::size_t timeouts = 0;
     /// Homes that told of others waiting.
-    std::size_t queuesMet = 0;
+    std::size_t queuesSeen = 0;
     std::uint32_t queued = 0;
     bool rateLimited = false;
     /// The home that is asked may queue the request if the wait there is at most this.
-    std::optional<base::Duration> queueWithin;
+    std::optional<base::Duration> maximumQueueWait;
     /// The question that is open, and the home asked.
-    std::uint64_t question = 0;
+    std::uint64_t queryId = 0;
     base::NodeId homeId;
     base::Endpoint home;
     base::TimerId timer = 0;
     /// When the timer is due: an answer that is read later lay unread.
-    base::TimePoint answerDue{};
+    base::TimePoint replyDue{};
   };
-  struct HomeTrust {
+  struct HomeReliability {
     std::size_t timeouts = 0;
     base::TimePoint avoidedUntil{};
   };
@@ -254,51 +256,51 @@
 
   const ReplicaRecord& recordOf(const Pending& pending) const;
   /// Asks the homes of the candidates in turn, then joins a queue.
-  void askOn(Ticket ticket);
+  void queryNext(Ticket ticket);
   /// Whether this candidate is asked now; notes what is known of it if not.
-  bool shouldAsk(Pending& pending);
-  bool enoughQueuesMet(const Pending& pending) const;
+  bool shouldQuery(Pending& pending);
+  bool enoughQueuesSeen(const Pending& pending) const;
   /// The wait up to which the home that is asked next may queue the request at once, which saves
   /// two messages: the last one before a queue is joined, if its wait is the shortest.
-  std::optional<base::Duration> mayQueueWithin(const Pending& pending) const;
-  base::Duration costOf(const Pending& pending, std::size_t place) const;
-  void join(Ticket ticket);
+  std::optional<base::Duration> queueWaitLimit(const Pending& pending) const;
+  base::Duration costOf(const Pending& pending, std::size_t index) const;
+  void joinQueue(Ticket ticket);
   /// Whether a candidate goes before another. One where no stream pauses too long goes before one
   /// where some would, by however much that one's wait is shorter: at 1.1 times the room of
   /// replicas of three speeds 24 in 100 streams pause too long, 39 where pauses only add to the
   /// wait, and 36 where they do not count (12 seeds of the load test of pauses).
-  bool goesBefore(const Pending& pending, std::size_t place, std::size_t other) const;
+  bool isPreferred(const Pending& pending, std::size_t index, std::size_t other) const;
   /// The candidate whose queue is joined; empty when none is left.
-  std::optional<std::size_t> shortestWait(const Pending& pending) const;
+  std::optional<std::size_t> candidateWithShortestWait(const Pending& pending) const;
   /// Sends the question of the pending request's position and phase.
-  void sendQuestion(Ticket ticket);
-  PlacementQuery questionOf(const Pending& pending) const;
-  bool avoided(base::NodeId home) const;
-  void learn(Pending& pending, const PlacementReply& answer);
-  void onAnswer(const base::PeerIdentity& sender, const PlacementReply& answer);
-  void takeAnswer(Ticket ticket, const PlacementReply& answer);
-  void onQueued(Ticket ticket, const PlacementReply& answer);
-  void onDeclined(Ticket ticket, const PlacementReply& answer);
-  void onRefused(Ticket ticket, const PlacementReply& answer);
+  void sendQuery(Ticket ticket);
+  PlacementQuery queryOf(const Pending& pending) const;
+  bool isAvoided(base::NodeId home) const;
+  void recordReply(Pending& pending, const PlacementReply& reply);
+  void onReply(const base::PeerIdentity& sender, const PlacementReply& reply);
+  void handleReply(Ticket ticket, const PlacementReply& reply);
+  void onQueued(Ticket ticket, const PlacementReply& reply);
+  void onDeclined(Ticket ticket, const PlacementReply& reply);
+  void onRefused(Ticket ticket, const PlacementReply& reply);
   void onTimeout(Ticket ticket);
-  void onPromiseMissed(Ticket ticket);
+  void onUpdateMissed(Ticket ticket);
   /// The home of the pending request did not answer in time.
-  void distrustHome(const Pending& pending);
+  void recordMissedReply(const Pending& pending);
   /// Asks the others again, without the candidate at the position.
-  void leaveCandidate(Ticket ticket);
+  void ruleOutCandidate(Ticket ticket);
   PlacementResult resultOf(const Pending& pending) const;
   void conclude(Ticket ticket, const PlacementResult& result);
-  void concludeGranted(Ticket ticket, const PlacementReply& answer);
+  void concludeGranted(Ticket ticket, const PlacementReply& reply);
   PlacementGrant grantOf(const Pending& pending) const;
-  bool leaves(base::EngineId replica) const;
-  void closeQuestion(Pending& pending);
+  bool isLeaving(base::EngineId replica) const;
+  void closeQuery(Pending& pending);
 
   /// An answer of this node as home to a question of some node.
-  void reply(const base::PeerIdentity& asker, const PlacementReply& answer);
+  void sendReply(const base::PeerIdentity& sender, const PlacementReply& reply);
   void deliverToSelf();
-  void tell(const PlacementGrant& grant, const PlacementEnded& message);
+  void sendEnded(const PlacementGrant& grant, const PlacementEnded& message);
   /// Waits for the answer of the home that was asked.
-  void awaitAnswer(Pending& pending, base::Duration within, std::function<void()> onMissed);
+  void awaitReply(Pending& pending, base::Duration within, std::function<void()> onMissed);
   bool isSelf(base::NodeId node) const;
   void send(const base::Endpoint& destination, const PlacementMessage& message);
 
@@ -309,12 +311,12 @@
   Ticket lastTicket_ = 0;
   std::unordered_map<Ticket, Pending> pending_;
   /// Open questions.
-  std::unordered_map<std::uint64_t, Ticket> questions_;
-  std::map<base::NodeId, HomeTrust> trust_;
+  std::unordered_map<std::uint64_t, Ticket> openQueries_;
+  std::map<base::NodeId, HomeReliability> homeReliability_;
   std::unordered_map<base::EngineId, KnownQueue> queues_;
   /// Late answers of this node as home to itself: requests are not taken up inside the calls in
   /// which others end.
-  std::vector<PlacementReply> toSelf_;
+  std::vector<PlacementReply> repliesToSelf_;
   base::TimerId toSelfTimer_ = 0;
   PlacementCounters counters_;
 };
--- a/src/routing/placement_answers.cc
+++ b/src/routing/placement_answers.cc
@@ -6,126 +6,126 @@
 
 namespace covewing::routing {
 
-void Placement::onAnswer(const base::PeerIdentity& sender, const PlacementReply& answer) {
+void Placement::onReply(const base::PeerIdentity& sender, const PlacementReply& reply) {
   // A late answer, too, shows that the home is there.
-  trust_.erase(sender.node);
-  const auto question = questions_.find(answer.id);
-  if (question == questions_.end()) {
+  homeReliability_.erase(sender.node);
+  const auto query = openQueries_.find(reply.id);
+  if (query == openQueries_.end()) {
     // The request went elsewhere meanwhile.
-    const bool counted = answer.granted() || answer.verdict == PlacementVerdict::kQueued;
-    if (counted) returnGrant({answer.id, answer.replica, sender.node, sender.endpoint});
+    const bool counted = reply.granted() || reply.verdict == PlacementVerdict::kQueued;
+    if (counted) returnGrant({reply.id, reply.replica, sender.node, sender.endpoint});
     return;
   }
-  takeAnswer(question->second, answer);
+  handleReply(query->second, reply);
 }
 
-void Placement::learn(Pending& pending, const PlacementReply& answer) {
+void Placement::recordReply(Pending& pending, const PlacementReply& reply) {
   ++pending.repliesReceived;
-  pending.queued = answer.queued;
+  pending.queued = reply.queued;
   const auto& record = pending.request.candidates[pending.position].record;
-  if (answer.speedPercent > 0) record->recordSpeed(answer.speedPercent);
-  if (answer.version > 0) record->recordVersion(pending.request.model, answer.version);
-  if (answer.leaving) recordLeaving(*record, environment_.log, {kOtherNode, 0, {}});
-  recordRateLimit(*record, environment_.log, evidenceOf(answer.rateLimit, environment_.clock.now()),
+  if (reply.speedPercent > 0) record->recordSpeed(reply.speedPercent);
+  if (reply.version > 0) record->recordVersion(pending.request.model, reply.version);
+  if (reply.leaving) recordLeaving(*record, environment_.log, {kOtherNode, 0, {}});
+  recordRateLimit(*record, environment_.log, evidenceOf(reply.rateLimit, environment_.clock.now()),
                   {kOtherNode, 0, {}});
-  pending.rateLimited = answer.rateLimit.notice.limited();
-  if (answer.granted() || answer.queued == 0 || !answer.usable) {
-    queues_.erase(answer.replica);
+  pending.rateLimited = reply.rateLimit.notice.limited();
+  if (reply.granted() || reply.queued == 0 || !reply.usable) {
+    queues_.erase(reply.replica);
     return;
   }
-  if (pending.phase != Phase::kAsking) return;
+  if (pending.phase != Phase::kQuerying) return;
   // Others wait there for its rate, which says nothing of the room of others.
-  if (!pending.rateLimited) ++pending.queuesMet;
-  queues_[answer.replica] = {answer.queued, answer.wait, answer.pauseExcess,
-                             environment_.clock.now() + options_.queueKnownFor,
-                             pending.rateLimited};
+  if (!pending.rateLimited) ++pending.queuesSeen;
+  queues_[reply.replica] = {reply.queued, reply.wait, reply.pauseExcess,
+                            environment_.clock.now() + options_.queueAssumedFor,
+                            pending.rateLimited};
 }
 
-void Placement::takeAnswer(Ticket ticket, const PlacementReply& answer) {
+void Placement::handleReply(Ticket ticket, const PlacementReply& reply) {
   auto& pending = pending_.at(ticket);
   environment_.timers.cancel(pending.timer);
-  learn(pending, answer);
-  switch (answer.verdict) {
+  recordReply(pending, reply);
+  switch (reply.verdict) {
     case PlacementVerdict::kQueued:
-      onQueued(ticket, answer);
+      onQueued(ticket, reply);
       return;
     case PlacementVerdict::kGranted:
-      concludeGranted(ticket, answer);
+      concludeGranted(ticket, reply);
       return;
     case PlacementVerdict::kDeclined:
-      onDeclined(ticket, answer);
+      onDeclined(ticket, reply);
       return;
     case PlacementVerdict::kRefused:
-      onRefused(ticket, answer);
+      onRefused(ticket, reply);
       return;
   }
 }
 
-void Placement::onRefused(Ticket ticket, const PlacementReply& answer) {
+void Placement::onRefused(Ticket ticket, const PlacementReply& reply) {
   // Only a home with the shortest wait known is asked to queue a request, so that none serves it.
   ++counters_.refused;
   auto result = resultOf(pending_.at(ticket));
-  result.retryAfter = answer.retryAfter;
+  result.retryAfter = reply.retryAfter;
   conclude(ticket, result);
 }
 
-void Placement::onQueued(Ticket ticket, const PlacementReply& answer) {
+void Placement::onQueued(Ticket ticket, const PlacementReply& reply) {
   auto& pending = pending_.at(ticket);
   if (pending.phase != Phase::kQueued) ++counters_.queued;
   pending.phase = Phase::kQueued;
-  awaitAnswer(pending, answer.within + options_.promiseMargin,
-              [this, ticket] { onPromiseMissed(ticket); });
+  awaitReply(pending, reply.nextUpdateWithin + options_.updateMargin,
+             [this, ticket] { onUpdateMissed(ticket); });
 }
 
-void Placement::onDeclined(Ticket ticket, const PlacementReply& answer) {
+void Placement::onDeclined(Ticket ticket, const PlacementReply& reply) {
   auto& pending = pending_.at(ticket);
-  questions_.erase(pending.question);
-  if (pending.phase != Phase::kAsking || !answer.usable) {
-    leaveCandidate(ticket);
+  openQueries_.erase(pending.queryId);
+  if (pending.phase != Phase::kQuerying || !reply.usable) {
+    ruleOutCandidate(ticket);
     return;
   }
-  pending.prospects[pending.position].wait = answer.wait;
-  pending.prospects[pending.position].pauseExcess = answer.pauseExcess;
+  pending.candidateStates[pending.position].wait = reply.wait;
+  pending.candidateStates[pending.position].pauseExcess = reply.pauseExcess;
   ++pending.position;
-  askOn(ticket);
+  queryNext(ticket);
 }
 
 void Placement::onTimeout(Ticket ticket) {
   auto& pending = pending_.at(ticket);
   ++counters_.timeouts;
-  distrustHome(pending);
+  recordMissedReply(pending);
   ++pending.timeouts;
-  closeQuestion(pending);
-  leaveCandidate(ticket);
+  closeQuery(pending);
+  ruleOutCandidate(ticket);
 }
 
-void Placement::distrustHome(const Pending& pending) {
-  auto& trust = trust_[pending.homeId];
-  if (++trust.timeouts >= options_.timeoutsToAvoid)
-    trust.avoidedUntil = environment_.clock.now() + options_.avoidFor;
+void Placement::recordMissedReply(const Pending& pending) {
+  auto& reliability = homeReliability_[pending.homeId];
+  if (++reliability.timeouts >= options_.timeoutsToAvoid)
+    reliability.avoidedUntil = environment_.clock.now() + options_.avoidFor;
 }
 
-void Placement::onPromiseMissed(Ticket ticket) {
+void Placement::onUpdateMissed(Ticket ticket) {
   auto& pending = pending_.at(ticket);
   ++counters_.queueUpdatesMissed;
-  distrustHome(pending);
-  closeQuestion(pending);
-  leaveCandidate(ticket);
+  recordMissedReply(pending);
+  closeQuery(pending);
+  ruleOutCandidate(ticket);
 }
 
-void Placement::leaveCandidate(Ticket ticket) {
+void Placement::ruleOutCandidate(Ticket ticket) {
   auto& pending = pending_.at(ticket);
-  pending.prospects[pending.position] = {std::nullopt, {}, true};
+  pending.candidateStates[pending.position] = {std::nullopt, {}, true};
   // What the homes told before it waited in a queue is out of date.
-  if (pending.phase != Phase::kAsking) {
-    for (auto& prospect : pending.prospects) prospect.wait.reset();
-    pending.phase = Phase::kAsking;
-    pending.queuesMet = 0;
+  if (pending.phase != Phase::kQuerying) {
+    for (auto& state : pending.candidateStates) state.wait.reset();
+    pending.phase = Phase::kQuerying;
+    pending.queuesSeen = 0;
     pending.position = 0;
   } else {
     ++pending.position;
   }
-  askOn(ticket);
+  queryNext(ticket);
 }
 
 PlacementResult Placement::resultOf(const Pending& pending) const {
@@ -139,26 +139,26 @@
 
 void Placement::conclude(Ticket ticket, const PlacementResult& result) {
   const auto pending = std::move(pending_.extract(ticket).mapped());
-  questions_.erase(pending.question);
+  openQueries_.erase(pending.queryId);
   pending.found(result);
 }
 
 PlacementGrant Placement::grantOf(const Pending& pending) const {
-  return {pending.question, base::engineIdOf(recordOf(pending).facts().instance), pending.homeId,
+  return {pending.queryId, base::engineIdOf(recordOf(pending).facts().instance), pending.homeId,
           pending.home};
 }
 
-void Placement::concludeGranted(Ticket ticket, const PlacementReply& answer) {
+void Placement::concludeGranted(Ticket ticket, const PlacementReply& reply) {
   const auto& pending = pending_.at(ticket);
   ++counters_.granted;
   auto result = resultOf(pending);
   result.candidate = pending.position;
   result.grant = grantOf(pending);
-  result.grant->paced = answer.paced;
+  result.grant->paced = reply.paced;
   const auto now = environment_.clock.now();
-  result.grant->at = isSelf(pending.homeId) ? now : std::min(now, pending.answerDue);
-  result.matchedTokens = answer.matchedTokens;
-  result.wait = answer.wait;
+  result.grant->at = isSelf(pending.homeId) ? now : std::min(now, pending.replyDue);
+  result.matchedTokens = reply.matchedTokens;
+  result.wait = reply.wait;
   conclude(ticket, result);
 }
 
--- a/src/routing/placement_home.cc
+++ b/src/routing/placement_home.cc
@@ -13,20 +13,20 @@
   return prefix::PartChain(std::move(parts));
 }
 
-std::size_t countedAs(std::uint32_t urgency) {
-  return std::min<std::size_t>(urgency, kCountedUrgencies - 1);
+std::size_t urgencyLevelOf(std::uint32_t urgency) {
+  return std::min<std::size_t>(urgency, kUrgencyLevels - 1);
 }
 
 }  // namespace
 
 PlacementHome::PlacementHome(PlacementHomeOptions options, PlacementHomeEnvironment environment,
-                             Reply reply)
+                             SendReply sendReply)
     : options_(options),
       environment_(environment),
-      reply_(std::move(reply)),
+      sendReply_(std::move(sendReply)),
       homes_(environment.members) {}
 
-PlacementHome::~PlacementHome() { environment_.timers.cancel(lookTimer_); }
+PlacementHome::~PlacementHome() { environment_.timers.cancel(checkTimer_); }
 
 std::size_t PlacementHome::queued() const {
   std::size_t sum = 0;
@@ -48,40 +48,39 @@
   return state.ledger.available(now);
 }
 
-PlacementReply PlacementHome::describe(const PlacementQuery& question, ReplicaQueue& state) const {
-  PlacementReply answer;
-  answer.id = question.id;
-  answer.replica = question.replica;
-  answer.usable = usable(question.replica, state);
-  if (const auto record = environment_.replicas.find(question.replica)) {
-    answer.version = record->versionOf(question.model);
-    answer.leaving = record->leaving();
-    answer.rateLimit = record->notices().rateLimit().known(environment_.clock.now());
+PlacementReply PlacementHome::describe(const PlacementQuery& query, ReplicaQueue& state) const {
+  PlacementReply reply;
+  reply.id = query.id;
+  reply.replica = query.replica;
+  reply.usable = usable(query.replica, state);
+  if (const auto record = environment_.replicas.find(query.replica)) {
+    reply.version = record->versionOf(query.model);
+    reply.leaving = record->leaving();
+    reply.rateLimit = record->notices().rateLimit().known(environment_.clock.now());
   }
-  answer.matchedTokens =
-      environment_.holders.matchedTokens(question.replica, question.scope, chainOf(question.parts));
-  answer.queued = static_cast<std::uint32_t>(state.waiting.size());
-  answer.speedPercent = state.ledger.speedPercent();
-  return answer;
+  reply.matchedTokens =
+      environment_.holders.matchedTokens(query.replica, query.scope, chainOf(query.parts));
+  reply.queued = static_cast<std::uint32_t>(state.waiting.size());
+  reply.speedPercent = state.ledger.speedPercent();
+  return reply;
 }
 
-PlacementDemand PlacementHome::workAt(const PlacementQuery& question,
-                                      const PlacementReply& answer) {
-  auto work = question.work;
-  const auto matched = std::min(question.promptTokens, answer.matchedTokens);
-  work.prefillTokens = std::min(work.prefillTokens, question.promptTokens - matched);
+PlacementDemand PlacementHome::demandAt(const PlacementQuery& query, const PlacementReply& reply) {
+  auto work = query.work;
+  const auto matched = std::min(query.promptTokens, reply.matchedTokens);
+  work.prefillTokens = std::min(work.prefillTokens, query.promptTokens - matched);
   return work;
 }
 
-LedgerCapacity PlacementHome::roomOf(ReplicaQueue& state, std::uint64_t newId,
-                                     const CapacityDemand& newDemand) const {
+LedgerCapacity PlacementHome::capacityOf(ReplicaQueue& state, std::uint64_t newId,
+                                         const CapacityDemand& newDemand) const {
   const auto demandOf = [&state, newId, &newDemand](std::uint64_t id) -> const CapacityDemand& {
     return id == newId ? newDemand : state.waiting.at(id).demand;
   };
   return {state.ledger, state.capacity, demandOf, environment_.clock.now()};
 }
 
-LedgerCapacity PlacementHome::roomOf(ReplicaQueue& state) const {
+LedgerCapacity PlacementHome::capacityOf(ReplicaQueue& state) const {
   const auto demandOf = [&state](std::uint64_t id) -> const CapacityDemand& {
     return state.waiting.at(id).demand;
   };
@@ -102,7 +101,8 @@
   return entry;
 }
 
-base::Duration PlacementHome::waitFor(const CapacityDemand& demand, ReplicaQueue& state) const {
+base::Duration PlacementHome::expectedWaitOf(const CapacityDemand& demand,
+                                             ReplicaQueue& state) const {
   const auto ahead = std::ranges::count_if(state.waiting, [&demand](const auto& each) {
     return each.second.demand.terms.urgency <= demand.terms.urgency;
   });
@@ -110,74 +110,74 @@
          state.ledger.timePerRequest(state.capacity.slots) * ahead;
 }
 
-void PlacementHome::grant(const PlacementQuery& question, const CapacityDemand& demand,
+void PlacementHome::grant(const PlacementQuery& query, const CapacityDemand& demand,
                           ReplicaQueue& state) {
-  state.ledger.grant(question.id, demand.work, demand.terms, {question.scope, question.parts},
+  state.ledger.grant(query.id, demand.work, demand.terms, {query.scope, query.parts},
                      environment_.clock.now());
 }
 
-PlacementReply PlacementHome::answerTo(const PlacementQuery& question,
-                                       const base::PeerIdentity& asker) {
+PlacementReply PlacementHome::decide(const PlacementQuery& query,
+                                     const base::PeerIdentity& sender) {
   const auto now = environment_.clock.now();
-  auto& state = stateOf(question.replica);
-  learnRateLimit(question);
-  followRateLimit(question.replica, state);
-  auto answer = describe(question, state);
-  const bool asksNobodyElse =
-      question.terms.mayQueue && question.queueWithin == base::Duration::max();
-  const CapacityDemand demand{workAt(question, answer), question.terms, question.acceptableWait,
-                              asksNobodyElse};
+  auto& state = stateOf(query.replica);
+  adoptRateLimit(query);
+  applyRateLimit(query.replica, state);
+  auto reply = describe(query, state);
+  const bool queriesNoOtherHome =
+      query.terms.mayQueue && query.maximumQueueWait == base::Duration::max();
+  const CapacityDemand demand{demandAt(query, reply), query.terms, query.acceptableWait,
+                              queriesNoOtherHome};
   state.capacity = demand.work;
   state.capacity.memory =
       std::max(demand.work.memory, demand.work.memory == 0 ? 0 : demand.work.tokens);
-  answer.wait = waitFor(demand, state);
-  answer.pauseExcess = state.ledger.pauseExcess(demand.work, demand.terms, now);
-  answer.keepsPauses = answer.pauseExcess == base::Duration::zero();
-  if (!answer.usable) return answer;
-  answer.paced = state.ledger.pacer().limited();
+  reply.wait = expectedWaitOf(demand, state);
+  reply.pauseExcess = state.ledger.pauseExcess(demand.work, demand.terms, now);
+  reply.meetsPauseBounds = reply.pauseExcess == base::Duration::zero();
+  if (!reply.usable) return reply;
+  reply.paced = state.ledger.pacer().limited();
   if (!state.ledger.pacer().mayPass(now)) ++counters_.rateLimited;
-  const auto room = roomOf(state, question.id, demand);
-  const auto entry = entryOf(question.id, demand);
+  const auto capacity = capacityOf(state, query.id, demand);
+  const auto entry = entryOf(query.id, demand);
   // A question that only looks for room is no arrival where there is none: the request asks others.
   const bool late = demand.terms.softStartWithin < base::Duration::zero();
-  const bool mayWait = question.terms.mayQueue && answer.wait <= question.queueWithin;
-  if (!mayWait && !room.fits(entry, !late)) return answer;
-  const auto offer = state.queue.offer(entry, room, mayWait, now);
+  const bool mayWait = query.terms.mayQueue && reply.wait <= query.maximumQueueWait;
+  if (!mayWait && !capacity.fits(entry, !late)) return reply;
+  const auto offer = state.queue.offer(entry, capacity, mayWait, now);
   switch (offer.verdict) {
     case admission::QueueVerdict::kGranted:
-      answer.verdict = PlacementVerdict::kGranted;
+      reply.verdict = PlacementVerdict::kGranted;
       ++counters_.grantedAtOnce;
-      grant(question, demand, state);
+      grant(query, demand, state);
       break;
     case admission::QueueVerdict::kQueued:
-      answer.verdict = PlacementVerdict::kQueued;
-      answer.queued = static_cast<std::uint32_t>(offer.ahead);
-      answer.wait = offer.wait;
-      answer.within = options_.promise;
-      state.waiting.insert_or_assign(question.id, Waiting{question, asker, demand, now, now});
-      state.waiting.at(question.id).demand.acceptsPauses = true;
-      armLook();
+      reply.verdict = PlacementVerdict::kQueued;
+      reply.queued = static_cast<std::uint32_t>(offer.ahead);
+      reply.wait = offer.wait;
+      reply.nextUpdateWithin = options_.updateInterval;
+      state.waiting.insert_or_assign(query.id, QueuedRequest{query, sender, demand, now, now});
+      state.waiting.at(query.id).demand.acceptsPauses = true;
+      scheduleCheck();
       break;
     case admission::QueueVerdict::kRefused:
       if (!mayWait) break;
-      answer.verdict = PlacementVerdict::kRefused;
-      answer.queued = static_cast<std::uint32_t>(offer.ahead);
-      answer.retryAfter = offer.wait;
+      reply.verdict = PlacementVerdict::kRefused;
+      reply.queued = static_cast<std::uint32_t>(offer.ahead);
+      reply.retryAfter = offer.wait;
       ++counters_.refusedAtOnce;
       break;
   }
-  return answer;
+  return reply;
 }
 
-void PlacementHome::onTaken(const UngrantedDispatch& taken) {
+void PlacementHome::onUngrantedDispatch(const UngrantedDispatch& dispatch) {
   PlacementTerms terms;
-  terms.longestPause = taken.longestPause;
-  auto& state = stateOf(taken.replica);
-  followRateLimit(taken.replica, state);
-  if (taken.call) {
+  terms.longestPause = dispatch.longestPause;
+  auto& state = stateOf(dispatch.replica);
+  applyRateLimit(dispatch.replica, state);
+  if (dispatch.controlCall) {
     state.ledger.countControlCall(environment_.clock.now());
   } else {
-    state.ledger.grant(taken.id, taken.work, terms, {}, environment_.clock.now());
+    state.ledger.grant(dispatch.id, dispatch.work, terms, {}, environment_.clock.now());
   }
 }
 
@@ -186,16 +186,16 @@
     recordLeaving(*record, environment_.log, {kOtherNode, 0, {}});
 }
 
-void PlacementHome::onBegun(const PlacementStarted& begun) {
-  if (begun.leaving) onLeaving(begun.replica);
-  const auto known = replicas_.find(begun.replica);
+void PlacementHome::onStarted(const PlacementStarted& started) {
+  if (started.leaving) onLeaving(started.replica);
+  const auto known = replicas_.find(started.replica);
   if (known == replicas_.end()) return;
   auto& state = known->second;
-  onLimitSaid(begun.replica, begun.rateLimit, state, begun.id);
-  const auto prompt = state.ledger.begin(begun.id, environment_.clock.now());
+  onRateLimitReported(started.replica, started.rateLimit, state, started.id);
+  const auto prompt = state.ledger.begin(started.id, environment_.clock.now());
   if (!prompt) return;
-  environment_.holders.addChain(begun.replica, prompt->scope, chainOf(prompt->parts));
-  serveQueue(begun.replica, state);
+  environment_.holders.addChain(started.replica, prompt->scope, chainOf(prompt->parts));
+  serveQueue(started.replica, state);
 }
 
 void PlacementHome::onEnded(const PlacementEnded& ended, base::NodeId node) {
@@ -203,7 +203,7 @@
   const auto known = replicas_.find(ended.replica);
   if (known == replicas_.end()) return;
   auto& state = known->second;
-  onLimitSaid(ended.replica, ended.rateLimit, state, ended.id);
+  onRateLimitReported(ended.replica, ended.rateLimit, state, ended.id);
   if (state.waiting.contains(ended.id)) {
     state.queue.withdraw(ended.id);
     state.waiting.erase(ended.id);
@@ -218,46 +218,46 @@
 
 void PlacementHome::serveQueue(base::EngineId replica, ReplicaQueue& state) {
   if (state.waiting.empty()) return;
-  followRateLimit(replica, state);
+  applyRateLimit(replica, state);
   const auto record = environment_.replicas.find(replica);
   if (!record || !isHome(*record) || !usable(replica, state)) {
     clearQueue(state);
     return;
   }
-  withdrawOfGoneNodes(state);
+  withdrawRequestsOfLeftNodes(state);
   refuseExpired(state);
   grantNext(state);
 }
 
 void PlacementHome::grantNext(ReplicaQueue& state) {
   const auto now = environment_.clock.now();
-  while (const auto entry = state.queue.next(roomOf(state), now)) {
+  while (const auto entry = state.queue.next(capacityOf(state), now)) {
     const auto waiting = std::move(state.waiting.extract(entry->id).mapped());
-    auto& waits = counters_.waits.at(countedAs(entry->urgency));
+    auto& waits = counters_.waits.at(urgencyLevelOf(entry->urgency));
     ++waits.count;
     waits.total += now - waiting.since;
     ++counters_.grantedLater;
-    auto answer = describe(waiting.question, state);
-    answer.verdict = PlacementVerdict::kGranted;
-    answer.paced = state.ledger.pacer().limited();
+    auto reply = describe(waiting.query, state);
+    reply.verdict = PlacementVerdict::kGranted;
+    reply.paced = state.ledger.pacer().limited();
     auto demand = waiting.demand;
-    demand.work = workAt(waiting.question, answer);
-    answer.wait = state.ledger.expectedWait(demand.work, now);
-    grant(waiting.question, demand, state);
-    reply_(waiting.asker, answer);
+    demand.work = demandAt(waiting.query, reply);
+    reply.wait = state.ledger.expectedWait(demand.work, now);
+    grant(waiting.query, demand, state);
+    sendReply_(waiting.sender, reply);
   }
 }
 
 void PlacementHome::refuseExpired(ReplicaQueue& state) {
-  const auto refusals = state.queue.removeExpired(roomOf(state), environment_.clock.now());
+  const auto refusals = state.queue.removeExpired(capacityOf(state), environment_.clock.now());
   for (const auto& refusal : refusals) {
     const auto waiting = std::move(state.waiting.extract(refusal.id).mapped());
     ++counters_.refusedLater;
-    auto answer = describe(waiting.question, state);
-    answer.verdict = PlacementVerdict::kRefused;
-    answer.queued = static_cast<std::uint32_t>(refusal.ahead);
-    answer.retryAfter = refusal.retryAfter;
-    reply_(waiting.asker, answer);
+    auto reply = describe(waiting.query, state);
+    reply.verdict = PlacementVerdict::kRefused;
+    reply.queued = static_cast<std::uint32_t>(refusal.ahead);
+    reply.retryAfter = refusal.retryAfter;
+    sendReply_(waiting.sender, reply);
   }
 }
 
@@ -266,21 +266,21 @@
   const auto cleared = std::exchange(state.waiting, {});
   counters_.cleared += cleared.size();
   for (const auto& [id, waiting] : cleared) {
-    auto answer = describe(waiting.question, state);
-    answer.usable = false;
-    reply_(waiting.asker, answer);
+    auto reply = describe(waiting.query, state);
+    reply.usable = false;
+    sendReply_(waiting.sender, reply);
   }
 }
 
-bool PlacementHome::askerIsGone(const Waiting& waiting) const {
-  const auto* member = environment_.members.find(waiting.asker.node);
+bool PlacementHome::senderHasLeft(const QueuedRequest& waiting) const {
+  const auto* member = environment_.members.find(waiting.sender.node);
   return member != nullptr && (member->state == membership::MemberState::kDead ||
                                member->state == membership::MemberState::kLeft);
 }
 
-void PlacementHome::withdrawOfGoneNodes(ReplicaQueue& state) {
+void PlacementHome::withdrawRequestsOfLeftNodes(ReplicaQueue& state) {
   for (auto each = state.waiting.begin(); each != state.waiting.end();) {
-    if (!askerIsGone(each->second)) {
+    if (!senderHasLeft(each->second)) {
       ++each;
       continue;
     }
@@ -290,33 +290,33 @@
   }
 }
 
-void PlacementHome::renewPromises(ReplicaQueue& state) {
+void PlacementHome::sendDueUpdates(ReplicaQueue& state) {
   const auto now = environment_.clock.now();
   for (auto& [id, waiting] : state.waiting) {
     // One look early: the next one would be too late.
-    if (now - waiting.toldAt + 2 * options_.lookInterval < options_.promise) continue;
-    waiting.toldAt = now;
-    auto answer = describe(waiting.question, state);
-    answer.verdict = PlacementVerdict::kQueued;
-    answer.within = options_.promise;
-    reply_(waiting.asker, answer);
+    if (now - waiting.updatedAt + 2 * options_.checkInterval < options_.updateInterval) continue;
+    waiting.updatedAt = now;
+    auto reply = describe(waiting.query, state);
+    reply.verdict = PlacementVerdict::kQueued;
+    reply.nextUpdateWithin = options_.updateInterval;
+    sendReply_(waiting.sender, reply);
   }
 }
 
-void PlacementHome::look() {
+void PlacementHome::checkQueues() {
   for (auto& [replica, state] : replicas_) {
     serveQueue(replica, state);
-    renewPromises(state);
+    sendDueUpdates(state);
   }
-  armLook();
+  scheduleCheck();
 }
 
-void PlacementHome::armLook() {
-  if (lookArmed_ || queued() == 0) return;
-  lookArmed_ = true;
-  lookTimer_ = environment_.timers.schedule(options_.lookInterval, [this] {
-    lookArmed_ = false;
-    look();
+void PlacementHome::scheduleCheck() {
+  if (checkScheduled_ || queued() == 0) return;
+  checkScheduled_ = true;
+  checkTimer_ = environment_.timers.schedule(options_.checkInterval, [this] {
+    checkScheduled_ = false;
+    checkQueues();
   });
 }
 
--- a/src/routing/placement_home.h
+++ b/src/routing/placement_home.h
@@ -40,10 +40,10 @@
   /// A request in the queue hears from its home within this. A caller's request should not wait
   /// for a dead home for more than half a second; shorter would cost more messages than the
   /// decisions themselves.
-  base::Duration promise = std::chrono::milliseconds(400);
+  base::Duration updateInterval = std::chrono::milliseconds(400);
   /// How often a queue is looked at when nothing happens at its replica: much less than the
   /// shortest times that callers state, some 100 ms and more.
-  base::Duration lookInterval = std::chrono::milliseconds(25);
+  base::Duration checkInterval = std::chrono::milliseconds(25);
   ReplicaLedgerOptions ledger;
   admission::AdmissionQueueOptions queue;
 };
@@ -65,7 +65,7 @@
 };
 
 /// Urgencies that metrics tell apart; the last one stands for all less urgent ones as well.
-inline constexpr std::size_t kCountedUrgencies = 4;
+inline constexpr std::size_t kUrgencyLevels = 4;
 
 /// Counts since the start, for metrics.
 struct PlacementHomeCounters {
@@ -79,24 +79,25 @@
   std::uint64_t cleared = 0;
   /// Questions for which the rate limit of the replica left nothing at once.
   std::uint64_t rateLimited = 0;
-  std::array<QueueWaits, kCountedUrgencies> waits{};
+  std::array<QueueWaits, kUrgencyLevels> waits{};
 };
 
 class PlacementHome {
  public:
   /// Sends an answer to a queued question to the node that asked. Not called inside the calls that
   /// the asking node makes here, but by way of messages or a timer.
-  using Reply = std::function<void(const base::PeerIdentity& asker, const PlacementReply&)>;
+  using SendReply = std::function<void(const base::PeerIdentity& sender, const PlacementReply&)>;
 
-  PlacementHome(PlacementHomeOptions options, PlacementHomeEnvironment environment, Reply reply);
+  PlacementHome(PlacementHomeOptions options, PlacementHomeEnvironment environment,
+                SendReply sendReply);
   ~PlacementHome();
   PlacementHome(const PlacementHome&) = delete;
   PlacementHome& operator=(const PlacementHome&) = delete;
 
   /// The answer to a question that is new here.
-  PlacementReply answerTo(const PlacementQuery& question, const base::PeerIdentity& asker);
-  void onTaken(const UngrantedDispatch& taken);
-  void onBegun(const PlacementStarted& begun);
+  PlacementReply decide(const PlacementQuery& query, const base::PeerIdentity& sender);
+  void onUngrantedDispatch(const UngrantedDispatch& dispatch);
+  void onStarted(const PlacementStarted& started);
   /// Also ends the wait of a queued request.
   void onEnded(const PlacementEnded& ended, base::NodeId node);
 
@@ -106,13 +107,13 @@
 
  private:
   /// A request in the queue.
-  struct Waiting {
-    PlacementQuery question;
-    base::PeerIdentity asker;
+  struct QueuedRequest {
+    PlacementQuery query;
+    base::PeerIdentity sender;
     CapacityDemand demand;
     base::TimePoint since{};
     /// When its node was last told that it waits.
-    base::TimePoint toldAt{};
+    base::TimePoint updatedAt{};
   };
   /// What is known of one replica, and what waits for it.
   struct ReplicaQueue {
@@ -120,7 +121,7 @@
         : ledger(options.ledger), queue(options.queue) {}
     ReplicaLedger ledger;
     admission::AdmissionQueue queue;
-    std::unordered_map<std::uint64_t, Waiting> waiting;
+    std::unordered_map<std::uint64_t, QueuedRequest> waiting;
     /// What the replica has, as the latest question told.
     PlacementDemand capacity;
   };
@@ -130,48 +131,48 @@
   /// table service cannot tell them.
   void onLeaving(base::EngineId replica);
   /// What the node that asks knows of the replica's rate limit.
-  void learnRateLimit(const PlacementQuery& question);
+  void adoptRateLimit(const PlacementQuery& query);
   /// What a node's answer from the replica said of its rate limit.
-  void onLimitSaid(base::EngineId replica, const clients::RateLimitNotice& notice,
-                   const ReplicaQueue& state, std::uint64_t grant);
+  void onRateLimitReported(base::EngineId replica, const clients::RateLimitNotice& notice,
+                           const ReplicaQueue& state, std::uint64_t grant);
   /// Paces the replica by what is known of its rate limit now.
-  void followRateLimit(base::EngineId replica, ReplicaQueue& state) const;
+  void applyRateLimit(base::EngineId replica, ReplicaQueue& state) const;
   /// The part of a rate limit that this node may grant as the home.
-  double partOfRate() const;
+  double rateShare() const;
   bool isHome(const ReplicaRecord& record) const;
   /// Whether the replica may be sent requests now.
   bool usable(base::EngineId replica, ReplicaQueue& state) const;
   /// An answer with all but the verdict.
-  PlacementReply describe(const PlacementQuery& question, ReplicaQueue& state) const;
+  PlacementReply describe(const PlacementQuery& query, ReplicaQueue& state) const;
   /// What the request takes there by what the home knows to be cached.
-  static PlacementDemand workAt(const PlacementQuery& question, const PlacementReply& answer);
-  LedgerCapacity roomOf(ReplicaQueue& state, std::uint64_t newId,
-                        const CapacityDemand& newDemand) const;
-  LedgerCapacity roomOf(ReplicaQueue& state) const;
+  static PlacementDemand demandAt(const PlacementQuery& query, const PlacementReply& reply);
+  LedgerCapacity capacityOf(ReplicaQueue& state, std::uint64_t newId,
+                            const CapacityDemand& newDemand) const;
+  LedgerCapacity capacityOf(ReplicaQueue& state) const;
   admission::QueueEntry entryOf(std::uint64_t id, const CapacityDemand& demand) const;
   /// Expected wait of a request that does not queue: for what runs, and for what waits before it.
-  base::Duration waitFor(const CapacityDemand& demand, ReplicaQueue& state) const;
-  void grant(const PlacementQuery& question, const CapacityDemand& demand, ReplicaQueue& state);
+  base::Duration expectedWaitOf(const CapacityDemand& demand, ReplicaQueue& state) const;
+  void grant(const PlacementQuery& query, const CapacityDemand& demand, ReplicaQueue& state);
   /// Grants and refuses what waits for the replica, as its room says now.
   void serveQueue(base::EngineId replica, ReplicaQueue& state);
   void grantNext(ReplicaQueue& state);
   void refuseExpired(ReplicaQueue& state);
   /// Declines all that wait for the replica.
   void clearQueue(ReplicaQueue& state);
-  bool askerIsGone(const Waiting& waiting) const;
-  void withdrawOfGoneNodes(ReplicaQueue& state);
-  void renewPromises(ReplicaQueue& state);
-  void look();
-  void armLook();
+  bool senderHasLeft(const QueuedRequest& waiting) const;
+  void withdrawRequestsOfLeftNodes(ReplicaQueue& state);
+  void sendDueUpdates(ReplicaQueue& state);
+  void checkQueues();
+  void scheduleCheck();
 
   PlacementHomeOptions options_;
   PlacementHomeEnvironment environment_;
-  Reply reply_;
+  SendReply sendReply_;
   ReplicaHomes homes_;
   std::unordered_map<base::EngineId, ReplicaQueue> replicas_;
   PlacementHomeCounters counters_;
-  base::TimerId lookTimer_ = 0;
-  bool lookArmed_ = false;
+  base::TimerId checkTimer_ = 0;
+  bool checkScheduled_ = false;
 };
 
 }  // namespace covewing::routing
--- a/src/routing/placement_home_rate_limit.cc
+++ b/src/routing/placement_home_rate_limit.cc
@@ -9,23 +9,24 @@
          environment_.members.self().id;
 }
 
-double PlacementHome::partOfRate() const {
+double PlacementHome::rateShare() const {
   const auto live = environment_.members.liveMembers().size();
   const auto lost = environment_.members.lostMembers();
   if (live > lost) return 1;
   return static_cast<double>(live) / static_cast<double>(live + lost);
 }
 
-void PlacementHome::followRateLimit(base::EngineId replica, ReplicaQueue& state) const {
+void PlacementHome::applyRateLimit(base::EngineId replica, ReplicaQueue& state) const {
   const auto record = environment_.replicas.find(replica);
   if (record == nullptr) return;
   auto rate = record->notices().rateLimit().perSecond();
-  if (rate) *rate *= partOfRate();
+  if (rate) *rate *= rateShare();
   state.ledger.setRate(rate, environment_.clock.now());
 }
 
-void PlacementHome::onLimitSaid(base::EngineId replica, const clients::RateLimitNotice& notice,
-                                const ReplicaQueue& state, std::uint64_t grant) {
+void PlacementHome::onRateLimitReported(base::EngineId replica,
+                                        const clients::RateLimitNotice& notice,
+                                        const ReplicaQueue& state, std::uint64_t grant) {
   const auto record = environment_.replicas.find(replica);
   if (record == nullptr) return;
   const auto now = environment_.clock.now();
@@ -34,12 +35,12 @@
   recordRateLimit(*record, environment_.log, {notice, sentAfter, now}, {kOtherNode, 0, {}});
 }
 
-void PlacementHome::learnRateLimit(const PlacementQuery& question) {
+void PlacementHome::adoptRateLimit(const PlacementQuery& query) {
   // Only a limit: that there is none, a home learns from answers of the replica.
-  if (!question.rateLimit.notice.limited()) return;
-  if (const auto record = environment_.replicas.find(question.replica))
+  if (!query.rateLimit.notice.limited()) return;
+  if (const auto record = environment_.replicas.find(query.replica))
     recordRateLimit(*record, environment_.log,
-                    evidenceOf(question.rateLimit, environment_.clock.now()), {kOtherNode, 0, {}});
+                    evidenceOf(query.rateLimit, environment_.clock.now()), {kOtherNode, 0, {}});
 }
 
 }  // namespace covewing::routing
--- a/src/routing/placement_messages.cc
+++ b/src/routing/placement_messages.cc
@@ -13,21 +13,21 @@
 /// Type numbers on the wire; never reused. 1, 2 and 5 were questions, answers and ends before
 /// requests could be queued.
 enum class MessageType : std::uint8_t {
-  kTaken = 3,
-  kBegun = 4,
-  kQuestion = 6,
-  kAnswer = 7,
+  kUngrantedDispatch = 3,
+  kStarted = 4,
+  kQuery = 6,
+  kReply = 7,
   kEnded = 8,
 };
 
-constexpr std::uint32_t kQuestionFields = 23;
-constexpr std::uint32_t kAnswerFields = 18;
-constexpr std::uint32_t kTakenFields = 9;
-constexpr std::uint32_t kBegunFields = 5;
+constexpr std::uint32_t kQueryFields = 23;
+constexpr std::uint32_t kReplyFields = 18;
+constexpr std::uint32_t kUngrantedDispatchFields = 9;
+constexpr std::uint32_t kStartedFields = 5;
 constexpr std::uint32_t kEndedFields = 11;
 constexpr std::uint32_t kPartFields = 2;
 /// Prompts have a few shared parts; more than this is no message of ours.
-constexpr std::uint32_t kMostParts = 64;
+constexpr std::uint32_t kMaximumParts = 64;
 
 base::Writer& begin(base::Writer& writer, std::uint32_t fields, MessageType type) {
   return writer.array(fields).unsignedInteger(static_cast<std::uint64_t>(type));
@@ -47,7 +47,7 @@
 
 /// Numbers of what is said of a rate limit; from kLimitOfZero on the limit follows, in thousandths
 /// of a request a second.
-constexpr std::uint64_t kNothingSaid = 0;
+constexpr std::uint64_t kNothingReported = 0;
 constexpr std::uint64_t kUnlimited = 1;
 constexpr std::uint64_t kLimitOfZero = 2;
 constexpr double kThousandths = 1000;
@@ -55,7 +55,7 @@
 void write(base::Writer& writer, const clients::RateLimitNotice& notice) {
   switch (notice.kind) {
     case clients::RateLimitNotice::Kind::kNothing:
-      writer.unsignedInteger(kNothingSaid);
+      writer.unsignedInteger(kNothingReported);
       return;
     case clients::RateLimitNotice::Kind::kUnlimited:
       writer.unsignedInteger(kUnlimited);
@@ -73,46 +73,47 @@
   writer.unsignedInteger(static_cast<std::uint64_t>(std::max<std::int64_t>(age, 0)));
 }
 
-void write(base::Writer& writer, const PlacementQuery& question) {
-  begin(writer, kQuestionFields, MessageType::kQuestion).unsignedInteger(question.id);
-  writer.unsignedInteger(question.replica.value).text(question.model);
-  writer.unsignedInteger(question.scope);
-  writer.array(static_cast<std::uint32_t>(question.parts.size()));
-  for (const auto& part : question.parts)
+void write(base::Writer& writer, const PlacementQuery& query) {
+  begin(writer, kQueryFields, MessageType::kQuery).unsignedInteger(query.id);
+  writer.unsignedInteger(query.replica.value).text(query.model);
+  writer.unsignedInteger(query.scope);
+  writer.array(static_cast<std::uint32_t>(query.parts.size()));
+  for (const auto& part : query.parts)
     writer.array(kPartFields).unsignedInteger(part.id).unsignedInteger(part.tokens);
-  writer.unsignedInteger(question.promptTokens);
-  write(writer, question.work);
-  writer.signedInteger(question.acceptableWait.count());
-  write(writer, question.terms);
-  writer.signedInteger(question.queueWithin.count());
-  write(writer, question.rateLimit);
+  writer.unsignedInteger(query.promptTokens);
+  write(writer, query.work);
+  writer.signedInteger(query.acceptableWait.count());
+  write(writer, query.terms);
+  writer.signedInteger(query.maximumQueueWait.count());
+  write(writer, query.rateLimit);
 }
 
-void write(base::Writer& writer, const PlacementReply& answer) {
-  begin(writer, kAnswerFields, MessageType::kAnswer).unsignedInteger(answer.id);
-  writer.unsignedInteger(answer.replica.value);
-  writer.unsignedInteger(static_cast<std::uint64_t>(answer.verdict)).boolean(answer.usable);
-  writer.signedInteger(answer.wait.count());
-  writer.unsignedInteger(answer.version).unsignedInteger(answer.matchedTokens);
-  writer.unsignedInteger(answer.queued).signedInteger(answer.within.count());
-  writer.signedInteger(answer.retryAfter.count());
-  writer.boolean(answer.keepsPauses).signedInteger(answer.pauseExcess.count());
-  writer.unsignedInteger(answer.speedPercent).boolean(answer.leaving);
-  write(writer, answer.rateLimit);
-  writer.boolean(answer.paced);
+void write(base::Writer& writer, const PlacementReply& reply) {
+  begin(writer, kReplyFields, MessageType::kReply).unsignedInteger(reply.id);
+  writer.unsignedInteger(reply.replica.value);
+  writer.unsignedInteger(static_cast<std::uint64_t>(reply.verdict)).boolean(reply.usable);
+  writer.signedInteger(reply.wait.count());
+  writer.unsignedInteger(reply.version).unsignedInteger(reply.matchedTokens);
+  writer.unsignedInteger(reply.queued).signedInteger(reply.nextUpdateWithin.count());
+  writer.signedInteger(reply.retryAfter.count());
+  writer.boolean(reply.meetsPauseBounds).signedInteger(reply.pauseExcess.count());
+  writer.unsignedInteger(reply.speedPercent).boolean(reply.leaving);
+  write(writer, reply.rateLimit);
+  writer.boolean(reply.paced);
 }
 
-void write(base::Writer& writer, const UngrantedDispatch& taken) {
-  begin(writer, kTakenFields, MessageType::kTaken).unsignedInteger(taken.id);
-  writer.unsignedInteger(taken.replica.value);
-  write(writer, taken.work);
-  writer.signedInteger(taken.longestPause.count()).boolean(taken.call);
+void write(base::Writer& writer, const UngrantedDispatch& dispatch) {
+  begin(writer, kUngrantedDispatchFields, MessageType::kUngrantedDispatch)
+      .unsignedInteger(dispatch.id);
+  writer.unsignedInteger(dispatch.replica.value);
+  write(writer, dispatch.work);
+  writer.signedInteger(dispatch.longestPause.count()).boolean(dispatch.controlCall);
 }
 
-void write(base::Writer& writer, const PlacementStarted& begun) {
-  begin(writer, kBegunFields, MessageType::kBegun).unsignedInteger(begun.id);
-  writer.unsignedInteger(begun.replica.value).boolean(begun.leaving);
-  write(writer, begun.rateLimit);
+void write(base::Writer& writer, const PlacementStarted& started) {
+  begin(writer, kStartedFields, MessageType::kStarted).unsignedInteger(started.id);
+  writer.unsignedInteger(started.replica.value).boolean(started.leaving);
+  write(writer, started.rateLimit);
 }
 
 void write(base::Writer& writer, const PlacementEnded& ended) {
@@ -131,19 +132,19 @@
 bool readFlag(base::Reader& reader) { return reader.more() && reader.boolean(); }
 
 clients::RateLimitNotice readNotice(base::Reader& reader) {
-  const auto said = reader.more() ? reader.unsignedInteger() : kNothingSaid;
-  if (said == kNothingSaid) return {};
-  if (said == kUnlimited) return clients::RateLimitNotice::unlimited();
-  return clients::RateLimitNotice::of(static_cast<double>(said - kLimitOfZero) / kThousandths);
+  const auto encoded = reader.more() ? reader.unsignedInteger() : kNothingReported;
+  if (encoded == kNothingReported) return {};
+  if (encoded == kUnlimited) return clients::RateLimitNotice::unlimited();
+  return clients::RateLimitNotice::of(static_cast<double>(encoded - kLimitOfZero) / kThousandths);
 }
 
 KnownRateLimit readKnownLimit(base::Reader& reader) {
   /// An hour; older knowledge counts as this old.
-  constexpr std::uint64_t kOldest = 3'600'000;
+  constexpr std::uint64_t kMaximumAge = 3'600'000;
   KnownRateLimit known;
   known.notice = readNotice(reader);
-  const auto age = reader.more() ? reader.unsignedInteger() : kOldest;
-  known.age = std::chrono::milliseconds(std::min(age, kOldest));
+  const auto age = reader.more() ? reader.unsignedInteger() : kMaximumAge;
+  known.age = std::chrono::milliseconds(std::min(age, kMaximumAge));
   return known;
 }
 
@@ -185,72 +186,72 @@
   return static_cast<Value>(number);
 }
 
-std::optional<PlacementMessage> readQuestion(base::Reader& reader) {
-  PlacementQuery question;
-  question.id = reader.unsignedInteger();
-  question.replica = readReplica(reader);
-  question.model = reader.text();
-  question.scope = reader.unsignedInteger();
+std::optional<PlacementMessage> readQuery(base::Reader& reader) {
+  PlacementQuery query;
+  query.id = reader.unsignedInteger();
+  query.replica = readReplica(reader);
+  query.model = reader.text();
+  query.scope = reader.unsignedInteger();
   const auto count = reader.beginArray();
-  if (count > kMostParts) return std::nullopt;
+  if (count > kMaximumParts) return std::nullopt;
   for (std::uint32_t index = 0; index < count && reader.ok(); ++index) {
     reader.beginArray();
     prefix::PromptPart part;
     part.id = reader.unsignedInteger();
     part.tokens = readCount(reader);
-    question.parts.push_back(part);
+    query.parts.push_back(part);
     reader.endArray();
   }
   reader.endArray();
-  question.promptTokens = readCount(reader);
-  question.work = readWork(reader);
-  question.acceptableWait = base::Duration{reader.signedInteger()};
-  question.terms = readTerms(reader);
-  question.queueWithin = base::Duration{reader.signedInteger()};
-  question.rateLimit = readKnownLimit(reader);
-  return question;
+  query.promptTokens = readCount(reader);
+  query.work = readWork(reader);
+  query.acceptableWait = base::Duration{reader.signedInteger()};
+  query.terms = readTerms(reader);
+  query.maximumQueueWait = base::Duration{reader.signedInteger()};
+  query.rateLimit = readKnownLimit(reader);
+  return query;
 }
 
-std::optional<PlacementMessage> readAnswer(base::Reader& reader) {
-  PlacementReply answer;
-  answer.id = reader.unsignedInteger();
-  answer.replica = readReplica(reader);
+std::optional<PlacementMessage> readReply(base::Reader& reader) {
+  PlacementReply reply;
+  reply.id = reader.unsignedInteger();
+  reply.replica = readReplica(reader);
   const auto verdict = readEnumeration(reader, PlacementVerdict::kRefused);
   if (!verdict) return std::nullopt;
-  answer.verdict = *verdict;
-  answer.usable = reader.boolean();
-  answer.wait = base::Duration{reader.signedInteger()};
-  answer.version = reader.unsignedInteger();
-  answer.matchedTokens = readCount(reader);
-  answer.queued = readCount(reader);
-  answer.within = base::Duration{reader.signedInteger()};
-  answer.retryAfter = base::Duration{reader.signedInteger()};
-  answer.keepsPauses = reader.boolean();
-  answer.pauseExcess = base::Duration{reader.signedInteger()};
-  answer.speedPercent = readCount(reader);
-  answer.leaving = readFlag(reader);
-  answer.rateLimit = readKnownLimit(reader);
-  answer.paced = readFlag(reader);
-  return answer;
+  reply.verdict = *verdict;
+  reply.usable = reader.boolean();
+  reply.wait = base::Duration{reader.signedInteger()};
+  reply.version = reader.unsignedInteger();
+  reply.matchedTokens = readCount(reader);
+  reply.queued = readCount(reader);
+  reply.nextUpdateWithin = base::Duration{reader.signedInteger()};
+  reply.retryAfter = base::Duration{reader.signedInteger()};
+  reply.meetsPauseBounds = reader.boolean();
+  reply.pauseExcess = base::Duration{reader.signedInteger()};
+  reply.speedPercent = readCount(reader);
+  reply.leaving = readFlag(reader);
+  reply.rateLimit = readKnownLimit(reader);
+  reply.paced = readFlag(reader);
+  return reply;
 }
 
-std::optional<PlacementMessage> readTaken(base::Reader& reader) {
-  UngrantedDispatch taken;
-  taken.id = reader.unsignedInteger();
-  taken.replica = readReplica(reader);
-  taken.work = readWork(reader);
-  taken.longestPause = base::Duration{reader.signedInteger()};
-  taken.call = readFlag(reader);
-  return taken;
+std::optional<PlacementMessage> readUngrantedDispatch(base::Reader& reader) {
+  UngrantedDispatch dispatch;
+  dispatch.id = reader.unsignedInteger();
+  dispatch.replica = readReplica(reader);
+  dispatch.work = readWork(reader);
+  dispatch.longestPause = base::Duration{reader.signedInteger()};
+  dispatch.controlCall = readFlag(reader);
+  return dispatch;
 }
 
-std::optional<PlacementMessage> readBegun(base::Reader& reader) {
-  PlacementStarted begun;
-  begun.id = reader.unsignedInteger();
-  begun.replica = readReplica(reader);
-  begun.leaving = readFlag(reader);
-  begun.rateLimit = readNotice(reader);
-  return begun;
+std::optional<PlacementMessage> readStarted(base::Reader& reader) {
+  PlacementStarted started;
+  started.id = reader.unsignedInteger();
+  started.replica = readReplica(reader);
+  started.leaving = readFlag(reader);
+  started.rateLimit = readNotice(reader);
+  return started;
 }
 
 std::optional<PlacementMessage> readEnded(base::Reader& reader) {
@@ -272,14 +273,14 @@
 
 std::optional<PlacementMessage> readMessage(base::Reader& reader) {
   switch (static_cast<MessageType>(reader.unsignedInteger())) {
-    case MessageType::kQuestion:
-      return readQuestion(reader);
-    case MessageType::kAnswer:
-      return readAnswer(reader);
-    case MessageType::kTaken:
-      return readTaken(reader);
-    case MessageType::kBegun:
-      return readBegun(reader);
+    case MessageType::kQuery:
+      return readQuery(reader);
+    case MessageType::kReply:
+      return readReply(reader);
+    case MessageType::kUngrantedDispatch:
+      return readUngrantedDispatch(reader);
+    case MessageType::kStarted:
+      return readStarted(reader);
     case MessageType::kEnded:
       return readEnded(reader);
   }
--- a/src/routing/placement_messages.h
+++ b/src/routing/placement_messages.h
@@ -84,7 +84,7 @@
   base::Duration acceptableWait{};
   PlacementTerms terms;
   /// Where it may queue, it does only if the expected wait is at most this: another home told more.
-  base::Duration queueWithin = base::Duration::max();
+  base::Duration maximumQueueWait = base::Duration::max();
   /// What the asker knows of the replica's rate limit.
   KnownRateLimit rateLimit{};
 };
@@ -119,11 +119,11 @@
   /// waits too.
   std::uint32_t queued = 0;
   /// Of a queued request: another answer follows within this.
-  base::Duration within{};
+  base::Duration nextUpdateWithin{};
   /// Of a refused request: when one like it would be served.
   base::Duration retryAfter{};
   /// False where the stream, or one that runs there, would pause for longer than its route allows.
-  bool keepsPauses = true;
+  bool meetsPauseBounds = true;
   /// By how much these streams' longest pauses are expected to exceed what is allowed, summed.
   base::Duration pauseExcess{};
   /// Speed of the replica (ReplicaSpeedModel::speed) in hundredths; 0: not known.
@@ -146,7 +146,7 @@
   /// As in its terms.
   base::Duration longestPause{};
   /// It is no request: it counts within the replica's rate limit, and takes no room.
-  bool call = false;
+  bool controlCall = false;
 };
 
 struct PlacementStarted {
--- a/src/routing/prefill_speed.cc
+++ b/src/routing/prefill_speed.cc
@@ -5,13 +5,14 @@
 namespace covewing::routing {
 
 void PrefillSpeed::learn(std::uint32_t tokens, base::Duration took) {
-  constexpr std::uint32_t kLeastTokens = 500;
+  constexpr std::uint32_t kMinimumTokens = 500;
   constexpr double kSmoothing = 0.2;
-  constexpr double kRising = 0.01;
-  if (tokens < kLeastTokens) return;
+  constexpr double kUpwardSmoothing = 0.01;
+  if (tokens < kMinimumTokens) return;
   const double perToken = static_cast<double>(took.count()) / tokens;
   perToken_ += kSmoothing * (perToken - perToken_);
-  leastPerToken_ = std::min(perToken, leastPerToken_ + kRising * (perToken - leastPerToken_));
+  minimumPerToken_ =
+      std::min(perToken, minimumPerToken_ + kUpwardSmoothing * (perToken - minimumPerToken_));
 }
 
 }  // namespace covewing::routing
--- a/src/routing/prefill_speed.h
+++ b/src/routing/prefill_speed.h
@@ -17,7 +17,9 @@
   /// Expected time for so many tokens, usual queues included.
   base::Duration time(std::uint64_t tokens) const { return scaled(perToken_, tokens); }
   /// The same when nothing else waits: from the quickest answers.
-  base::Duration leastTime(std::uint64_t tokens) const { return scaled(leastPerToken_, tokens); }
+  base::Duration minimumTime(std::uint64_t tokens) const {
+    return scaled(minimumPerToken_, tokens);
+  }
 
  private:
   static base::Duration scaled(double perToken, std::uint64_t tokens) {
@@ -27,7 +29,7 @@
   /// Microseconds a token. The first value is slower than replicas are.
   double perToken_ = 60;
   /// Follows shorter times at once and longer ones slowly.
-  double leastPerToken_ = 60;
+  double minimumPerToken_ = 60;
 };
 
 }  // namespace covewing::routing
--- a/src/routing/prefix_demand.h
+++ b/src/routing/prefix_demand.h
@@ -12,9 +12,9 @@
 
 struct PrefixDemandOptions {
   /// Time constant of the measured rate.
-  base::Duration averaging = std::chrono::seconds(2);
+  base::Duration timeConstant = std::chrono::seconds(2);
   /// Shortest time between two steps of narrowing.
-  base::Duration narrowInterval = std::chrono::seconds(2);
+  base::Duration shrinkInterval = std::chrono::seconds(2);
   /// Roots remembered; the coldest are forgotten.
   std::size_t maximumRoots = 4096;
 };
@@ -38,11 +38,11 @@
     double tokens = 0;
     base::TimePoint at{};
     std::size_t holderCount = 0;
-    base::TimePoint narrowedAt{};
+    base::TimePoint shrunkAt{};
   };
 
   double decayed(const Entry& entry, base::TimePoint now) const;
-  void forgetColdest(base::TimePoint now);
+  void evictLowestDemand(base::TimePoint now);
 
   PrefixDemandOptions options_;
   std::map<RootKey, Entry> entries_;
--- a/src/routing/rate_pacer.cc
+++ b/src/routing/rate_pacer.cc
@@ -7,8 +7,8 @@
 base::Duration RatePacer::intervalOf(std::optional<double> perSecond) {
   constexpr double kMicrosecondsPerSecond = 1'000'000;
   if (!perSecond) return {};
-  return base::Duration{
-      static_cast<base::Duration::rep>(kMicrosecondsPerSecond / std::max(*perSecond, kLeastRate))};
+  return base::Duration{static_cast<base::Duration::rep>(kMicrosecondsPerSecond /
+                                                         std::max(*perSecond, kMinimumRate))};
 }
 
 void RatePacer::setRate(std::optional<double> perSecond, base::TimePoint now) {
--- a/src/routing/rate_pacer.h
+++ b/src/routing/rate_pacer.h
@@ -23,7 +23,7 @@
   static constexpr base::Duration kCredit = std::chrono::milliseconds(250);
   /// Lower rates, zero too, are paced as this one (requests a second): one request now and then
   /// asks whether the limit still holds.
-  static constexpr double kLeastRate = 0.1;
+  static constexpr double kMinimumRate = 0.1;
 
   /// The rate from now on, in requests a second; empty: without limit. What passed before counts.
   void setRate(std::optional<double> perSecond, base::TimePoint now);
--- a/src/routing/replica_crash_detector.cc
+++ b/src/routing/replica_crash_detector.cc
@@ -6,11 +6,11 @@
 
 namespace {
 
-std::string textOf(const std::vector<base::RequestFingerprint>& runs) {
+std::string textOf(const std::vector<base::RequestFingerprint>& requests) {
   std::string text;
-  for (const auto run : runs) {
+  for (const auto request : requests) {
     if (!text.empty()) text += ' ';
-    text += base::toString(run);
+    text += base::toString(request);
   }
   return text;
 }
@@ -18,73 +18,73 @@
 }  // namespace
 
 ReplicaCrashDetector::~ReplicaCrashDetector() {
-  for (const auto& [instance, doubt] : doubts_) environment_.timers.cancel(doubt.timer);
+  for (const auto& [instance, suspicion] : suspicions_) environment_.timers.cancel(suspicion.timer);
 }
 
 void ReplicaCrashDetector::onRequestInterrupted(const ReplicaRecordPtr& replica,
-                                                base::RequestFingerprint run) {
-  forgetOld();
+                                                base::RequestFingerprint request) {
+  dropExpired();
   const auto& instance = replica->facts().instance;
   if (endedAt_.contains(instance)) {
-    report({instance, {run}}, "it had ended before");
+    report({instance, {request}}, "it had ended before");
     return;
   }
-  auto& doubt = doubts_[instance];
-  if (doubt.outlivedAt) doubt = {};
-  const bool fresh = doubt.runs.empty();
-  doubt.runs.push_back(run);
-  if (!fresh) return;
-  doubt.replica = replica;
-  doubt.since = environment_.clock.now();
+  auto& suspicion = suspicions_[instance];
+  if (suspicion.outlivedAt) suspicion = {};
+  const bool isFirst = suspicion.requests.empty();
+  suspicion.requests.push_back(request);
+  if (!isFirst) return;
+  suspicion.replica = replica;
+  suspicion.since = environment_.clock.now();
   scheduleProbe(instance, options_.firstProbe);
 }
 
 void ReplicaCrashDetector::onRemoved(const std::string& instance) {
-  if (forgetPlannedEnd(instance)) return;
-  const auto found = doubts_.find(instance);
-  if (found == doubts_.end()) return;
+  if (dropPlannedEnd(instance)) return;
+  const auto found = suspicions_.find(instance);
+  if (found == suspicions_.end()) return;
   if (found->second.outlivedAt) {
-    doubts_.erase(found);
+    suspicions_.erase(found);
     return;
   }
   conclude(instance, "its entry is gone");
 }
 
 void ReplicaCrashDetector::onRestarted(const std::string& instance) {
-  if (forgetPlannedEnd(instance)) return;
+  if (dropPlannedEnd(instance)) return;
   const auto now = environment_.clock.now();
   // Runs whose connections break later were lost with it, though the address accepts new ones.
   endedAt_[instance] = now;
-  const auto found = doubts_.find(instance);
-  if (found == doubts_.end()) return;
+  const auto found = suspicions_.find(instance);
+  if (found == suspicions_.end()) return;
   const auto& outlivedAt = found->second.outlivedAt;
   if (outlivedAt && now - *outlivedAt > options_.restartShownWithin) {
-    doubts_.erase(found);
+    suspicions_.erase(found);
     return;
   }
   conclude(instance, "its entry names another run");
 }
 
-bool ReplicaCrashDetector::forgetPlannedEnd(const std::string& instance) {
-  const auto found = doubts_.find(instance);
-  if (found == doubts_.end()) return false;
+bool ReplicaCrashDetector::dropPlannedEnd(const std::string& instance) {
+  const auto found = suspicions_.find(instance);
+  if (found == suspicions_.end()) return false;
   if (!found->second.replica->leaving()) return false;
   environment_.timers.cancel(found->second.timer);
-  doubts_.erase(found);
+  suspicions_.erase(found);
   return true;
 }
 
 void ReplicaCrashDetector::scheduleProbe(const std::string& instance, base::Duration delay) {
-  doubts_.at(instance).timer =
+  suspicions_.at(instance).timer =
       environment_.timers.schedule(delay, [this, instance] { probe(instance); });
 }
 
 void ReplicaCrashDetector::probe(const std::string& instance) {
-  auto& doubt = doubts_.at(instance);
-  doubt.timer = 0;
-  ++doubt.probes;
+  auto& suspicion = suspicions_.at(instance);
+  suspicion.timer = 0;
+  ++suspicion.probes;
   environment_.reachability.connect(
-      doubt.replica->facts().endpoint, options_.connectTimeout,
+      suspicion.replica->facts().endpoint, options_.connectTimeout,
       [this, instance, alive = std::weak_ptr(lifetime_)](clients::Reachability reachability) {
         if (!alive.expired()) onProbed(instance, reachability);
       });
@@ -92,31 +92,31 @@
 
 void ReplicaCrashDetector::onProbed(const std::string& instance,
                                     clients::Reachability reachability) {
-  const auto found = doubts_.find(instance);
-  if (found == doubts_.end() || found->second.outlivedAt) return;
-  auto& doubt = found->second;
+  const auto found = suspicions_.find(instance);
+  if (found == suspicions_.end() || found->second.outlivedAt) return;
+  auto& suspicion = found->second;
   if (reachability == clients::Reachability::kAccepts) {
     environment_.log.write(base::Event::kReplicaOutlivedRuns,
-                           {{"replica", instance}, {"runs", textOf(doubt.runs)}});
-    doubt.outlivedAt = environment_.clock.now();
+                           {{"replica", instance}, {"runs", textOf(suspicion.requests)}});
+    suspicion.outlivedAt = environment_.clock.now();
     return;
   }
   // What this node still has under way there shows that the process lives.
   const bool refused =
-      reachability == clients::Reachability::kRefuses && doubt.replica->inFlight() == 0;
-  doubt.refusals = refused ? doubt.refusals + 1 : 0;
-  if (doubt.refusals >= options_.refusals) {
+      reachability == clients::Reachability::kRefuses && suspicion.replica->inFlight() == 0;
+  suspicion.refusals = refused ? suspicion.refusals + 1 : 0;
+  if (suspicion.refusals >= options_.refusals) {
     conclude(instance, "it refuses connections");
-  } else if (doubt.probes < options_.mostProbes) {
+  } else if (suspicion.probes < options_.maximumProbes) {
     scheduleProbe(instance, options_.probeInterval);
   }
 }
 
 void ReplicaCrashDetector::conclude(const std::string& instance, std::string_view why) {
-  const auto node = doubts_.extract(instance);
+  const auto node = suspicions_.extract(instance);
   environment_.timers.cancel(node.mapped().timer);
   endedAt_[instance] = environment_.clock.now();
-  report({instance, node.mapped().runs}, why);
+  report({instance, node.mapped().requests}, why);
 }
 
 void ReplicaCrashDetector::report(const LostRequests& ended, std::string_view why) {
@@ -126,12 +126,12 @@
   if (listener_) listener_(ended);
 }
 
-void ReplicaCrashDetector::forgetOld() {
+void ReplicaCrashDetector::dropExpired() {
   const auto now = environment_.clock.now();
   std::erase_if(endedAt_,
-                [&](const auto& entry) { return now - entry.second > options_.endRemembered; });
-  std::erase_if(doubts_, [&](const auto& entry) {
-    return entry.second.timer == 0 && now - entry.second.since > options_.undecidedFor;
+                [&](const auto& entry) { return now - entry.second > options_.endRetention; });
+  std::erase_if(suspicions_, [&](const auto& entry) {
+    return entry.second.timer == 0 && now - entry.second.since > options_.maximumUndecidedTime;
   });
 }
 
--- a/src/routing/replica_crash_detector.h
+++ b/src/routing/replica_crash_detector.h
@@ -32,14 +32,14 @@
   base::Duration connectTimeout = std::chrono::milliseconds(300);
   /// A replica that has too many connections may refuse one.
   std::uint32_t refusals = 2;
-  std::uint32_t mostProbes = 6;
+  std::uint32_t maximumProbes = 6;
   /// Longest wait for the entry of a silent replica to go.
-  base::Duration undecidedFor = std::chrono::seconds(15);
+  base::Duration maximumUndecidedTime = std::chrono::seconds(15);
   /// Longest time from the connection that a restarted replica accepted until its entry shows the
   /// restart: entries are written about once a second.
   base::Duration restartShownWithin = std::chrono::seconds(3);
   /// Runs that break off later are reported at once for so long after the end.
-  base::Duration endRemembered = std::chrono::seconds(30);
+  base::Duration endRetention = std::chrono::seconds(30);
 };
 
 /// Runs that ended because their replica did.
@@ -69,7 +69,7 @@
 
   void setListener(Listener listener) { listener_ = std::move(listener); }
   /// A run that may have begun broke off at the replica.
-  void onRequestInterrupted(const ReplicaRecordPtr& replica, base::RequestFingerprint run);
+  void onRequestInterrupted(const ReplicaRecordPtr& replica, base::RequestFingerprint request);
   /// The run is listed: it lives, whatever was taken for its end.
   void onListed(const std::string& instance) { endedAt_.erase(instance); }
   /// The replica's entry is gone.
@@ -78,9 +78,9 @@
   void onRestarted(const std::string& instance);
 
  private:
-  struct Doubt {
+  struct Suspicion {
     ReplicaRecordPtr replica;
-    std::vector<base::RequestFingerprint> runs;
+    std::vector<base::RequestFingerprint> requests;
     base::TimePoint since{};
     std::uint32_t probes = 0;
     std::uint32_t refusals = 0;
@@ -91,19 +91,19 @@
 
   /// Drops the doubt of a replica that had said that it would leave, which ends as planned; false
   /// where there is none.
-  bool forgetPlannedEnd(const std::string& instance);
+  bool dropPlannedEnd(const std::string& instance);
   void scheduleProbe(const std::string& instance, base::Duration delay);
   void probe(const std::string& instance);
   void onProbed(const std::string& instance, clients::Reachability reachability);
   void conclude(const std::string& instance, std::string_view why);
   void report(const LostRequests& ended, std::string_view why);
-  void forgetOld();
+  void dropExpired();
 
   ReplicaCrashDetectorOptions options_;
   ReplicaCrashDetectorEnvironment environment_;
   Listener listener_;
   /// By instance.
-  std::map<std::string, Doubt> doubts_;
+  std::map<std::string, Suspicion> suspicions_;
   std::map<std::string, base::TimePoint> endedAt_;
   /// Outlived by callbacks that must no longer reach this object.
   std::shared_ptr<bool> lifetime_ = std::make_shared<bool>(true);
--- a/src/routing/replica_directory.cc
+++ b/src/routing/replica_directory.cc
@@ -20,12 +20,12 @@
   for (const ReplicaModel& model : facts_.models) {
     const auto* listed = before.findModel(model.name);
     // The list may lag behind answers, but tells the states of a run in their order.
-    if (listed != nullptr && model.version < listed->version) forgetVersion(model.name);
+    if (listed != nullptr && model.version < listed->version) removeVersion(model.name);
     recordVersion(model.name, model.version);
   }
 }
 
-void ReplicaRecord::forgetVersion(const std::string& model) { versions_.erase(model); }
+void ReplicaRecord::removeVersion(const std::string& model) { versions_.erase(model); }
 
 base::WeightsVersion ReplicaRecord::versionOf(std::string_view model) const {
   const auto found = versions_.find(model);
@@ -41,12 +41,12 @@
 }
 
 void ReplicaRecord::recordWait(base::Duration took) {
-  constexpr int kForgetting = 8;
-  recentWait_ = std::max(took, recentWait_ - (recentWait_ - took) / kForgetting);
+  constexpr int kDecay = 8;
+  recentWait_ = std::max(took, recentWait_ - (recentWait_ - took) / kDecay);
 }
 
 base::Duration ReplicaRecord::expectedWait(base::TimePoint now) const {
-  return std::max(recentWait_, health_.longestWait(now));
+  return std::max(recentWait_, health_.currentWait(now));
 }
 
 std::string_view ReplicaRecord::stateName(base::TimePoint now) const {
@@ -77,7 +77,7 @@
                      const NoticeSource& source) {
   auto& limit = replica.notices().rateLimit();
   const auto before = limit.perSecond();
-  const bool unreadable = evidence.notice.unreadable && limit.noteUnreadable();
+  const bool unreadable = evidence.notice.unreadable && limit.recordUnreadable();
   if (!limit.update(evidence) && !unreadable) return;
   replica.health().setInterval(RatePacer::intervalOf(limit.perSecond()));
   log.write(base::Event::kReplicaLimited,
@@ -130,7 +130,7 @@
   if (known == byInstance_.end()) return;
   removeFromService(*known->second);
   keptNotices_.push_back({instance, known->second->notices_});
-  if (keptNotices_.size() > kMostKeptNotices) keptNotices_.pop_front();
+  if (keptNotices_.size() > kMaximumKeptNotices) keptNotices_.pop_front();
   byId_.erase(base::engineIdOf(instance));
   byInstance_.erase(known);
 }
--- a/src/routing/replica_directory.h
+++ b/src/routing/replica_directory.h
@@ -91,17 +91,17 @@
   std::uint32_t inFlight() const { return inFlight_; }
   std::uint64_t tokensInFlight() const { return tokensInFlight_; }
   /// All work that this node has under way there.
-  ReplicaLoad ownLoad() const { return {inFlight_, tokensInFlight_, unreadTokens_}; }
+  ReplicaLoad ownLoad() const { return {inFlight_, tokensInFlight_, pendingPrefillTokens_}; }
   void onDispatched(std::uint32_t tokens);
   /// A prompt waits of which the replica must read so many tokens; its answer began, or will not.
-  void addPendingPrefill(std::uint32_t unread) { unreadTokens_ += unread; }
-  void removePendingPrefill(std::uint32_t unread) { unreadTokens_ -= unread; }
+  void addPendingPrefill(std::uint32_t prefillTokens) { pendingPrefillTokens_ += prefillTokens; }
+  void removePendingPrefill(std::uint32_t prefillTokens) { pendingPrefillTokens_ -= prefillTokens; }
   void onFinished(std::uint32_t tokens);
 
  private:
   friend class ReplicaDirectory;
   void update(Replica facts);
-  void forgetVersion(const std::string& model);
+  void removeVersion(const std::string& model);
 
   Replica facts_;
   ReplicaHealth health_;
@@ -118,7 +118,7 @@
   base::Duration recentWait_{};
   std::uint32_t inFlight_ = 0;
   std::uint64_t tokensInFlight_ = 0;
-  std::uint64_t unreadTokens_ = 0;
+  std::uint64_t pendingPrefillTokens_ = 0;
 };
 
 using ReplicaRecordPtr = std::shared_ptr<ReplicaRecord>;
@@ -178,7 +178,7 @@
   };
   /// More than the replicas of the largest fleet, which may all lose their entries in one outage of
   /// the table service.
-  static constexpr std::size_t kMostKeptNotices = 1024;
+  static constexpr std::size_t kMaximumKeptNotices = 1024;
 
   void addToService(ReplicaRecordPtr record);
   /// Gives the run's notices back to its new record.
--- a/src/routing/replica_health.cc
+++ b/src/routing/replica_health.cc
@@ -5,7 +5,7 @@
 namespace covewing::routing {
 
 void ReplicaHealth::onDispatched(base::TimePoint now, base::Duration work) {
-  if (waiting_ == 0) quietSince_ = now;
+  if (waiting_ == 0) inactiveSince_ = now;
   ++waiting_;
   waitingWork_ += work;
 }
@@ -13,14 +13,14 @@
 void ReplicaHealth::onWaitEnded(base::TimePoint now, base::Duration work) {
   if (waiting_ > 0) --waiting_;
   waitingWork_ -= work;
-  if (waiting_ == 0) quietSince_ = now;
+  if (waiting_ == 0) inactiveSince_ = now;
 }
 
-void ReplicaHealth::onBytesReceived(base::TimePoint now) { quietSince_ = now; }
+void ReplicaHealth::onBytesReceived(base::TimePoint now) { inactiveSince_ = now; }
 
 void ReplicaHealth::onSuccess(base::TimePoint now) {
-  quietSince_ = now;
-  failuresInRow_ = 0;
+  inactiveSince_ = now;
+  consecutiveFailures_ = 0;
   failureRate_ *= 1.0 - options_.smoothing;
   ++outcomes_;
   onProbation_ = false;
@@ -28,29 +28,29 @@
 }
 
 void ReplicaHealth::onFailure(base::TimePoint now, double serviceRate) {
-  ++failuresInRow_;
+  ++consecutiveFailures_;
   ++outcomes_;
   failureRate_ += options_.smoothing * (1.0 - failureRate_);
-  const bool inRow =
-      failuresInRow_ >= options_.consecutiveFailures && serviceRate < 1.0 - options_.excessRate;
+  const bool inRow = consecutiveFailures_ >= options_.consecutiveFailures &&
+                     serviceRate < 1.0 - options_.excessRate;
   const bool outlier =
       outcomes_ >= options_.minimumOutcomes && failureRate_ > serviceRate + options_.excessRate;
   if (onProbation_ || inRow || outlier) eject(now);
 }
 
 void ReplicaHealth::onUnreachable(base::TimePoint now) {
-  ++failuresInRow_;
+  ++consecutiveFailures_;
   eject(now);
 }
 
-bool ReplicaHealth::silent(base::TimePoint now) const {
-  return waiting_ > 0 && now - quietSince_ > options_.silence +
-                                                 options_.intervalsOfSilence * interval_ +
-                                                 waitingWork_;
+bool ReplicaHealth::unresponsive(base::TimePoint now) const {
+  return waiting_ > 0 && now - inactiveSince_ > options_.unresponsiveAfter +
+                                                    options_.graceIntervals * interval_ +
+                                                    waitingWork_;
 }
 
 bool ReplicaHealth::available(base::TimePoint now) const {
-  if (ejected(now) || silent(now)) return false;
+  if (ejected(now) || unresponsive(now)) return false;
   return !onProbation_ || waiting_ == 0;
 }
 
@@ -59,7 +59,7 @@
   if (ejected(now)) return;
   nextEjection_ = nextEjection_.count() == 0
                       ? options_.firstEjection
-                      : std::min(2 * nextEjection_, options_.longestEjection);
+                      : std::min(2 * nextEjection_, options_.maximumEjection);
   ejectedUntil_ = now + nextEjection_;
   onProbation_ = true;
 }
--- a/src/routing/replica_health.h
+++ b/src/routing/replica_health.h
@@ -15,7 +15,7 @@
 
 struct ReplicaHealthOptions {
   base::Duration firstEjection = std::chrono::milliseconds(400);
-  base::Duration longestEjection = std::chrono::seconds(4);
+  base::Duration maximumEjection = std::chrono::seconds(4);
   /// Failures in a row that eject.
   std::uint32_t consecutiveFailures = 3;
   /// Weight of the newest outcome in the failure rate.
@@ -25,9 +25,9 @@
   /// Outcomes before the failure rate counts.
   std::uint32_t minimumOutcomes = 6;
   /// Silence, beyond the work of the requests that wait, after which nothing more is sent.
-  base::Duration silence = std::chrono::milliseconds(700);
+  base::Duration unresponsiveAfter = std::chrono::milliseconds(700);
   /// Intervals of a rate limit that are added to it.
-  std::int64_t intervalsOfSilence = 2;
+  std::int64_t graceIntervals = 2;
 };
 
 class ReplicaHealth {
@@ -56,11 +56,11 @@
   /// May be chosen now: neither ejected nor silent; on probation with nothing else under way.
   bool available(base::TimePoint now) const;
   bool ejected(base::TimePoint now) const { return now < ejectedUntil_; }
-  bool silent(base::TimePoint now) const;
+  bool unresponsive(base::TimePoint now) const;
   double failureRate() const { return failureRate_; }
   /// How long the replica has been quiet while requests wait for their answers to begin.
-  base::Duration longestWait(base::TimePoint now) const {
-    return waiting_ > 0 ? now - quietSince_ : base::Duration::zero();
+  base::Duration currentWait(base::TimePoint now) const {
+    return waiting_ > 0 ? now - inactiveSince_ : base::Duration::zero();
   }
   std::uint32_t waiting() const { return waiting_; }
 
@@ -73,8 +73,8 @@
   base::Duration waitingWork_{};
   base::Duration interval_{};
   /// When something was last heard, or the first of the waiting requests was sent.
-  base::TimePoint quietSince_{};
-  std::uint32_t failuresInRow_ = 0;
+  base::TimePoint inactiveSince_{};
+  std::uint32_t consecutiveFailures_ = 0;
   std::uint32_t outcomes_ = 0;
   double failureRate_ = 0;
   base::Duration nextEjection_{};
--- a/src/routing/replica_homes.cc
+++ b/src/routing/replica_homes.cc
@@ -22,22 +22,22 @@
 
 const membership::Member& ReplicaHomes::homeOf(base::EngineId replica,
                                                std::string_view zone) const {
-  const bool nearOnly = hasMembers(zone);
+  const bool zoneOnly = hasMembers(zone);
   return membership::rendezvousHome(replica.value, members_, [&](const membership::Member& member) {
-    return !nearOnly || member.zone == zone;
+    return !zoneOnly || member.zone == zone;
   });
 }
 
 bool ReplicaHomes::isAmongFirst(base::EngineId replica, std::string_view zone,
                                 std::size_t count) const {
   const auto& self = members_.self();
-  const bool nearOnly = hasMembers(zone);
-  if (self.draining || (nearOnly && self.zone != zone)) return false;
+  const bool zoneOnly = hasMembers(zone);
+  if (self.draining || (zoneOnly && self.zone != zone)) return false;
   const auto own = scoreOf(replica, self);
   const auto ahead =
       std::ranges::count_if(members_.liveMembers(), [&](const membership::Member& member) {
-        const bool takesPart = !member.draining && (!nearOnly || member.zone == zone);
-        return takesPart && scoreOf(replica, member) > own;
+        const bool participates = !member.draining && (!zoneOnly || member.zone == zone);
+        return participates && scoreOf(replica, member) > own;
       });
   return static_cast<std::size_t>(ahead) < count;
 }
--- a/src/routing/replica_ledger.h
+++ b/src/routing/replica_ledger.h
@@ -25,13 +25,13 @@
 struct ReplicaLedgerOptions {
   /// A grant whose answer has not begun after this, beyond the time that reading it takes, lapses:
   /// nodes give silent attempts up within about a second.
-  base::Duration longestWait = std::chrono::milliseconds(2500);
+  base::Duration maximumWait = std::chrono::milliseconds(2500);
   /// Longest time that a grant counts; requests run for up to some ten seconds.
-  base::Duration longestRun = std::chrono::seconds(15);
+  base::Duration maximumLifetime = std::chrono::seconds(15);
   /// How long a replica that refused for lack of room counts as full.
-  base::Duration fullFor = std::chrono::milliseconds(100);
+  base::Duration atCapacityFor = std::chrono::milliseconds(100);
   /// Time that a request runs until some have ended.
-  base::Duration firstRunTime = std::chrono::milliseconds(200);
+  base::Duration initialRunTime = std::chrono::milliseconds(200);
 };
 
 /// The shared parts of a granted prompt, and the scope under which the replica keeps them.
@@ -75,7 +75,7 @@
   base::Duration expectedWait(const PlacementDemand& work, base::TimePoint now);
   /// Whether the replica, its rate limit and its memory take the request: a few more requests than
   /// run at once may wait there, the others are better held where they can still go elsewhere.
-  bool hasRoom(const PlacementDemand& work, base::TimePoint now);
+  bool hasCapacity(const PlacementDemand& work, base::TimePoint now);
   /// By how much the longest pauses of the request's stream and of those that run are expected to
   /// exceed what their routes allow when it is added, summed; zero while the pace is unknown.
   base::Duration pauseExcess(const PlacementDemand& work, const PlacementTerms& terms,
@@ -86,41 +86,41 @@
   bool available(base::TimePoint now);
   bool idle() const { return grants_.empty(); }
   /// How long a request runs here on average.
-  base::Duration runTime() const { return runTime_; }
+  base::Duration meanRunTime() const { return meanRunTime_; }
 
  private:
   struct Grant {
     PlacementDemand work;
     GrantedPrompt prompt;
-    base::TimePoint at{};
-    base::Duration reading{};
+    base::TimePoint givenAt{};
+    base::Duration prefillTime{};
     /// Zero: its stream may pause for any time.
     base::Duration longestPause{};
-    bool begun = false;
+    bool started = false;
     /// It is counted within the rate limit.
     bool paced = false;
     /// Beside its stream, since it began.
-    PaceLoad beside{};
+    StreamLoad concurrent{};
   };
   using Grants = std::unordered_map<std::uint64_t, Grant>;
 
-  void dropLapsed(base::TimePoint now);
-  void noteBegun(Grant& grant, base::TimePoint now);
+  void dropExpired(base::TimePoint now);
+  void markStarted(Grant& grant, base::TimePoint now);
   /// The work beside running streams changed; `read` tokens of a prompt were read meanwhile.
-  void noteBeside(std::uint64_t read);
+  void recordConcurrentPrefill(std::uint64_t prefilled);
   /// Time until a place is free, by how many requests are too many.
-  base::Duration timeForPlace(const ReplicaLoad& load, const PlacementDemand& work) const;
+  base::Duration slotWait(const ReplicaLoad& load, const PlacementDemand& work) const;
 
   ReplicaLedgerOptions options_;
   Grants grants_;
   PrefillSpeed prefillSpeed_;
   ReplicaHealth health_;
-  ReplicaSpeedModel pace_;
+  ReplicaSpeedModel speedModel_;
   RatePacer pacer_;
   /// Running mean of what waits to be read there, for what a new stream will meet.
-  double usualUnread_ = 0;
-  base::Duration runTime_{options_.firstRunTime};
-  base::TimePoint fullUntil_{};
+  double usualBacklog_ = 0;
+  base::Duration meanRunTime_{options_.initialRunTime};
+  base::TimePoint atCapacityUntil_{};
 };
 
 }  // namespace covewing::routing
--- a/src/routing/replica_selector.cc
+++ b/src/routing/replica_selector.cc
@@ -16,7 +16,7 @@
 constexpr unsigned kDroppedBits = 11;
 constexpr double kUniformStep = 1.0 / (static_cast<double>(1ULL << 53U) + 2);
 
-bool onListOf(const std::vector<std::string>& instances, const ReplicaRecord& record) {
+bool contains(const std::vector<std::string>& instances, const ReplicaRecord& record) {
   return std::ranges::find(instances, record.facts().instance) != instances.end();
 }
 
@@ -43,11 +43,11 @@
 
 /// Median of the candidates' speeds in hundredths; 0 while too few are known.
 double medianSpeed(const std::vector<ReplicaRecordPtr>& candidates) {
-  constexpr std::size_t kFewestKnown = 3;
+  constexpr std::size_t kMinimumKnown = 3;
   std::vector<std::uint32_t> known;
   for (const auto& record : candidates)
     if (record->speedPercent() > 0) known.push_back(record->speedPercent());
-  if (known.size() < kFewestKnown) return 0;
+  if (known.size() < kMinimumKnown) return 0;
   const auto middle = known.begin() + static_cast<std::ptrdiff_t>(known.size() / 2);
   std::ranges::nth_element(known, middle);
   return *middle;
@@ -57,9 +57,9 @@
   return record->notices().rateLimit().perSecond().has_value();
 }
 
-base::TimePoint firstRestEnd(const std::vector<ReplicaRecordPtr>& resting) {
+base::TimePoint earliestBackOffEnd(const std::vector<ReplicaRecordPtr>& backingOff) {
   const auto first = std::ranges::min_element(
-      resting, {}, [](const auto& record) { return record->notices().backOffUntil(); });
+      backingOff, {}, [](const auto& record) { return record->notices().backOffUntil(); });
   return (*first)->notices().backOffUntil();
 }
 
@@ -75,11 +75,11 @@
   return base::mixHash(base::hashName(salt), base::hashName(model));
 }
 
-bool ReplicaSelector::beginsInTime(const ReplicaQuery& query, const ReplicaRecord& record,
+bool ReplicaSelector::startsInTime(const ReplicaQuery& query, const ReplicaRecord& record,
                                    base::TimePoint now) const {
   // The margin of the bound covers usual waits.
-  const auto excess =
-      std::max(record.expectedWait(now) - context_.targets.longestWait(), base::Duration::zero());
+  const auto excess = std::max(record.expectedWait(now) - context_.targets.maximumStartDelay(),
+                               base::Duration::zero());
   const auto oldest = context_.targets.oldestAllowed(query.model, now + excess);
   return record.versionOf(query.model) >= std::max<base::WeightsVersion>(oldest, 1);
 }
@@ -90,22 +90,22 @@
   auto& reason = decision.reason;
   const auto& listed = context_.replicas.ofService(query.service);
   Candidates allowed;
-  Candidates resting;
+  Candidates backingOff;
   reason = listed.empty() ? "no replica is listed" : "every replica leaves or was tried";
   for (const auto& record : listed) {
     if (!record->inService()) continue;
-    if (!query.model.empty() && !beginsInTime(query, *record, now)) {
+    if (!query.model.empty() && !startsInTime(query, *record, now)) {
       reason = "no replica has the version in force";
     } else if (record->notices().backingOff(now)) {
       // Also those that were tried: it was they who asked for it.
-      resting.push_back(record);
-    } else if (!onListOf(query.excluded, *record)) {
+      backingOff.push_back(record);
+    } else if (!contains(query.excluded, *record)) {
       allowed.push_back(record);
     }
   }
-  if (allowed.empty() && !resting.empty()) {
+  if (allowed.empty() && !backingOff.empty()) {
     reason = "every replica has asked this node for rest";
-    decision.backOffEnds = firstRestEnd(resting);
+    decision.backOffEnds = earliestBackOffEnd(backingOff);
   }
   const auto keep = [&](auto predicate, std::string_view why) {
     if (allowed.empty()) return;
@@ -131,9 +131,9 @@
 
 void ReplicaSelector::sortByLoad(Candidates& candidates) {
   const auto loadOf = [this](const ReplicaRecordPtr& record) {
-    const bool near = record->facts().zone == context_.zone;
+    const bool inOwnZone = record->facts().zone == context_.zone;
     const double slots = std::max<double>(1, record->facts().slots);
-    const double requests = record->inFlight() + (near ? 0 : kOtherZoneLoad);
+    const double requests = record->inFlight() + (inOwnZone ? 0 : kOtherZoneLoad);
     return (requests + record->health().failureRate()) / slots;
   };
   // Equals in random order, so that the nodes do not all take the same one.
@@ -142,10 +142,11 @@
   std::ranges::stable_sort(candidates, {}, loadOf);
 }
 
-bool ReplicaSelector::loadKnown(std::size_t nodes, base::TimePoint now) const {
+bool ReplicaSelector::isLoadKnown(std::size_t nodes, base::TimePoint now) const {
   if (context_.fleet.interval() > kLongestUsefulLoadInterval) return false;
   const auto others = static_cast<double>(std::max<std::size_t>(nodes, 1) - 1);
-  return static_cast<double>(context_.fleet.reportingNodes(now)) >= others * options_.leastHeard;
+  return static_cast<double>(context_.fleet.reportingNodes(now)) >=
+         others * options_.minimumReportingShare;
 }
 
 ReplicaSelector::Bounds ReplicaSelector::boundsOf(const ReplicaRecord& record,
@@ -156,13 +157,13 @@
   if (known) return {slots, memory * options_.knownMemoryShare};
   const auto sharers = std::max<std::size_t>(nodes, 1);
   const auto share = (slots + sharers - 1) / sharers;
-  return {std::max<std::size_t>(options_.leastBound, share),
+  return {std::max<std::size_t>(options_.minimumRequests, share),
           memory * options_.memoryShare / static_cast<double>(sharers)};
 }
 
-std::size_t ReplicaSelector::firstWithRoom(const Candidates& ordered, const ReplicaQuery& query,
-                                           std::size_t nodes, base::TimePoint now) const {
-  const bool known = loadKnown(nodes, now);
+std::size_t ReplicaSelector::firstWithCapacity(const Candidates& ordered, const ReplicaQuery& query,
+                                               std::size_t nodes, base::TimePoint now) const {
+  const bool known = isLoadKnown(nodes, now);
   const std::uint32_t own = query.tokens - std::min(query.tokens, query.chain->sharedTokens());
   std::size_t best = ordered.size();
   base::Duration shortest = base::Duration::max();
@@ -175,7 +176,7 @@
     if (load.requests >= bounds.requests) continue;
     const bool fits = static_cast<double>(load.tokens + own) <= bounds.tokens;
     if (!fits && load.requests > 0) continue;
-    const auto wait = record.prefillSpeed().leastTime(load.pendingPrefillTokens);
+    const auto wait = record.prefillSpeed().minimumTime(load.pendingPrefillTokens);
     if (wait <= query.acceptableWait) return index;
     if (wait >= shortest) continue;
     shortest = wait;
@@ -191,13 +192,13 @@
     return context_.holders.matchedTokens(base::engineIdOf(name), scope, *query.chain);
   };
   std::optional<CacheSource> best;
-  std::uint64_t equals = 0;
+  std::uint64_t ties = 0;
   const auto offer = [&](const std::string& name, const base::Endpoint& endpoint) {
     const auto tokens = tokensAt(name);
     const auto known = best ? best->tokens : 0;
     if (tokens == 0 || tokens < known) return;
-    equals = tokens == known ? equals + 1 : 1;
-    if (equals > 1 && random_.below(equals) != 0) return;
+    ties = tokens == known ? ties + 1 : 1;
+    if (ties > 1 && random_.below(ties) != 0) return;
     best = CacheSource{name, endpoint, tokens};
   };
   for (const auto& record : context_.replicas.ofService(query.service)) {
@@ -209,19 +210,20 @@
   }
   const auto* savedTo = context_.stores.choose(*query.chain->deepestShared());
   if (savedTo == nullptr || !best || best->tokens >= query.chain->sharedTokens()) return best;
-  const auto there = tokensAt(savedTo->name);
-  if (there >= best->tokens) best = CacheSource{savedTo->name, savedTo->endpoint, there};
+  const auto tokensAtStore = tokensAt(savedTo->name);
+  if (tokensAtStore >= best->tokens)
+    best = CacheSource{savedTo->name, savedTo->endpoint, tokensAtStore};
   return best;
 }
 
-void ReplicaSelector::addCacheMoves(ReplicaDecision& decision, const ReplicaQuery& query,
-                                    base::TimePoint now) {
+void ReplicaSelector::addCacheTransfers(ReplicaDecision& decision, const ReplicaQuery& query,
+                                        base::TimePoint now) {
   auto source = bestSource(query, decision.scope, decision.replica.get(), now);
   const auto shared = query.chain->sharedTokens();
   const auto held = std::max(decision.matchedTokens, source ? source->tokens : 0);
-  if (source && source->tokens >= decision.matchedTokens + options_.leastFetch)
+  if (source && source->tokens >= decision.matchedTokens + options_.minimumFetchTokens)
     decision.fetchFrom = std::move(source);
-  if (held + options_.leastFetch > shared) return;
+  if (held + options_.minimumFetchTokens > shared) return;
   const auto* store = context_.stores.choose(*query.chain->deepestShared());
   if (store == nullptr) return;
   decision.saveTo = store->endpoint;
@@ -245,7 +247,7 @@
 
 void ReplicaSelector::moveLongRunReplicasFirst(Candidates& candidates,
                                                const ReplicaQuery& query) const {
-  if (candidates.size() < options_.leastForLongRuns) return;
+  if (candidates.size() < options_.minimumForLongRuns) return;
   Candidates ranked = candidates;
   std::ranges::sort(ranked, [&query](const auto& left, const auto& right) {
     return takesLongRunsBefore(query.model, *left, *right);
@@ -261,30 +263,31 @@
 void ReplicaSelector::sortByHome(Candidates& candidates, const ReplicaQuery& query) const {
   base::WeightsVersion newest = 0;
   for (const auto& record : candidates) newest = std::max(newest, record->versionOf(query.model));
-  const bool readsMuch = query.chain->sharedTokens() >= options_.nearTokens;
-  const auto usualSpeed = readsMuch ? medianSpeed(candidates) : 0;
+  const bool isLongPrompt = query.chain->sharedTokens() >= options_.ownZoneBelowTokens;
+  const auto usualSpeed = isLongPrompt ? medianSpeed(candidates) : 0;
   const auto weight = [&](const ReplicaRecord& record) {
     const double ofVersion = record.versionOf(query.model) == newest ? options_.newestWeight : 1.0;
-    return ofVersion * shareOfReading(record.speedPercent(), usualSpeed);
+    return ofVersion * shareOfLongPrompts(record.speedPercent(), usualSpeed);
   };
   sortByRendezvous(candidates, *query.chain->deepestShared(), weight);
   if (query.longRun) {
     moveLongRunReplicasFirst(candidates, query);
-  } else if (query.chain->sharedTokens() < options_.nearTokens) {
-    moveNearFirst(candidates);
+  } else if (query.chain->sharedTokens() < options_.ownZoneBelowTokens) {
+    moveOwnZoneFirst(candidates);
   }
 }
 
-void ReplicaSelector::moveNearFirst(Candidates& candidates) const {
-  const auto far = std::stable_partition(
+void ReplicaSelector::moveOwnZoneFirst(Candidates& candidates) const {
+  const auto otherZone = std::stable_partition(
       candidates.begin(), candidates.end(),
       [this](const ReplicaRecordPtr& record) { return record->facts().zone == context_.zone; });
-  const auto last = std::min(options_.mostInOrder, candidates.size()) - 1;
-  const auto lastAsked = candidates.begin() + static_cast<std::ptrdiff_t>(last);
-  if (far != candidates.end() && far > lastAsked) std::rotate(lastAsked, far, far + 1);
+  const auto last = std::min(options_.maximumPreferred, candidates.size()) - 1;
+  const auto lastQueried = candidates.begin() + static_cast<std::ptrdiff_t>(last);
+  if (otherZone != candidates.end() && otherZone > lastQueried)
+    std::rotate(lastQueried, otherZone, otherZone + 1);
 }
 
-void ReplicaSelector::keepOneLimitedInFront(Candidates& candidates) {
+void ReplicaSelector::keepOneRateLimitedInFront(Candidates& candidates) {
   Candidates limited;
   Candidates others;
   for (const auto& record : candidates) {
@@ -311,17 +314,17 @@
   } else {
     sortByLoad(candidates);
   }
-  keepOneLimitedInFront(candidates);
-  const auto asked = std::min(options_.mostInOrder, candidates.size());
+  keepOneRateLimitedInFront(candidates);
+  const auto queried = std::min(options_.maximumPreferred, candidates.size());
   decision.preferenceOrder.assign(candidates.begin(),
-                                  candidates.begin() + static_cast<std::ptrdiff_t>(asked));
-  chooseAlone(decision, std::move(candidates), query, nodes, now);
+                                  candidates.begin() + static_cast<std::ptrdiff_t>(queried));
+  chooseLocally(decision, std::move(candidates), query, nodes, now);
   return decision;
 }
 
-void ReplicaSelector::chooseAlone(ReplicaDecision& decision, Candidates candidates,
-                                  const ReplicaQuery& query, std::size_t nodes,
-                                  base::TimePoint now) {
+void ReplicaSelector::chooseLocally(ReplicaDecision& decision, Candidates candidates,
+                                    const ReplicaQuery& query, std::size_t nodes,
+                                    base::TimePoint now) {
   std::erase_if(candidates, [now](const auto& record) { return record->loadingWeights(now); });
   if (candidates.empty()) {
     decision.reason = "every replica is loading weights";
@@ -334,7 +337,7 @@
     decision.reason = "every replica names a rate limit, and no home of theirs answers";
     return;
   }
-  if (query.withPrompt()) decision.rank = firstWithRoom(candidates, query, nodes, now);
+  if (query.withPrompt()) decision.rank = firstWithCapacity(candidates, query, nodes, now);
   if (decision.rank == candidates.size()) {
     decision.reason = "every replica has as many requests as it should";
     return;
@@ -375,7 +378,7 @@
   decision.startDeadline = startDeadline(query.model, decision.version);
   decision.cacheSalt = saltOf(query, *decision.replica);
   decision.scope = cacheScope(decision.cacheSalt, query.model);
-  if (query.withPrompt()) addCacheMoves(decision, query, now);
+  if (query.withPrompt()) addCacheTransfers(decision, query, now);
 }
 
 PlacementCandidate ReplicaSelector::candidateOf(const ReplicaQuery& query,
--- a/src/routing/replica_selector.h
+++ b/src/routing/replica_selector.h
@@ -112,24 +112,24 @@
 
 struct ReplicaSelectorOptions {
   /// Least bound on the requests of this node at a home, however many nodes share it.
-  std::uint32_t leastBound = 2;
+  std::uint32_t minimumRequests = 2;
   /// Part of a replica's cache memory that all nodes together may fill with running requests,
   /// where each takes an even share, and where they know of each other's.
   double memoryShare = 0.6;
   double knownMemoryShare = 0.9;
   /// This part of the other nodes must be heard for their load to count as known.
-  double leastHeard = 0.5;
+  double minimumReportingShare = 0.5;
   /// Tokens that a source must have beyond the chosen replica to be fetched from.
-  std::uint32_t leastFetch = 32;
+  std::uint32_t minimumFetchTokens = 32;
   /// Weight of replicas of the newest version that is served, against 1 of the others.
   double newestWeight = 2;
   /// Replicas whose homes may be asked for one request; each question is a round trip.
-  std::size_t mostInOrder = 6;
+  std::size_t maximumPreferred = 6;
   /// Prompts that share fewer tokens go to replicas of this node's zone first: to read them again
   /// in each zone costs less than the bytes between zones.
-  std::uint32_t nearTokens = 512;
+  std::uint32_t ownZoneBelowTokens = 512;
   /// Long runs are kept together where there are at least so many replicas.
-  std::size_t leastForLongRuns = 4;
+  std::size_t minimumForLongRuns = 4;
 };
 
 class ReplicaSelector {
@@ -161,15 +161,15 @@
 
   /// Whether a request that is sent to the replica now is expected to begin before its version is
   /// out of date.
-  bool beginsInTime(const ReplicaQuery& query, const ReplicaRecord& record,
+  bool startsInTime(const ReplicaQuery& query, const ReplicaRecord& record,
                     base::TimePoint now) const;
   /// The replicas that the request may go to, those among them that change their weights included:
   /// homes know these at once, other nodes by gossip, late. Where there are none, the decision is
   /// told why.
   Candidates eligible(const ReplicaQuery& query, base::TimePoint now, ReplicaDecision& decision);
   /// Chooses among the candidates by what this node knows.
-  void chooseAlone(ReplicaDecision& decision, Candidates candidates, const ReplicaQuery& query,
-                   std::size_t nodes, base::TimePoint now);
+  void chooseLocally(ReplicaDecision& decision, Candidates candidates, const ReplicaQuery& query,
+                     std::size_t nodes, base::TimePoint now);
   /// Orders the candidates by load, near ones first.
   void sortByLoad(Candidates& candidates);
   /// Orders the candidates by rendezvous hashing of the deepest shared part, near ones first where
@@ -177,10 +177,10 @@
   void sortByHome(Candidates& candidates, const ReplicaQuery& query) const;
   /// Moves the replicas of this node's zone to the front, but keeps one of another zone among the
   /// first.
-  void moveNearFirst(Candidates& candidates) const;
+  void moveOwnZoneFirst(Candidates& candidates) const;
   /// Of the replicas with a rate limit all but the first go behind those without: a request asks
   /// one home that may have none of its rate left before one that has room.
-  static void keepOneLimitedInFront(Candidates& candidates);
+  static void keepOneRateLimitedInFront(Candidates& candidates);
   std::string saltOf(const ReplicaQuery& query, const ReplicaRecord& record) const;
   /// Fills in what follows from the chosen replica.
   void complete(ReplicaDecision& decision, const ReplicaQuery& query, base::TimePoint now);
@@ -192,14 +192,14 @@
     double tokens = 0;
   };
   /// Whether enough of the nodes tell their load.
-  bool loadKnown(std::size_t nodes, base::TimePoint now) const;
+  bool isLoadKnown(std::size_t nodes, base::TimePoint now) const;
   Bounds boundsOf(const ReplicaRecord& record, const ReplicaQuery& query, std::size_t nodes,
                   bool known) const;
   /// The first candidate within the bounds whose queue is short, else the one of them with the
   /// shortest queue; the number of candidates when there is none.
-  std::size_t firstWithRoom(const Candidates& ordered, const ReplicaQuery& query, std::size_t nodes,
-                            base::TimePoint now) const;
-  void addCacheMoves(ReplicaDecision& decision, const ReplicaQuery& query, base::TimePoint now);
+  std::size_t firstWithCapacity(const Candidates& ordered, const ReplicaQuery& query,
+                                std::size_t nodes, base::TimePoint now) const;
+  void addCacheTransfers(ReplicaDecision& decision, const ReplicaQuery& query, base::TimePoint now);
   /// The best source of the prompt's shared parts under the scope, other than `except`; a random
   /// one of equals, since a replica sends one move after another.
   std::optional<CacheSource> bestSource(const ReplicaQuery& query, CacheScope scope,
--- a/src/routing/replica_speed_model.cc
+++ b/src/routing/replica_speed_model.cc
@@ -8,32 +8,32 @@
 namespace {
 
 /// No caller waits longer for a stream or a piece of it; larger figures are faults.
-constexpr base::Duration kLongestStream = std::chrono::minutes(2);
+constexpr base::Duration kMaximumStreamTime = std::chrono::minutes(2);
 /// A node whose timers were later than this times other things than the replica.
-constexpr base::Duration kMostLateness = std::chrono::milliseconds(50);
-constexpr std::uint32_t kFewestPauses = 2;
+constexpr base::Duration kMaximumLateness = std::chrono::milliseconds(50);
+constexpr std::uint32_t kMinimumPauses = 2;
 /// Streams seen until a replica's pace counts as known.
-constexpr std::uint32_t kFewestStreams = 4;
+constexpr std::uint32_t kMinimumStreams = 4;
 /// Each stream takes this part of the weight of those before it: some 30 streams count, that is 5
 /// to 10 seconds of usual traffic.
-constexpr double kKept = 0.97;
+constexpr double kDecay = 0.97;
 /// Pauses at which a stream has half of the greatest weight.
 constexpr double kHalfWeightPauses = 10;
 /// Reading a thousand tokens takes about this (us; replicas read 30 to 50 tokens a ms) until
 /// streams beside readings tell more; the prior counts like a few such streams.
-constexpr double kUsualReading = 30'000;
+constexpr double kUsualPrefillTime = 30'000;
 constexpr double kPriorWeight = 0.05;
 /// Influence of one stream on the mean is bounded by this factor to what was expected.
-constexpr double kMostRatio = 4;
+constexpr double kMaximumRatio = 4;
 
 /// Most tokens to be read of each class of excess, but for the last.
 constexpr std::array<std::uint64_t, 5> kClassBounds{256, 1024, 2048, 4096, 8192};
 /// One stream in five may pause for longer than expected.
 constexpr double kQuantile = 0.8;
-constexpr double kFirstExcessStep = 0.4;
-constexpr double kLeastExcessStep = 0.08;
-constexpr double kLeastExcess = -1.2;
-constexpr double kMostExcess = 1.6;
+constexpr double kInitialExcessStep = 0.4;
+constexpr double kMinimumExcessStep = 0.08;
+constexpr double kMinimumExcess = -1.2;
+constexpr double kMaximumExcess = 1.6;
 
 /// The speed told changes when it differs by this factor from the one told before.
 constexpr double kSpeedStep = 1.15;
@@ -45,10 +45,10 @@
 constexpr double kSlownessWeight = 0.4;
 /// Streams seen while the replica is slow count less for its usual pace.
 constexpr double kSlowStreamWeight = 0.25;
-constexpr base::Duration kSlownessHalf = std::chrono::milliseconds(1500);
+constexpr base::Duration kSlownessHalfLife = std::chrono::milliseconds(1500);
 
-std::size_t classOf(std::uint64_t unread) {
-  const auto bound = std::ranges::lower_bound(kClassBounds, unread);
+std::size_t classOf(std::uint64_t prefillBacklog) {
+  const auto bound = std::ranges::lower_bound(kClassBounds, prefillBacklog);
   return static_cast<std::size_t>(bound - kClassBounds.begin());
 }
 
@@ -60,67 +60,72 @@
 
 }  // namespace
 
-bool ReplicaSpeedModel::usable(const StreamObservation& observation) const {
-  if (observation.pauses < kFewestPauses) return false;
-  if (observation.streamed <= base::Duration::zero() || observation.streamed > kLongestStream)
+bool ReplicaSpeedModel::isPlausible(const StreamObservation& observation) const {
+  if (observation.pauses < kMinimumPauses) return false;
+  if (observation.streamed <= base::Duration::zero() || observation.streamed > kMaximumStreamTime)
     return false;
   if (observation.longestPause <= base::Duration::zero() ||
       observation.longestPause > observation.streamed)
     return false;
   return observation.nodeLateness >= base::Duration::zero() &&
-         observation.nodeLateness <= kMostLateness;
+         observation.nodeLateness <= kMaximumLateness;
 }
 
-void ReplicaSpeedModel::learn(const StreamObservation& observation, const PaceLoad& load,
-                              base::NodeId node, base::TimePoint now) {
-  if (!usable(observation)) return;
+void ReplicaSpeedModel::addObservation(const StreamObservation& observation, const StreamLoad& load,
+                                       base::NodeId node, base::TimePoint now) {
+  if (!isPlausible(observation)) return;
   const auto pauses = static_cast<double>(observation.pauses);
-  const double read = thousands(load.read) / pauses;
+  const double prefilled = thousands(load.prefilledTokens) / pauses;
   double pause = microseconds(observation.streamed) / pauses;
-  if (seen_ >= kFewestStreams) {
-    const double expected = line(read);
-    learnSlowness(pause / expected, node, now);
-    pause = std::clamp(pause, expected / kMostRatio, expected * kMostRatio);
+  if (streamsSeen_ >= kMinimumStreams) {
+    const double expected = expectedPause(prefilled);
+    updateSlowness(pause / expected, node, now);
+    pause = std::clamp(pause, expected / kMaximumRatio, expected * kMaximumRatio);
   }
-  ++seen_;
-  const bool slowNow = slow(now);
+  ++streamsSeen_;
+  const bool isSlowNow = slow(now);
   const double weight = pauses / (pauses + kHalfWeightPauses);
-  learnMean(pause, read, slowNow ? weight * kSlowStreamWeight : weight);
-  if (seen_ < kFewestStreams) return;
-  if (!slowNow) learnExcess(observation, load);
+  updateMean(pause, prefilled, isSlowNow ? weight * kSlowStreamWeight : weight);
+  if (streamsSeen_ < kMinimumStreams) return;
+  if (!isSlowNow) updateExcess(observation, load);
   updateSpeed();
 }
 
-void ReplicaSpeedModel::learnMean(double pause, double read, double weight) {
-  const auto add = [](double& sum, double value) { sum = sum * kKept + value; };
+void ReplicaSpeedModel::updateMean(double pause, double prefilled, double weight) {
+  const auto add = [](double& sum, double value) { sum = sum * kDecay + value; };
   add(sums_.weight, weight);
-  add(sums_.read, weight * read);
-  add(sums_.readSquared, weight * read * read);
+  add(sums_.prefilled, weight * prefilled);
+  add(sums_.prefilledSquared, weight * prefilled * prefilled);
   add(sums_.pause, weight * pause);
-  add(sums_.pauseRead, weight * pause * read);
-  const double meanRead = sums_.read / sums_.weight;
+  add(sums_.pausePrefilled, weight * pause * prefilled);
+  const double meanPrefilled = sums_.prefilled / sums_.weight;
   const double meanPause = sums_.pause / sums_.weight;
-  const double spread = sums_.readSquared - meanRead * sums_.read + kPriorWeight;
-  const double together = sums_.pauseRead - meanRead * sums_.pause + kPriorWeight * kUsualReading;
-  reading_ = std::clamp(together / spread, kUsualReading / kMostRatio, kUsualReading * kMostRatio);
+  const double variance = sums_.prefilledSquared - meanPrefilled * sums_.prefilled + kPriorWeight;
+  const double covariance =
+      sums_.pausePrefilled - meanPrefilled * sums_.pause + kPriorWeight * kUsualPrefillTime;
+  prefillTime_ = std::clamp(covariance / variance, kUsualPrefillTime / kMaximumRatio,
+                            kUsualPrefillTime * kMaximumRatio);
   // Not all of a pause can be reading.
-  step_ = std::max(meanPause - reading_ * meanRead, meanPause / kMostRatio);
+  stepTime_ = std::max(meanPause - prefillTime_ * meanPrefilled, meanPause / kMaximumRatio);
 }
 
-double ReplicaSpeedModel::line(double thousands) const { return step_ + reading_ * thousands; }
+double ReplicaSpeedModel::expectedPause(double thousands) const {
+  return stepTime_ + prefillTime_ * thousands;
+}
 
-void ReplicaSpeedModel::learnExcess(const StreamObservation& observation, const PaceLoad& load) {
-  auto& excess = excess_[classOf(load.unread)];
-  const double factor = microseconds(observation.longestPause) / line(thousands(load.unread));
+void ReplicaSpeedModel::updateExcess(const StreamObservation& observation, const StreamLoad& load) {
+  auto& excess = excess_[classOf(load.prefillBacklog)];
+  const double factor =
+      microseconds(observation.longestPause) / expectedPause(thousands(load.prefillBacklog));
   const double step =
-      std::max(kFirstExcessStep / static_cast<double>(++excess.seen), kLeastExcessStep);
+      std::max(kInitialExcessStep / static_cast<double>(++excess.count), kMinimumExcessStep);
   const bool above = std::log(factor) > excess.logarithm;
   excess.logarithm += step * (above ? kQuantile : kQuantile - 1);
-  excess.logarithm = std::clamp(excess.logarithm, kLeastExcess, kMostExcess);
+  excess.logarithm = std::clamp(excess.logarithm, kMinimumExcess, kMaximumExcess);
 }
 
-void ReplicaSpeedModel::learnSlowness(double ratio, base::NodeId node, base::TimePoint now) {
-  const double bounded = std::clamp(ratio, 1 / kMostRatio, kMostRatio);
+void ReplicaSpeedModel::updateSlowness(double ratio, base::NodeId node, base::TimePoint now) {
+  const double bounded = std::clamp(ratio, 1 / kMaximumRatio, kMaximumRatio);
   // One node alone may see its own slowness, or that of its link.
   if (bounded > kSlowFrom && slowSeenBy_ == std::optional(node)) return;
   slowSeenBy_ = bounded > kSlowFrom ? std::optional(node) : std::nullopt;
@@ -135,28 +140,29 @@
 }
 
 double ReplicaSpeedModel::slowdown(base::TimePoint now) const {
-  const double halves = microseconds(now - slowAt_) / microseconds(kSlownessHalf);
+  const double halves = microseconds(now - slowAt_) / microseconds(kSlownessHalfLife);
   return 1 + (slowness_ - 1) * std::exp2(-std::max(halves, 0.0));
 }
 
 void ReplicaSpeedModel::updateSpeed() {
-  const double speed = microseconds(kReferencePause) / step_;
-  const bool near = speed_ && speed < *speed_ * kSpeedStep && speed > *speed_ / kSpeedStep;
-  if (!near) speed_ = speed;
+  const double speed = microseconds(kReferencePause) / stepTime_;
+  const bool isClose = speed_ && speed < *speed_ * kSpeedStep && speed > *speed_ / kSpeedStep;
+  if (!isClose) speed_ = speed;
 }
 
-double shareOfReading(double speed, double usualSpeed) {
-  constexpr double kNear = 1.3;
-  constexpr double kMost = 3;
+double shareOfLongPrompts(double speed, double usualSpeed) {
+  constexpr double kTolerance = 1.3;
+  constexpr double kMaximumShare = 3;
   if (speed <= 0 || usualSpeed <= 0) return 1;
-  const double ratio = std::clamp(speed / usualSpeed, 1 / kMost, kMost);
-  return ratio < kNear && ratio > 1 / kNear ? 1 : ratio;
+  const double ratio = std::clamp(speed / usualSpeed, 1 / kMaximumShare, kMaximumShare);
+  return ratio < kTolerance && ratio > 1 / kTolerance ? 1 : ratio;
 }
 
-std::optional<base::Duration> ReplicaSpeedModel::expectedLongestPause(const PaceLoad& load,
+std::optional<base::Duration> ReplicaSpeedModel::expectedLongestPause(const StreamLoad& load,
                                                                       base::TimePoint now) const {
-  if (seen_ < kFewestStreams) return std::nullopt;
-  double pause = line(thousands(load.unread)) * std::exp(excess_[classOf(load.unread)].logarithm);
+  if (streamsSeen_ < kMinimumStreams) return std::nullopt;
+  double pause = expectedPause(thousands(load.prefillBacklog)) *
+                 std::exp(excess_[classOf(load.prefillBacklog)].logarithm);
   if (slow(now)) pause *= slowdown(now);
   return base::Duration{static_cast<base::Duration::rep>(pause)};
 }
--- a/src/routing/replica_speed_model.h
+++ b/src/routing/replica_speed_model.h
@@ -40,22 +40,22 @@
 };
 
 /// Work at the replica that a pace is asked for, or that was there beside a stream.
-struct PaceLoad {
+struct StreamLoad {
   std::uint32_t running = 0;
   /// Tokens of prompts to be read; beside a stream: the most that waited at once.
-  std::uint64_t unread = 0;
+  std::uint64_t prefillBacklog = 0;
   /// Tokens of prompts that were read beside a stream in all.
-  std::uint64_t read = 0;
+  std::uint64_t prefilledTokens = 0;
 };
 
 class ReplicaSpeedModel {
  public:
   /// Absurd observations (negative, beyond any caller's patience), streams of too few pieces and
   /// what a node saw that was slow itself are passed over.
-  void learn(const StreamObservation& observation, const PaceLoad& load, base::NodeId node,
-             base::TimePoint now);
+  void addObservation(const StreamObservation& observation, const StreamLoad& load,
+                      base::NodeId node, base::TimePoint now);
   /// The pause that all but a few streams stay under with this load; empty while unknown.
-  std::optional<base::Duration> expectedLongestPause(const PaceLoad& load,
+  std::optional<base::Duration> expectedLongestPause(const StreamLoad& load,
                                                      base::TimePoint now) const;
   /// Speed relative to a replica that makes a piece in kReferencePause while it reads nothing. In
   /// steps, with hysteresis; empty while unknown.
@@ -70,33 +70,33 @@
   /// Sums of a regression of the mean pause (us) over thousands of tokens read for each pause.
   struct Sums {
     double weight = 0;
-    double read = 0;
-    double readSquared = 0;
+    double prefilled = 0;
+    double prefilledSquared = 0;
     double pause = 0;
-    double pauseRead = 0;
+    double pausePrefilled = 0;
   };
   /// Classes of how much waits to be read; the upper bounds are in replica_speed_model.cc.
   static constexpr std::size_t kClasses = 6;
   struct Excess {
     /// Logarithm of the factor between the longest pause and the mean one.
     double logarithm = 0.4;
-    std::uint32_t seen = 0;
+    std::uint32_t count = 0;
   };
 
-  bool usable(const StreamObservation& observation) const;
-  void learnMean(double pause, double read, double weight);
-  void learnExcess(const StreamObservation& observation, const PaceLoad& load);
-  void learnSlowness(double ratio, base::NodeId node, base::TimePoint now);
+  bool isPlausible(const StreamObservation& observation) const;
+  void updateMean(double pause, double prefilled, double weight);
+  void updateExcess(const StreamObservation& observation, const StreamLoad& load);
+  void updateSlowness(double ratio, base::NodeId node, base::TimePoint now);
   void updateSpeed();
   /// Microseconds of a pause while so many thousand tokens are read.
-  double line(double thousands) const;
+  double expectedPause(double thousands) const;
   double slowdown(base::TimePoint now) const;
 
   Sums sums_;
-  std::uint32_t seen_ = 0;
+  std::uint32_t streamsSeen_ = 0;
   /// Of the line, in us and us for a thousand tokens.
-  double step_ = 0;
-  double reading_ = 0;
+  double stepTime_ = 0;
+  double prefillTime_ = 0;
   std::array<Excess, kClasses> excess_;
   std::optional<double> speed_;
   /// How many times slower than usual the latest streams were, when, and who saw it.
@@ -109,6 +109,6 @@
 /// The share of long prompts that a replica gets, relative to one of the usual speed. 1 near the
 /// usual speed, so that measurements that scatter move no part from its home, and where one of both
 /// is not known (0 or less).
-double shareOfReading(double speed, double usualSpeed);
+double shareOfLongPrompts(double speed, double usualSpeed);
 
 }  // namespace covewing::routing
--- a/src/routing/request_durations.cc
+++ b/src/routing/request_durations.cc
@@ -6,27 +6,28 @@
 namespace covewing::routing {
 
 double RequestDurations::expectedSeconds(const Service& service, std::uint32_t tokens) const {
-  if (service.runs < options_.leastRuns || service.meanTokens <= 0) return 0;
+  if (service.requests < options_.minimumRequests || service.meanTokens <= 0) return 0;
   return tokens * service.meanSeconds / service.meanTokens;
 }
 
-double RequestDurations::decayedLongSeconds(const Service& service, base::TimePoint now) const {
-  const double age = base::toSeconds(now - service.longSecondsAt);
-  return service.longSeconds * std::exp(-age / base::toSeconds(options_.memory));
+double RequestDurations::decayedLongRequestSeconds(const Service& service,
+                                                   base::TimePoint now) const {
+  const double age = base::toSeconds(now - service.longRequestSecondsAt);
+  return service.longRequestSeconds * std::exp(-age / base::toSeconds(options_.timeConstant));
 }
 
 void RequestDurations::onLongRun(std::string_view service, std::uint32_t tokens,
                                  base::TimePoint now) {
   auto& facts = services_.try_emplace(std::string{service}).first->second;
-  facts.longSeconds = decayedLongSeconds(facts, now) + expectedSeconds(facts, tokens);
-  facts.longSecondsAt = now;
+  facts.longRequestSeconds = decayedLongRequestSeconds(facts, now) + expectedSeconds(facts, tokens);
+  facts.longRequestSecondsAt = now;
 }
 
 void RequestDurations::onEnd(std::string_view service, std::uint32_t tokens, base::Duration took) {
   auto& facts = services_.try_emplace(std::string{service}).first->second;
-  ++facts.runs;
+  ++facts.requests;
   // The first runs count alike, so that the means do not hang on the very first one.
-  const double weight = std::max(options_.smoothing, 1.0 / facts.runs);
+  const double weight = std::max(options_.smoothing, 1.0 / facts.requests);
   facts.meanTokens += weight * (tokens - facts.meanTokens);
   facts.meanSeconds += weight * (base::toSeconds(took) - facts.meanSeconds);
 }
@@ -34,17 +35,19 @@
 bool RequestDurations::isLong(std::string_view service, std::uint32_t tokens) const {
   const auto known = services_.find(service);
   return known != services_.end() &&
-         expectedSeconds(known->second, tokens) >= base::toSeconds(options_.longRun);
+         expectedSeconds(known->second, tokens) >= base::toSeconds(options_.longRequestTime);
 }
 
 std::size_t RequestDurations::replicasForLongRuns(std::string_view service, std::uint32_t slots,
                                                   std::size_t nodes, base::TimePoint now) const {
   const auto known = services_.find(service);
   if (known == services_.end()) return 1;
-  const double underWay = decayedLongSeconds(known->second, now) / base::toSeconds(options_.memory);
+  const double inFlight =
+      decayedLongRequestSeconds(known->second, now) / base::toSeconds(options_.timeConstant);
   const double sharers = static_cast<double>(std::max<std::size_t>(nodes, 1));
-  const double room = std::max(1U, slots) * options_.slotShare;
-  return std::max<std::size_t>(1, static_cast<std::size_t>(std::ceil(underWay * sharers / room)));
+  const double slotsPerReplica = std::max(1U, slots) * options_.slotShare;
+  return std::max<std::size_t>(
+      1, static_cast<std::size_t>(std::ceil(inFlight * sharers / slotsPerReplica)));
 }
 
 }  // namespace covewing::routing
--- a/src/routing/request_durations.h
+++ b/src/routing/request_durations.h
@@ -18,13 +18,13 @@
 
 struct RequestDurationOptions {
   /// Expected time from the first byte to the end from which a run counts as long.
-  base::Duration longRun = std::chrono::milliseconds(1000);
+  base::Duration longRequestTime = std::chrono::milliseconds(1000);
   /// Weight of the latest run in the means.
   double smoothing = 0.05;
   /// Runs before the means count.
-  std::uint32_t leastRuns = 5;
+  std::uint32_t minimumRequests = 5;
   /// Time constant of the number of long runs under way.
-  base::Duration memory = std::chrono::seconds(4);
+  base::Duration timeConstant = std::chrono::seconds(4);
   /// Part of a replica's slots that long runs are to fill before another replica takes them too.
   double slotShare = 0.4;
 };
@@ -48,15 +48,15 @@
   struct Service {
     double meanTokens = 0;
     double meanSeconds = 0;
-    std::uint32_t runs = 0;
+    std::uint32_t requests = 0;
     /// Expected seconds of the long runs begun, decaying with the memory.
-    double longSeconds = 0;
-    base::TimePoint longSecondsAt{};
+    double longRequestSeconds = 0;
+    base::TimePoint longRequestSecondsAt{};
   };
 
   /// Zero while unknown.
   double expectedSeconds(const Service& service, std::uint32_t tokens) const;
-  double decayedLongSeconds(const Service& service, base::TimePoint now) const;
+  double decayedLongRequestSeconds(const Service& service, base::TimePoint now) const;
 
   RequestDurationOptions options_;
   std::map<std::string, Service, std::less<>> services_;
--- a/src/routing/staged_lookup.cc
+++ b/src/routing/staged_lookup.cc
@@ -7,17 +7,17 @@
 void StagedLookup::lookup(base::PriorityClass priority, const std::vector<base::EngineId>& engines,
                           const prefix::Checkpoints& checkpoints, LookupCallback callback) {
   const bool atOnce = engines.size() <= 1 || checkpoints.fingerprints.empty() ||
-                      members_.liveMembers().size() < options_.fromNodes;
+                      members_.liveMembers().size() < options_.minimumNodes;
   if (atOnce) {
     lookup_.lookup(priority, engines, checkpoints, std::move(callback));
     return;
   }
-  const auto first = preferred(engines);
+  const auto first = preferredEngine(engines);
   lookup_.lookup(priority, {first}, checkpoints,
                  [this, alive = std::weak_ptr(lifetime_), priority, first, engines, checkpoints,
                   callback = std::move(callback)](LookupResult result) mutable {
                    if (alive.expired()) return;
-                   if (!settles(result, checkpoints)) {
+                   if (!isConclusive(result, checkpoints)) {
                      lookup_.lookup(priority, engines, checkpoints, std::move(callback));
                      return;
                    }
@@ -31,7 +31,7 @@
                  });
 }
 
-base::EngineId StagedLookup::preferred(const std::vector<base::EngineId>& engines) const {
+base::EngineId StagedLookup::preferredEngine(const std::vector<base::EngineId>& engines) const {
   for (const auto engine : engines) {
     const EngineState* state = fleet_.find(engine);
     if (state != nullptr && state->region == members_.self().region) return engine;
@@ -39,12 +39,12 @@
   return engines.front();
 }
 
-bool StagedLookup::settles(const LookupResult& result,
-                           const prefix::Checkpoints& checkpoints) const {
+bool StagedLookup::isConclusive(const LookupResult& result,
+                                const prefix::Checkpoints& checkpoints) const {
   const EngineLookupResult& best = result.engines.front();
-  const double wanted = options_.settlingShare * checkpoints.chainLength;
+  const double wanted = options_.conclusiveShare * checkpoints.chainLength;
   return best.known && !best.doubtful && best.matchedBlocks >= wanted &&
-         best.tokensAhead <= options_.settlingTokensAhead;
+         best.tokensAhead <= options_.conclusiveTokensAhead;
 }
 
 }  // namespace covewing::routing
--- a/src/routing/staged_lookup.h
+++ b/src/routing/staged_lookup.h
@@ -20,11 +20,11 @@
 
 struct StagedLookupOptions {
   /// Fleets of fewer live nodes ask about all candidates at once.
-  std::size_t fromNodes = 32;
+  std::size_t minimumNodes = 32;
   /// The answer settles the choice with this share of the prompt cached, and at most so many tokens
   /// to be computed before.
-  double settlingShare = 0.5;
-  std::uint64_t settlingTokensAhead = 512;
+  double conclusiveShare = 0.5;
+  std::uint64_t conclusiveTokensAhead = 512;
 };
 
 /// Wraps a lookup; all references must outlive it.
@@ -42,8 +42,8 @@
   }
 
  private:
-  base::EngineId preferred(const std::vector<base::EngineId>& engines) const;
-  bool settles(const LookupResult& result, const prefix::Checkpoints& checkpoints) const;
+  base::EngineId preferredEngine(const std::vector<base::EngineId>& engines) const;
+  bool isConclusive(const LookupResult& result, const prefix::Checkpoints& checkpoints) const;
 
   StagedLookupOptions options_;
   const membership::MemberDirectory& members_;
--- a/src/routing/weights_targets.cc
+++ b/src/routing/weights_targets.cc
@@ -12,7 +12,7 @@
 
 bool WeightsTargets::onFound(const std::string& model, base::WeightsVersion version,
                              base::TimePoint now) {
-  return add(model, {version, now - longestWait(), false}, now);
+  return add(model, {version, now - maximumStartDelay(), false}, now);
 }
 
 bool WeightsTargets::add(const std::string& model, WeightsTarget target, base::TimePoint now) {
@@ -31,12 +31,13 @@
                              base::TimePoint namedAt) {
   auto& targets = targets_[model];
   const auto from = namedAt + bounds_.inForce - bounds_.margin;
-  const auto place = std::ranges::lower_bound(targets, version, {}, &WeightsTarget::version);
-  if (place != targets.end() && place->version == version) {
-    place->olderForbiddenFrom = place->dated ? std::min(place->olderForbiddenFrom, from) : from;
-    place->dated = true;
+  const auto position = std::ranges::lower_bound(targets, version, {}, &WeightsTarget::version);
+  if (position != targets.end() && position->version == version) {
+    position->olderForbiddenFrom =
+        position->dated ? std::min(position->olderForbiddenFrom, from) : from;
+    position->dated = true;
   } else {
-    targets.insert(place, {version, from});
+    targets.insert(position, {version, from});
   }
   listener_();
 }
@@ -51,7 +52,7 @@
   const auto found = targets_.find(model);
   if (found == targets_.end()) return std::nullopt;
   for (const WeightsTarget& target : found->second) {
-    if (target.version > version) return target.olderForbiddenFrom + longestWait();
+    if (target.version > version) return target.olderForbiddenFrom + maximumStartDelay();
   }
   return std::nullopt;
 }
--- a/src/routing/weights_targets.h
+++ b/src/routing/weights_targets.h
@@ -63,7 +63,7 @@
   std::optional<base::TimePoint> startDeadline(std::string_view model,
                                                base::WeightsVersion version) const;
   /// Part of the margin within which a request that was sent in time is expected to begin.
-  base::Duration longestWait() const { return bounds_.margin * 3 / 5; }
+  base::Duration maximumStartDelay() const { return bounds_.margin * 3 / 5; }
 
  private:
   /// Adds a version that is newer than all known; forgets those that matter no more at `now`.
--- a/tests/routing/instance_rate_limit_test.cc
+++ b/tests/routing/instance_rate_limit_test.cc
@@ -15,7 +15,7 @@
 
 struct LimitFixture {
   /// The answer to a request that was sent and read so long after the start.
-  bool answer(const RateLimitNotice& notice, milliseconds sent, milliseconds read) {
+  bool respond(const RateLimitNotice& notice, milliseconds sent, milliseconds read) {
     return limit.update({notice, kStart + sent, kStart + read});
   }
 
@@ -26,42 +26,42 @@
 
 BOOST_FIXTURE_TEST_SUITE(RunRateLimitTest, LimitFixture)
 
-BOOST_AUTO_TEST_CASE(LimitCountsFromTheFirstAnswerThatNamesIt) {
+BOOST_AUTO_TEST_CASE(LimitAppliesFromTheFirstResponseThatReportsIt) {
   BOOST_TEST(!limit.perSecond().has_value());
-  BOOST_TEST(answer(RateLimitNotice::of(2), milliseconds(0), milliseconds(10)));
+  BOOST_TEST(respond(RateLimitNotice::of(2), milliseconds(0), milliseconds(10)));
   BOOST_TEST(limit.perSecond().value() == 2.0);
-  BOOST_TEST(!answer(RateLimitNotice::of(2), milliseconds(20), milliseconds(30)));
+  BOOST_TEST(!respond(RateLimitNotice::of(2), milliseconds(20), milliseconds(30)));
 }
 
-BOOST_AUTO_TEST_CASE(AnswerThatWasOvertakenEndsNoLimit) {
-  answer(RateLimitNotice::of(2), milliseconds(50), milliseconds(60));
-  BOOST_TEST(!answer(RateLimitNotice::unlimited(), milliseconds(0), milliseconds(100)));
+BOOST_AUTO_TEST_CASE(OvertakenResponseDoesNotEndALimit) {
+  respond(RateLimitNotice::of(2), milliseconds(50), milliseconds(60));
+  BOOST_TEST(!respond(RateLimitNotice::unlimited(), milliseconds(0), milliseconds(100)));
   BOOST_TEST(limit.perSecond().value() == 2.0);
   // It was sent behind the latest answer that named the limit.
-  answer(RateLimitNotice::of(2), milliseconds(70), milliseconds(200));
-  BOOST_TEST(!answer(RateLimitNotice::unlimited(), milliseconds(150), milliseconds(300)));
-  BOOST_TEST(answer(RateLimitNotice::unlimited(), milliseconds(210), milliseconds(310)));
+  respond(RateLimitNotice::of(2), milliseconds(70), milliseconds(200));
+  BOOST_TEST(!respond(RateLimitNotice::unlimited(), milliseconds(150), milliseconds(300)));
+  BOOST_TEST(respond(RateLimitNotice::unlimited(), milliseconds(210), milliseconds(310)));
   BOOST_TEST(!limit.perSecond().has_value());
 }
 
-BOOST_AUTO_TEST_CASE(LowerLimitCountsAtOnceAndAHigherOneFromALaterRequest) {
-  answer(RateLimitNotice::of(5), milliseconds(50), milliseconds(60));
-  BOOST_TEST(answer(RateLimitNotice::of(1), milliseconds(0), milliseconds(70)));
-  BOOST_TEST(!answer(RateLimitNotice::of(5), milliseconds(65), milliseconds(80)));
+BOOST_AUTO_TEST_CASE(LowerLimitAppliesAtOnceAndAHigherOneFromALaterRequest) {
+  respond(RateLimitNotice::of(5), milliseconds(50), milliseconds(60));
+  BOOST_TEST(respond(RateLimitNotice::of(1), milliseconds(0), milliseconds(70)));
+  BOOST_TEST(!respond(RateLimitNotice::of(5), milliseconds(65), milliseconds(80)));
   BOOST_TEST(limit.perSecond().value() == 1.0);
-  BOOST_TEST(answer(RateLimitNotice::of(5), milliseconds(75), milliseconds(90)));
+  BOOST_TEST(respond(RateLimitNotice::of(5), milliseconds(75), milliseconds(90)));
 }
 
-BOOST_AUTO_TEST_CASE(NoLimitEndsByTime) {
-  answer(RateLimitNotice::of(1), milliseconds(0), milliseconds(10));
-  BOOST_TEST(!answer({}, std::chrono::hours(1), std::chrono::hours(1)));
+BOOST_AUTO_TEST_CASE(LimitsDoNotExpire) {
+  respond(RateLimitNotice::of(1), milliseconds(0), milliseconds(10));
+  BOOST_TEST(!respond({}, std::chrono::hours(1), std::chrono::hours(1)));
   BOOST_TEST(limit.perSecond().value() == 1.0);
   BOOST_TEST((limit.known(kStart + seconds(5)).age == milliseconds(4990)));
 }
 
-BOOST_AUTO_TEST_CASE(WhatAnotherNodeKnewBeforeIsNoNews) {
-  answer(RateLimitNotice::of(1), milliseconds(0), milliseconds(10));
-  answer(RateLimitNotice::unlimited(), milliseconds(1000), milliseconds(1010));
+BOOST_AUTO_TEST_CASE(OlderReportOfAnotherNodeIsIgnored) {
+  respond(RateLimitNotice::of(1), milliseconds(0), milliseconds(10));
+  respond(RateLimitNotice::unlimited(), milliseconds(1000), milliseconds(1010));
   const auto now = kStart + seconds(5);
   BOOST_TEST(!limit.update(evidenceOf({RateLimitNotice::of(1), milliseconds(4500)}, now)));
   BOOST_TEST(!limit.perSecond().has_value());
@@ -71,14 +71,14 @@
   BOOST_TEST(limit.update(evidenceOf({RateLimitNotice::unlimited(), milliseconds(2000)}, now)));
 }
 
-BOOST_AUTO_TEST_CASE(RunThatNeverNamedALimitHasNothingToTell) {
-  answer(RateLimitNotice::unlimited(), milliseconds(0), milliseconds(10));
+BOOST_AUTO_TEST_CASE(InstanceWithoutALimitReportsNothing) {
+  respond(RateLimitNotice::unlimited(), milliseconds(0), milliseconds(10));
   BOOST_TEST((limit.known(kStart).notice.kind == RateLimitNotice::Kind::kNothing));
 }
 
-BOOST_AUTO_TEST_CASE(LimitThatCannotBeReadIsTakenNoteOfOnce) {
-  BOOST_TEST(limit.noteUnreadable());
-  BOOST_TEST(!limit.noteUnreadable());
+BOOST_AUTO_TEST_CASE(UnreadableLimitIsRecordedOnce) {
+  BOOST_TEST(limit.recordUnreadable());
+  BOOST_TEST(!limit.recordUnreadable());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/routing/part_lookup_test.cc
+++ b/tests/routing/part_lookup_test.cc
@@ -65,17 +65,17 @@
   }
 
   /// The answer that the node gets, and after which time.
-  std::vector<PartHolder> ask(std::size_t number, std::uint64_t part, CacheScope scope = 77) {
-    std::optional<std::vector<PartHolder>> answer;
-    const auto began = time.now();
+  std::vector<PartHolder> lookup(std::size_t number, std::uint64_t part, CacheScope scope = 77) {
+    std::optional<std::vector<PartHolder>> result;
+    const auto startedAt = time.now();
     nodes.at(number)->lookup.lookup(part, scope, [&](const auto& holders) {
-      BOOST_TEST(!answer.has_value());
-      answer = holders.value_or(std::vector<PartHolder>{});
-      took = time.now() - began;
+      BOOST_TEST(!result.has_value());
+      result = holders.value_or(std::vector<PartHolder>{});
+      elapsed = time.now() - startedAt;
     });
     time.advance(milliseconds(40));
-    BOOST_REQUIRE(answer.has_value());
-    return *answer;
+    BOOST_REQUIRE(result.has_value());
+    return *result;
   }
 
   /// The number of the node that the part has its home at, which learns the holder.
@@ -93,22 +93,22 @@
   std::vector<membership::Member> all;
   std::map<std::size_t, std::unique_ptr<LookupNode>> nodes;
   PartHolder holder{base::engineIdOf("r1"), 77};
-  base::Duration took{};
+  base::Duration elapsed{};
 };
 
 }  // namespace
 
 BOOST_FIXTURE_TEST_SUITE(PartLookupTest, LookupFixture)
 
-BOOST_AUTO_TEST_CASE(WhatOneNodeTellsAllOthersLearn) {
+BOOST_AUTO_TEST_CASE(HolderAnnouncedByOneNodeIsFoundByAllNodes) {
   nodes[2]->lookup.announce(9, holder);
   time.advance(milliseconds(5));
   for (std::size_t number = 0; number < kNodes; ++number)
-    BOOST_TEST((ask(number, 9) == std::vector{holder}));
-  BOOST_TEST(ask(1, 10).empty());
+    BOOST_TEST((lookup(number, 9) == std::vector{holder}));
+  BOOST_TEST(lookup(1, 10).empty());
 }
 
-BOOST_AUTO_TEST_CASE(HolderThatDroppedThePartIsForgotten) {
+BOOST_AUTO_TEST_CASE(HolderThatDroppedThePartIsRemoved) {
   const PartHolder other{base::engineIdOf("r2"), 77};
   nodes[2]->lookup.announce(9, holder);
   nodes[3]->lookup.announce(9, other);
@@ -116,14 +116,14 @@
   nodes[4]->lookup.announce(9, holder, false);
   time.advance(milliseconds(5));
   for (std::size_t number = 0; number < kNodes; ++number)
-    BOOST_TEST((ask(number, 9) == std::vector{other}));
+    BOOST_TEST((lookup(number, 9) == std::vector{other}));
 }
 
-BOOST_AUTO_TEST_CASE(LatestHoldersComeFirstAndAreBounded) {
+BOOST_AUTO_TEST_CASE(HoldersAreOrderedByRecencyAndBounded) {
   PartIndex index;
   for (std::uint64_t number = 0; number < 20; ++number)
-    index.learn(9, {base::EngineId{number}, 1}, time.now());
-  index.learn(9, {base::EngineId{17}, 1}, time.now());
+    index.add(9, {base::EngineId{number}, 1}, time.now());
+  index.add(9, {base::EngineId{17}, 1}, time.now());
   const auto holders = index.holdersOf(9, 1, time.now());
   BOOST_TEST(holders.size() == 6U);
   BOOST_TEST((holders.front() == PartHolder{base::EngineId{17}, 1}));
@@ -140,40 +140,40 @@
   }
   time.advance(milliseconds(5));
   for (std::uint64_t scope = 0; scope < kScopes; ++scope) {
-    const auto holders = ask(scope % kNodes, 9, scope);
-    BOOST_TEST(holders.size() == PartIndexOptions{}.mostHolders);
+    const auto holders = lookup(scope % kNodes, 9, scope);
+    BOOST_TEST(holders.size() == PartIndexOptions{}.maximumHolders);
     for (const auto& found : holders) BOOST_TEST(found.scope == scope);
   }
 }
 
 BOOST_AUTO_TEST_CASE(HoldersUnderAllScopesAreBounded) {
   PartIndex index;
-  const auto most = PartIndexOptions{}.mostHoldersInAll;
-  for (std::uint64_t scope = 0; scope < 2 * most; ++scope)
-    index.learn(9, {base::EngineId{1}, scope}, time.now());
-  BOOST_TEST(index.holdersOf(9, most - 1, time.now()).empty());
-  BOOST_TEST(index.holdersOf(9, most, time.now()).size() == 1U);
+  const auto maximum = PartIndexOptions{}.maximumHoldersOfAllScopes;
+  for (std::uint64_t scope = 0; scope < 2 * maximum; ++scope)
+    index.add(9, {base::EngineId{1}, scope}, time.now());
+  BOOST_TEST(index.holdersOf(9, maximum - 1, time.now()).empty());
+  BOOST_TEST(index.holdersOf(9, maximum, time.now()).size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(FullIndexDropsWhatIsForgotten) {
+BOOST_AUTO_TEST_CASE(FullIndexDropsExpiredParts) {
   PartIndexOptions options;
-  options.mostParts = 10;
+  options.maximumParts = 10;
   PartIndex index(options);
-  for (std::uint64_t part = 0; part < 30; ++part) index.learn(part, holder, time.now());
+  for (std::uint64_t part = 0; part < 30; ++part) index.add(part, holder, time.now());
   BOOST_TEST(index.size() == 10U);
-  index.learn(99, holder, time.now() + seconds(90));
+  index.add(99, holder, time.now() + seconds(90));
   BOOST_TEST(index.size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(DeadHomeCostsMillisecondsOnceASecond) {
+BOOST_AUTO_TEST_CASE(DeadHomeCausesOneTimeoutPerSecond) {
   const auto home = homeOf(9);
   BOOST_REQUIRE(home < kNodes);
-  const std::size_t asker = home == 0 ? 1 : 0;
+  const std::size_t queryingNode = home == 0 ? 1 : 0;
   stop(home);
-  BOOST_TEST(ask(asker, 9).empty());
-  BOOST_TEST((took == milliseconds(15)));
-  BOOST_TEST(ask(asker, 9).empty());
-  BOOST_TEST((took == milliseconds(0)));
+  BOOST_TEST(lookup(queryingNode, 9).empty());
+  BOOST_TEST((elapsed == milliseconds(15)));
+  BOOST_TEST(lookup(queryingNode, 9).empty());
+  BOOST_TEST((elapsed == milliseconds(0)));
   // Once its death is known another one is home, and learns from what is told next.
   auto left = all;
   left.erase(left.begin() + static_cast<std::ptrdiff_t>(home));
@@ -183,20 +183,20 @@
                            std::ranges::find(ownFirst, all[number].id, &membership::Member::id));
     node->members.set(ownFirst);
   }
-  nodes[asker]->lookup.announce(9, holder);
+  nodes[queryingNode]->lookup.announce(9, holder);
   time.advance(milliseconds(5));
-  for (const auto& [number, node] : nodes) BOOST_TEST((ask(number, 9) == std::vector{holder}));
+  for (const auto& [number, node] : nodes) BOOST_TEST((lookup(number, 9) == std::vector{holder}));
 }
 
-BOOST_AUTO_TEST_CASE(RestartedHomeKnowsNothingAndIsToldAgain) {
+BOOST_AUTO_TEST_CASE(RestartedHomeIsRefilledByAnnouncements) {
   const auto home = homeOf(9);
   BOOST_REQUIRE(home < kNodes);
   stop(home);
   start(home);
-  BOOST_TEST(ask((home + 1) % kNodes, 9).empty());
+  BOOST_TEST(lookup((home + 1) % kNodes, 9).empty());
   nodes[(home + 2) % kNodes]->lookup.announce(9, holder);
   time.advance(milliseconds(5));
-  BOOST_TEST((ask((home + 1) % kNodes, 9) == std::vector{holder}));
+  BOOST_TEST((lookup((home + 1) % kNodes, 9) == std::vector{holder}));
 }
 
 BOOST_AUTO_TEST_CASE(MalformedMessagesAreDropped) {
@@ -206,22 +206,22 @@
 
 // A history of random notices under loss, checked: no answer names a holder that was never told for
 // this part, and every call is answered once, in time.
-BOOST_AUTO_TEST_CASE(AnswersUnderLossAreTrueAndInTime) {
+BOOST_AUTO_TEST_CASE(RepliesUnderLossAreCorrectAndInTime) {
   network.loss = 0.3;
   base::SeededRandom random{5};
-  std::map<std::uint64_t, std::set<std::uint64_t>> told;
+  std::map<std::uint64_t, std::set<std::uint64_t>> reported;
   for (int step = 0; step < 400; ++step) {
     const std::uint64_t part = random.below(20);
     const auto number = random.below(kNodes);
     if (random.below(2) == 0) {
       const PartHolder one{base::EngineId{1 + random.below(6)}, 7};
-      told[part].insert(one.replica.value);
+      reported[part].insert(one.replica.value);
       nodes[number]->lookup.announce(part, one);
       continue;
     }
-    for (const auto& found : ask(number, part, 7))
-      BOOST_TEST(told[part].contains(found.replica.value));
-    BOOST_TEST((took <= milliseconds(15)));
+    for (const auto& found : lookup(number, part, 7))
+      BOOST_TEST(reported[part].contains(found.replica.value));
+    BOOST_TEST((elapsed <= milliseconds(15)));
   }
 }
 
--- a/tests/routing/placement_fixture.h
+++ b/tests/routing/placement_fixture.h
@@ -93,46 +93,46 @@
       request.candidates.push_back({record(node, number), 5, {1100, 1000, kSlots, 90'000}, {}});
     return request;
   }
-  PlacementResult ask(std::size_t node, const std::vector<std::size_t>& candidates) {
-    return askFor(node, requestOf(node, candidates));
+  PlacementResult place(std::size_t node, const std::vector<std::size_t>& candidates) {
+    return placeRequest(node, requestOf(node, candidates));
   }
-  PlacementResult askFor(std::size_t node, PlacementRequest request) {
-    const auto placed = begin(node, std::move(request));
+  PlacementResult placeRequest(std::size_t node, PlacementRequest request) {
+    const auto placed = startPlacing(node, std::move(request));
     time.advance(milliseconds(120));
     BOOST_REQUIRE(placed->result.has_value());
-    took = placed->took;
+    elapsed = placed->elapsed;
     return *placed->result;
   }
   /// A request that is being placed.
   struct Placing {
     Placement::Ticket ticket = 0;
     std::optional<PlacementResult> result;
-    base::Duration took{};
+    base::Duration elapsed{};
 
     bool granted() const { return result && result->grant.has_value(); }
     bool refused() const { return result && result->retryAfter.has_value(); }
   };
-  std::shared_ptr<Placing> begin(std::size_t node, PlacementRequest request) {
+  std::shared_ptr<Placing> startPlacing(std::size_t node, PlacementRequest request) {
     auto placed = std::make_shared<Placing>();
     auto& placement = nodes.at(node)->placement;
     placed->ticket = placement.newTicket();
     placement.place(placed->ticket, std::move(request),
-                    [this, placed, began = time.now()](const PlacementResult& given) {
+                    [this, placed, startedAt = time.now()](const PlacementResult& placementResult) {
                       BOOST_TEST(!placed->result.has_value());
-                      placed->result = given;
-                      placed->took = time.now() - began;
+                      placed->result = placementResult;
+                      placed->elapsed = time.now() - startedAt;
                     });
     return placed;
   }
 
   /// Gives the replica as many requests as it takes, all from node 0; whether their answers have
   /// begun.
-  std::vector<PlacementGrant> fill(std::size_t replica, bool answersBegun = true) {
+  std::vector<PlacementGrant> fill(std::size_t replica, bool responsesStarted = true) {
     std::vector<PlacementGrant> grants;
     for (std::size_t count = 0; count < kSlots + 1; ++count) {
       const PlacementCandidate candidate{record(0, replica), 5, {1100, 1000, kSlots, 90'000}, {}};
       grants.push_back(nodes.at(0)->placement.dispatchUngranted(candidate));
-      if (answersBegun) nodes.at(0)->placement.reportStarted(grants.back());
+      if (responsesStarted) nodes.at(0)->placement.reportStarted(grants.back());
       time.advance(milliseconds(2));
     }
     return grants;
@@ -143,7 +143,7 @@
   DelayedNetwork network{time, 3};
   std::vector<membership::Member> all;
   std::map<std::size_t, std::unique_ptr<PlacementNode>> nodes;
-  base::Duration took{};
+  base::Duration elapsed{};
 };
 
 }  // namespace covewing::routing::testing
