--- a/tests/routing/placement_queue_test.cc
+++ b/tests/routing/placement_queue_test.cc
@@ -25,29 +25,27 @@
 
   std::size_t home() { return homeOf(3); }
   /// A node that is home to neither replica, nor the one whose requests fill them.
-  std::size_t asker() {
+  std::size_t queryingNode() {
     for (std::size_t node = kNodes - 1; node > 0; --node)
       if (node != homeOf(3) && node != homeOf(5)) return node;
     return 0;
   }
-  Placed waitAt(std::size_t node, const std::vector<std::size_t>& candidates,
-                std::uint32_t urgency = 1) {
+  Placed queueAt(std::size_t node, const std::vector<std::size_t>& candidates,
+                 std::uint32_t urgency = 1) {
     auto request = requestOf(node, candidates);
     request.constraints.urgency = urgency;
     request.constraints.softStartDeadline = time.now() + seconds(3);
     request.constraints.hardStartDeadline = time.now() + seconds(6);
-    auto placed = begin(node, std::move(request));
+    auto placed = startPlacing(node, std::move(request));
     time.advance(milliseconds(6));
     return placed;
   }
-  void endOne(std::vector<PlacementGrant>& grants) {
+  void endOneRequest(std::vector<PlacementGrant>& grants) {
     nodes.at(0)->placement.reportEnded(grants.back(), PlacementOutcome::kServed);
     grants.pop_back();
     time.advance(milliseconds(5));
   }
-  std::size_t waitingAt(std::size_t node) {
-    return nodes.at(node)->placement.counters().queuedHere;
-  }
+  std::size_t queuedAt(std::size_t node) { return nodes.at(node)->placement.counters().queuedHere; }
   /// Requests that the replica's home counts there.
   std::size_t granted(const std::vector<Placed>& placed) {
     return static_cast<std::size_t>(
@@ -62,81 +60,82 @@
 
 BOOST_FIXTURE_TEST_SUITE(PlacementQueueTest, QueueFixture)
 
-BOOST_AUTO_TEST_CASE(WaitingRequestIsGrantedByMessageWhenRoomFallsFree) {
-  const auto placed = waitAt(asker(), {3});
+BOOST_AUTO_TEST_CASE(QueuedRequestIsGrantedByMessageWhenCapacityIsFreed) {
+  const auto placed = queueAt(queryingNode(), {3});
   const auto sent = network.sent;
   time.advance(milliseconds(300));
   BOOST_TEST(!placed->result.has_value());
   BOOST_TEST(network.sent == sent);
-  endOne(first);
+  endOneRequest(first);
   BOOST_REQUIRE(placed->granted());
-  BOOST_TEST(waitingAt(home()) == 0U);
+  BOOST_TEST(queuedAt(home()) == 0U);
   // The end, and the grant.
   BOOST_TEST(network.sent - sent <= 2U);
 }
 
-BOOST_AUTO_TEST_CASE(MostUrgentOfThoseThatWaitGoesFirstAndAFreshOneDoesNotOvertakeIt) {
-  const auto usual = waitAt(asker(), {3}, 2);
-  const auto urgent = waitAt(asker(), {3}, 0);
+BOOST_AUTO_TEST_CASE(MostUrgentQueuedRequestIsGrantedBeforeANewOne) {
+  const auto usual = queueAt(queryingNode(), {3}, 2);
+  const auto urgent = queueAt(queryingNode(), {3}, 0);
   nodes.at(0)->placement.reportEnded(first.back(), PlacementOutcome::kServed);
-  const auto fresh = begin(asker(), requestOf(asker(), {3}));
+  const auto fresh = startPlacing(queryingNode(), requestOf(queryingNode(), {3}));
   time.advance(milliseconds(10));
   BOOST_TEST(urgent->granted());
   BOOST_TEST(!usual->granted());
   BOOST_TEST(!fresh->granted());
 }
 
-BOOST_AUTO_TEST_CASE(NeighbourWithRoomIsTakenBeforeAQueueIsJoined) {
-  const auto placed = waitAt(asker(), {3, 5, 7});
+BOOST_AUTO_TEST_CASE(ReplicaWithCapacityIsPreferredToJoiningAQueue) {
+  const auto placed = queueAt(queryingNode(), {3, 5, 7});
   BOOST_REQUIRE(placed->granted());
   BOOST_TEST(placed->result->candidate.value() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(AfterTwoHomesWithQueuesNoOtherIsAsked) {
-  const auto one = waitAt(asker(), {3});
-  const auto other = waitAt(asker(), {5});
+BOOST_AUTO_TEST_CASE(NoFurtherHomeIsQueriedAfterTwoQueues) {
+  const auto one = queueAt(queryingNode(), {3});
+  const auto other = queueAt(queryingNode(), {5});
   time.advance(milliseconds(150));
-  const auto placed = waitAt(asker(), {3, 5, 7});
+  const auto placed = queueAt(queryingNode(), {3, 5, 7});
   BOOST_TEST(!placed->result.has_value());
-  BOOST_TEST(waitingAt(homeOf(3)) + waitingAt(homeOf(5)) >= 3U);
+  BOOST_TEST(queuedAt(homeOf(3)) + queuedAt(homeOf(5)) >= 3U);
 }
 
-BOOST_AUTO_TEST_CASE(CallerThatLeavesLeavesTheQueueAtOnce) {
-  const auto placed = waitAt(asker(), {3});
-  BOOST_TEST(waitingAt(home()) == 1U);
-  nodes.at(asker())->placement.cancel(placed->ticket);
+BOOST_AUTO_TEST_CASE(CancelledRequestLeavesTheQueueAtOnce) {
+  const auto placed = queueAt(queryingNode(), {3});
+  BOOST_TEST(queuedAt(home()) == 1U);
+  nodes.at(queryingNode())->placement.cancel(placed->ticket);
   time.advance(milliseconds(3));
-  BOOST_TEST(waitingAt(home()) == 0U);
-  endOne(first);
+  BOOST_TEST(queuedAt(home()) == 0U);
+  endOneRequest(first);
   BOOST_TEST(!placed->result.has_value());
 }
 
-BOOST_AUTO_TEST_CASE(NodeThatStopsWithRequestsQueuedWithdrawsThem) {
-  for (int count = 0; count < 5; ++count) waitAt(asker(), {3});
+BOOST_AUTO_TEST_CASE(StoppingNodeWithdrawsItsQueuedRequests) {
+  for (int count = 0; count < 5; ++count) queueAt(queryingNode(), {3});
   const auto where = home();
-  BOOST_TEST(waitingAt(where) == 5U);
-  nodes.erase(asker());
+  BOOST_TEST(queuedAt(where) == 5U);
+  nodes.erase(queryingNode());
   time.advance(milliseconds(3));
-  BOOST_TEST(waitingAt(where) == 0U);
+  BOOST_TEST(queuedAt(where) == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(QueuedRequestThatCannotBeServedIsRefusedWithATimeToComeBack) {
-  auto request = requestOf(asker(), {3});
+BOOST_AUTO_TEST_CASE(UnservableQueuedRequestIsRefusedWithARetryTime) {
+  auto request = requestOf(queryingNode(), {3});
   request.constraints.hardStartDeadline = time.now() + milliseconds(500);
-  const auto placed = begin(asker(), request);
+  const auto placed = startPlacing(queryingNode(), request);
   time.advance(milliseconds(700));
   BOOST_REQUIRE(placed->refused());
   BOOST_TEST((*placed->result->retryAfter > milliseconds(0)));
-  BOOST_TEST(waitingAt(home()) == 0U);
+  BOOST_TEST(queuedAt(home()) == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(ReplicaThatChangesItsWeightsSendsAllThatWaitElsewhere) {
-  const auto placed = waitAt(asker(), {3, 5});
-  std::vector<Placed> waiting{placed, waitAt(asker(), {3}), waitAt(asker(), {3, 7})};
+BOOST_AUTO_TEST_CASE(ReplicaThatLoadsWeightsReleasesItsQueue) {
+  const auto placed = queueAt(queryingNode(), {3, 5});
+  std::vector<Placed> waiting{placed, queueAt(queryingNode(), {3}),
+                              queueAt(queryingNode(), {3, 7})};
   nodes.at(home())->replicas.find("r3")->setLoadingWeights(time.now() + seconds(2));
   time.advance(milliseconds(60));
-  BOOST_TEST(waitingAt(home()) == 0U);
-  endOne(second);
+  BOOST_TEST(queuedAt(home()) == 0U);
+  endOneRequest(second);
   BOOST_TEST(placed->granted());
   // Without another candidate the request is told that there is none.
   BOOST_REQUIRE(waiting[1]->result.has_value());
@@ -144,16 +143,16 @@
   BOOST_TEST(waiting[2]->granted());
 }
 
-BOOST_AUTO_TEST_CASE(HomeThatDiesWithAQueueOf200LosesNoRequestAndServesNoneTwice) {
+BOOST_AUTO_TEST_CASE(HomeThatDiesWithAQueueOf200LosesAndRepeatsNoRequest) {
   std::vector<Placed> waiting;
   for (std::size_t count = 0; count < 200; ++count) {
-    auto request = requestOf(asker(), {3, 5});
+    auto request = requestOf(queryingNode(), {3, 5});
     request.constraints.softStartDeadline = time.now() + seconds(30);
     request.constraints.hardStartDeadline = time.now() + seconds(60);
-    waiting.push_back(begin(asker(), std::move(request)));
+    waiting.push_back(startPlacing(queryingNode(), std::move(request)));
   }
   time.advance(milliseconds(100));
-  const auto before = waitingAt(home());
+  const auto before = queuedAt(home());
   BOOST_TEST(before > 50U);
   network.cut.insert(all[home()].endpoint.address);
   // The promise, its margin, and a question with its time-out.
@@ -162,34 +161,34 @@
       std::ranges::count_if(waiting, [](const auto& one) { return !one->result; }));
   const auto refused = static_cast<std::size_t>(
       std::ranges::count_if(waiting, [](const auto& one) { return one->refused(); }));
-  BOOST_TEST(open == waitingAt(homeOf(5)));
+  BOOST_TEST(open == queuedAt(homeOf(5)));
   BOOST_TEST(open + refused + granted(waiting) == waiting.size());
 }
 
-BOOST_AUTO_TEST_CASE(LostGrantIsWithdrawnAndItsPlaceIsFreeAgain) {
-  const auto placed = waitAt(asker(), {3, 5});
-  const auto address = all[asker()].endpoint.address;
+BOOST_AUTO_TEST_CASE(LostGrantIsWithdrawnAndItsSlotIsFreed) {
+  const auto placed = queueAt(queryingNode(), {3, 5});
+  const auto address = all[queryingNode()].endpoint.address;
   network.filter = [&](const base::Endpoint& destination, std::string_view payload) {
     const auto message = decodePlacementMessage(payload);
-    const auto* answer = message ? std::get_if<PlacementReply>(&*message) : nullptr;
-    return destination.address == address && answer != nullptr && answer->granted();
+    const auto* reply = message ? std::get_if<PlacementReply>(&*message) : nullptr;
+    return destination.address == address && reply != nullptr && reply->granted();
   };
-  endOne(first);
+  endOneRequest(first);
   BOOST_TEST(!placed->result.has_value());
   network.filter = {};
   // Within its promise the request waits elsewhere, or is granted again.
   time.advance(milliseconds(500));
-  const auto other = waitAt(asker(), {3});
+  const auto other = queueAt(queryingNode(), {3});
   BOOST_TEST((placed->granted() || other->granted()));
-  endOne(second);
+  endOneRequest(second);
   BOOST_TEST(placed->granted());
 }
 
-BOOST_AUTO_TEST_CASE(GrantThatComesTwiceOrForAnUnknownRequestIsWithdrawn) {
-  PlacementReply answer;
-  answer.id = 4711;
-  answer.replica = base::engineIdOf("r3");
-  answer.verdict = PlacementVerdict::kGranted;
+BOOST_AUTO_TEST_CASE(DuplicateOrUnknownGrantIsWithdrawn) {
+  PlacementReply reply;
+  reply.id = 4711;
+  reply.replica = base::engineIdOf("r3");
+  reply.verdict = PlacementVerdict::kGranted;
   std::size_t withdrawn = 0;
   network.filter = [&](const base::Endpoint&, std::string_view payload) {
     const auto message = decodePlacementMessage(payload);
@@ -200,41 +199,42 @@
   };
   const auto& member = all[home()];
   for (int count = 0; count < 2; ++count)
-    nodes.at(asker())->placement.onPeerMessage({member.id, 1, member.endpoint}, encode(answer));
+    nodes.at(queryingNode())
+        ->placement.onPeerMessage({member.id, 1, member.endpoint}, encode(reply));
   BOOST_TEST(withdrawn == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(LostAnswerThatARequestIsQueuedCostsItAFewMillisecondsAndNoPlaceIsKept) {
+BOOST_AUTO_TEST_CASE(LostQueuedReplyTimesOutAndLeavesNoQueueEntry) {
   network.filter = [](const base::Endpoint&, std::string_view payload) {
     const auto message = decodePlacementMessage(payload);
-    const auto* answer = message ? std::get_if<PlacementReply>(&*message) : nullptr;
-    return answer != nullptr && answer->verdict == PlacementVerdict::kQueued;
+    const auto* reply = message ? std::get_if<PlacementReply>(&*message) : nullptr;
+    return reply != nullptr && reply->verdict == PlacementVerdict::kQueued;
   };
-  const auto placed = waitAt(asker(), {3});
-  BOOST_TEST(waitingAt(home()) == 1U);
+  const auto placed = queueAt(queryingNode(), {3});
+  BOOST_TEST(queuedAt(home()) == 1U);
   time.advance(milliseconds(30));
-  BOOST_TEST(waitingAt(home()) == 0U);
+  BOOST_TEST(queuedAt(home()) == 0U);
   BOOST_REQUIRE(placed->result.has_value());
   BOOST_TEST(!placed->granted());
 }
 
-BOOST_AUTO_TEST_CASE(RequestsOfANodeThatDiedLeaveTheQueue) {
-  waitAt(asker(), {3});
-  const auto other = waitAt(homeOf(5), {3});
+BOOST_AUTO_TEST_CASE(RequestsOfADeadNodeLeaveTheQueue) {
+  queueAt(queryingNode(), {3});
+  const auto other = queueAt(homeOf(5), {3});
   auto members = nodes.at(home())->members.liveMembers();
-  const auto dead = std::ranges::find(members, all[asker()].id, &membership::Member::id);
+  const auto dead = std::ranges::find(members, all[queryingNode()].id, &membership::Member::id);
   dead->state = membership::MemberState::kDead;
-  network.cut.insert(all[asker()].endpoint.address);
+  network.cut.insert(all[queryingNode()].endpoint.address);
   nodes.at(home())->members.set(members);
   time.advance(milliseconds(60));
-  BOOST_TEST(waitingAt(home()) == 1U);
-  endOne(first);
+  BOOST_TEST(queuedAt(home()) == 1U);
+  endOneRequest(first);
   BOOST_TEST(other->granted());
 }
 
 // The node that was home takes another one for it: what waits there asks the new home.
-BOOST_AUTO_TEST_CASE(HomeThatSeesAnotherHomeSendsAllThatWaitElsewhere) {
-  const auto placed = waitAt(asker(), {3, 5});
+BOOST_AUTO_TEST_CASE(HomeReleasesItsQueueWhenAnotherNodeBecomesHome) {
+  const auto placed = queueAt(queryingNode(), {3, 5});
   const auto old = home();
   auto members = nodes.at(old)->members.liveMembers();
   auto draining = all[old];
@@ -243,61 +243,61 @@
   members.push_back(draining);
   nodes.at(old)->members.set(members);
   time.advance(milliseconds(60));
-  BOOST_TEST(waitingAt(old) == 0U);
+  BOOST_TEST(queuedAt(old) == 0U);
   BOOST_TEST(!placed->result.has_value());
-  endOne(second);
+  endOneRequest(second);
   BOOST_TEST(placed->granted());
 }
 
 // Two nodes take themselves for the home of one replica: each grants what it counts, and no request
 // is granted by both.
-BOOST_AUTO_TEST_CASE(TwoHomesAtOnceGrantEachRequestOnce) {
-  const auto other = asker();
+BOOST_AUTO_TEST_CASE(TwoConcurrentHomesGrantEachRequestOnce) {
+  const auto other = queryingNode();
   auto members = nodes.at(other)->members.liveMembers();
   std::erase_if(members, [&](const auto& member) { return member.id == all[home()].id; });
   nodes.at(other)->members.set(members);
-  std::vector<Placed> asking;
-  for (int count = 0; count < 10; ++count) asking.push_back(waitAt(other, {3}));
-  for (int count = 0; count < 10; ++count) asking.push_back(waitAt(homeOf(5), {3}));
-  while (!first.empty()) endOne(first);
+  std::vector<Placed> placing;
+  for (int count = 0; count < 10; ++count) placing.push_back(queueAt(other, {3}));
+  for (int count = 0; count < 10; ++count) placing.push_back(queueAt(homeOf(5), {3}));
+  while (!first.empty()) endOneRequest(first);
   time.advance(milliseconds(50));
-  const auto given = granted(asking);
+  const auto given = granted(placing);
   BOOST_TEST(given >= kSlots);
   BOOST_TEST(given <= 2 * (kSlots + 1));
 }
 
-BOOST_AUTO_TEST_CASE(HomeKeepsItsPromiseWhileRequestsWaitLong) {
-  const auto placed = waitAt(asker(), {3});
+BOOST_AUTO_TEST_CASE(HomeSendsUpdatesWhileRequestsWaitLong) {
+  const auto placed = queueAt(queryingNode(), {3});
   time.advance(milliseconds(2500));
   BOOST_TEST(!placed->result.has_value());
-  BOOST_TEST(nodes.at(asker())->placement.counters().queueUpdatesMissed == 0U);
-  endOne(first);
+  BOOST_TEST(nodes.at(queryingNode())->placement.counters().queueUpdatesMissed == 0U);
+  endOneRequest(first);
   BOOST_TEST(placed->granted());
 }
 
-BOOST_AUTO_TEST_CASE(AllNodesThatAskAtOnceGetWhatThereIsAndNoMore) {
-  endOne(first);
-  endOne(first);
-  std::vector<Placed> asking;
+BOOST_AUTO_TEST_CASE(ConcurrentQueriesGetOnlyTheFreeCapacity) {
+  endOneRequest(first);
+  endOneRequest(first);
+  std::vector<Placed> placing;
   for (std::size_t round = 0; round < 13; ++round)
     for (std::size_t node = 0; node < kNodes; ++node) {
       auto request = requestOf(node, {3});
       request.constraints.softStartDeadline = time.now() + seconds(20);
       request.constraints.hardStartDeadline = time.now() + seconds(30);
-      asking.push_back(begin(node, std::move(request)));
+      placing.push_back(startPlacing(node, std::move(request)));
     }
   time.advance(milliseconds(20));
-  BOOST_TEST(granted(asking) <= 2U);
-  BOOST_TEST(granted(asking) >= 1U);
+  BOOST_TEST(granted(placing) <= 2U);
+  BOOST_TEST(granted(placing) >= 1U);
 }
 
 // More is asked than two replicas serve: each request is asked for a few times in all, however long
 // it waits.
-BOOST_AUTO_TEST_CASE(ShortageCostsAtMostEightMessagesADispatch) {
+BOOST_AUTO_TEST_CASE(ShortageCostsAtMostEightMessagesPerDispatch) {
   std::vector<std::pair<base::TimePoint, std::pair<std::size_t, PlacementGrant>>> running;
   for (auto* grants : {&first, &second})
     for (const auto& grant : *grants) running.emplace_back(time.now(), std::pair{0, grant});
-  std::vector<std::pair<std::size_t, Placed>> asking;
+  std::vector<std::pair<std::size_t, Placed>> placing;
   std::size_t dispatched = 0;
   const auto before = network.sent;
   for (int step = 0; step < 1000; ++step) {
@@ -308,10 +308,10 @@
       request.constraints.urgency = static_cast<std::uint32_t>(network.random.below(3));
       request.constraints.softStartDeadline = time.now() + milliseconds(800);
       request.constraints.hardStartDeadline = time.now() + seconds(3);
-      asking.emplace_back(node, begin(node, std::move(request)));
+      placing.emplace_back(node, startPlacing(node, std::move(request)));
     }
     time.advance(milliseconds(10));
-    for (auto& [node, placed] : asking) {
+    for (auto& [node, placed] : placing) {
       if (!placed || !placed->result) continue;
       if (placed->granted()) {
         ++dispatched;
--- a/tests/routing/placement_test.cc
+++ b/tests/routing/placement_test.cc
@@ -25,31 +25,31 @@
 
 BOOST_AUTO_TEST_CASE(IdleFirstCandidateIsGrantedInOneRoundTrip) {
   for (std::size_t node = 0; node < kNodes; ++node) {
-    const auto result = ask(node, {node, 7});
+    const auto result = place(node, {node, 7});
     BOOST_TEST(result.candidate.value() == 0U);
     BOOST_TEST(result.queriesSent == 1U);
-    BOOST_TEST((took <= milliseconds(2)));
+    BOOST_TEST((elapsed <= milliseconds(2)));
     nodes[node]->placement.reportEnded(*result.grant, PlacementOutcome::kServed);
   }
 }
 
-BOOST_AUTO_TEST_CASE(WorkOfAllNodesCounts) {
+BOOST_AUTO_TEST_CASE(WorkOfAllNodesIsCounted) {
   // Each node sends one request or two; together they are as many as the replicas run, and one
   // more that begins there as soon as another ends.
-  constexpr std::size_t kMost = 2 * (kSlots + 1);
+  constexpr std::size_t kMaximum = 2 * (kSlots + 1);
   std::map<std::size_t, std::size_t> placed;
   std::vector<std::pair<std::size_t, PlacementGrant>> grants;
-  for (std::size_t count = 0; count < kMost; ++count) {
+  for (std::size_t count = 0; count < kMaximum; ++count) {
     const auto node = count % kNodes;
-    const auto result = ask(node, {3, 5});
+    const auto result = place(node, {3, 5});
     BOOST_REQUIRE(result.candidate.has_value());
     ++placed[*result.candidate];
     nodes[node]->placement.reportStarted(*result.grant);
     grants.emplace_back(node, *result.grant);
   }
-  BOOST_TEST(placed[0] == kMost / 2);
-  BOOST_TEST(placed[1] == kMost / 2);
-  const auto waiting = begin(0, requestOf(0, {3, 5}));
+  BOOST_TEST(placed[0] == kMaximum / 2);
+  BOOST_TEST(placed[1] == kMaximum / 2);
+  const auto waiting = startPlacing(0, requestOf(0, {3, 5}));
   time.advance(milliseconds(120));
   BOOST_TEST(!waiting->result.has_value());
   for (const auto& [node, grant] : grants)
@@ -58,36 +58,36 @@
   BOOST_REQUIRE(waiting->granted());
   nodes[0]->placement.reportStarted(*waiting->result->grant);
   time.advance(milliseconds(5));
-  BOOST_TEST(ask(0, {3, 5}).candidate.value() == 0U);
+  BOOST_TEST(place(0, {3, 5}).candidate.value() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(PromptsThatAreBeingReadCountUntilTheAnswerBegins) {
-  const auto first = ask(0, {3});
-  auto second = ask(1, {3, 5});
+BOOST_AUTO_TEST_CASE(PendingPrefillsCountUntilTheResponseStarts) {
+  const auto first = place(0, {3});
+  auto second = place(1, {3, 5});
   BOOST_TEST(second.candidate.value() == 1U);
   nodes[0]->placement.reportStarted(*first.grant);
   time.advance(milliseconds(5));
-  BOOST_TEST(ask(2, {3, 5}).candidate.value() == 0U);
+  BOOST_TEST(place(2, {3, 5}).candidate.value() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(ShortestWaitIsTakenWhereNoneIsShortEnough) {
-  ask(0, {3});
-  ask(0, {3});
-  ask(1, {5});
-  const auto result = ask(2, {3, 5});
+BOOST_AUTO_TEST_CASE(ShortestWaitIsSelectedWhenNoneIsAcceptable) {
+  place(0, {3});
+  place(0, {3});
+  place(1, {5});
+  const auto result = place(2, {3, 5});
   BOOST_TEST(result.candidate.value() == 1U);
   BOOST_TEST((result.wait > milliseconds(40)));
   // It is counted at its home, too.
-  BOOST_TEST((ask(2, {5}).wait > result.wait));
+  BOOST_TEST((place(2, {5}).wait > result.wait));
 }
 
-BOOST_AUTO_TEST_CASE(WhereEachWaitIsTooLongTheRequestWaitsAtTheShortestUntilItIsInTime) {
-  ask(0, {3});
-  ask(0, {3});
-  const auto ahead = ask(1, {5});
+BOOST_AUTO_TEST_CASE(RequestIsQueuedAtTheShortestWaitUntilItIsInTime) {
+  place(0, {3});
+  place(0, {3});
+  const auto ahead = place(1, {5});
   auto request = requestOf(2, {3, 5});
   request.constraints.softStartDeadline = time.now() + milliseconds(45);
-  const auto waiting = begin(2, request);
+  const auto waiting = startPlacing(2, request);
   time.advance(milliseconds(20));
   BOOST_TEST(!waiting->result.has_value());
   nodes[1]->placement.reportStarted(*ahead.grant);
@@ -96,94 +96,94 @@
   BOOST_TEST(waiting->result->candidate.value() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(SilentHomeCostsATimeOutAndThenNothing) {
+BOOST_AUTO_TEST_CASE(UnresponsiveHomeCausesTimeOutsAndIsThenAvoided) {
   const auto home = homeOf(3);
   stop(home);
-  const std::size_t asker = (home + 1) % kNodes;
+  const std::size_t queryingNode = (home + 1) % kNodes;
   const auto other = homeOf(5) == home ? std::size_t{2} : std::size_t{5};
-  auto result = ask(asker, {3, other});
+  auto result = place(queryingNode, {3, other});
   BOOST_TEST(result.candidate.value() == 1U);
-  BOOST_TEST((took >= milliseconds(25) && took < milliseconds(30)));
-  nodes[asker]->placement.reportEnded(*result.grant, PlacementOutcome::kServed);
-  result = ask(asker, {3, other});
-  nodes[asker]->placement.reportEnded(*result.grant, PlacementOutcome::kServed);
-  result = ask(asker, {3, other});
-  BOOST_TEST((took <= milliseconds(2)));
+  BOOST_TEST((elapsed >= milliseconds(25) && elapsed < milliseconds(30)));
+  nodes[queryingNode]->placement.reportEnded(*result.grant, PlacementOutcome::kServed);
+  result = place(queryingNode, {3, other});
+  nodes[queryingNode]->placement.reportEnded(*result.grant, PlacementOutcome::kServed);
+  result = place(queryingNode, {3, other});
+  BOOST_TEST((elapsed <= milliseconds(2)));
   BOOST_TEST(result.queriesSent == 1U);
-  const auto alone = ask(asker, {3});
+  const auto alone = place(queryingNode, {3});
   BOOST_TEST(!alone.candidate.has_value());
   BOOST_TEST(alone.repliesReceived == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(HomeThatStartsAgainGrantsFromAnEmptyLedger) {
+BOOST_AUTO_TEST_CASE(RestartedHomeGrantsFromAnEmptyLedger) {
   fill(3);
-  const auto waiting = begin(0, requestOf(0, {3}));
+  const auto waiting = startPlacing(0, requestOf(0, {3}));
   time.advance(milliseconds(20));
   BOOST_TEST(!waiting->result.has_value());
   start(homeOf(3));
-  BOOST_TEST(ask(0, {3}).candidate.has_value());
+  BOOST_TEST(place(0, {3}).candidate.has_value());
 }
 
-BOOST_AUTO_TEST_CASE(FailuresThatOneNodeFoundKeepAllOthersAway) {
-  const auto result = ask(0, {3});
+BOOST_AUTO_TEST_CASE(FailuresReportedByOneNodeEjectTheReplicaForAll) {
+  const auto result = place(0, {3});
   nodes[0]->placement.reportEnded(*result.grant, PlacementOutcome::kUnreachable);
   time.advance(milliseconds(5));
   for (std::size_t node = 0; node < 3; ++node)
-    BOOST_TEST(ask(node, {3, 5 + node}).candidate.value_or(9) == 1U);
+    BOOST_TEST(place(node, {3, 5 + node}).candidate.value_or(9) == 1U);
   // Then one request at a time tries it for the whole fleet.
   time.advance(seconds(1));
-  const auto probe = ask(1, {3});
+  const auto probe = place(1, {3});
   BOOST_TEST(probe.candidate.has_value());
-  BOOST_TEST(!ask(2, {3}).candidate.has_value());
+  BOOST_TEST(!place(2, {3}).candidate.has_value());
   nodes[1]->placement.reportEnded(*probe.grant, PlacementOutcome::kServed);
   time.advance(milliseconds(5));
-  BOOST_TEST(ask(2, {3}).candidate.has_value());
+  BOOST_TEST(place(2, {3}).candidate.has_value());
 }
 
-BOOST_AUTO_TEST_CASE(ReplicaThatLeavesOrChangesItsWeightsIsNotGranted) {
+BOOST_AUTO_TEST_CASE(LeavingOrWeightLoadingReplicaIsNotGranted) {
   nodes.at(homeOf(3))->replicas.find("r3")->setLoadingWeights(time.now() + seconds(1));
-  BOOST_TEST(!ask(0, {3}).candidate.has_value());
+  BOOST_TEST(!place(0, {3}).candidate.has_value());
   nodes.at(homeOf(5))->replicas.onRemoved("r5");
-  BOOST_TEST(!ask(0, {5}).candidate.has_value());
+  BOOST_TEST(!place(0, {5}).candidate.has_value());
 }
 
-BOOST_AUTO_TEST_CASE(HomeTellsWhatTheReplicaHasCachedUnderTheScope) {
+BOOST_AUTO_TEST_CASE(HomeReportsTokensCachedUnderTheScope) {
   auto request = requestOf(0, {3});
   request.parts = {{11, 300}, {12, 200}};
-  const auto first = askFor(0, request);
+  const auto first = placeRequest(0, request);
   BOOST_TEST(first.matchedTokens == 0U);
   nodes[0]->placement.reportStarted(*first.grant);
   time.advance(milliseconds(5));
-  BOOST_TEST(askFor(2, request).matchedTokens == 500U);
+  BOOST_TEST(placeRequest(2, request).matchedTokens == 500U);
   request.candidates.front().scope = 6;
-  BOOST_TEST(askFor(2, request).matchedTokens == 0U);
+  BOOST_TEST(placeRequest(2, request).matchedTokens == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(GrantsOfNodesThatDiedLapse) {
+BOOST_AUTO_TEST_CASE(GrantsOfDeadNodesExpire) {
   fill(3, false);
-  const auto waiting = begin(1, requestOf(1, {3}));
+  const auto waiting = startPlacing(1, requestOf(1, {3}));
   time.advance(milliseconds(20));
   BOOST_TEST(!waiting->granted());
   time.advance(seconds(4));
-  BOOST_TEST(ask(1, {3}).candidate.has_value());
+  BOOST_TEST(place(1, {3}).candidate.has_value());
 }
 
 // A history of random requests under loss: none stays without an answer, no two answers come, and
 // when all have ended and losses have lapsed, every replica is free again.
-BOOST_AUTO_TEST_CASE(EveryQuestionEndsOnceUnderLossAndNothingStaysCounted) {
+BOOST_AUTO_TEST_CASE(EveryQueryEndsOnceUnderLossAndNoGrantRemains) {
   network.loss = 0.2;
-  std::size_t asked = 0;
-  std::size_t answered = 0;
+  std::size_t started = 0;
+  std::size_t concluded = 0;
   std::vector<std::pair<std::size_t, PlacementGrant>> running;
   for (int step = 0; step < 600; ++step) {
     const auto node = network.random.below(kNodes);
-    ++asked;
+    ++started;
     auto& placement = nodes[node]->placement;
     placement.place(
         placement.newTicket(),
         requestOf(node, {network.random.below(kReplicas), network.random.below(kReplicas)}),
         [&, node](const PlacementResult& result) {
-          ++answered;
+          ++concluded;
           if (result.grant) running.emplace_back(node, *result.grant);
         });
     if (running.size() > 5) {
@@ -195,19 +195,19 @@
     time.advance(milliseconds(7));
   }
   time.advance(seconds(20));
-  BOOST_TEST(answered == asked);
+  BOOST_TEST(concluded == started);
   network.loss = 0;
   for (std::size_t replica = 0; replica < kReplicas; ++replica) {
-    const auto result = ask(0, {replica});
+    const auto result = place(0, {replica});
     BOOST_TEST(result.candidate.has_value());
     BOOST_TEST((result.wait == base::Duration::zero()));
   }
 }
 
-BOOST_AUTO_TEST_CASE(MessagesOfARequestDoNotGrowWithTheFleet) {
+BOOST_AUTO_TEST_CASE(MessagesPerRequestDoNotGrowWithTheFleet) {
   const auto before = network.sent;
   for (std::size_t node = 0; node < kNodes; ++node) {
-    const auto result = ask(node, {node, 7});
+    const auto result = place(node, {node, 7});
     nodes[node]->placement.reportStarted(*result.grant);
     nodes[node]->placement.reportEnded(*result.grant, PlacementOutcome::kServed);
   }
@@ -215,27 +215,27 @@
   BOOST_TEST(network.sent - before <= 4 * kNodes);
 }
 
-BOOST_AUTO_TEST_CASE(MessagesSurviveTheirEncodingAndOthersAreRefused) {
-  PlacementQuery question;
-  question.id = 7;
-  question.replica = base::EngineId{8};
-  question.scope = 9;
-  question.parts = {{1, 10}, {2, 20}};
-  question.promptTokens = 40;
-  question.work = {50, 40, 8, 900};
-  question.acceptableWait = milliseconds(80);
-  question.terms = {
-      true, 2, 77, milliseconds(1), milliseconds(-2), milliseconds(3), milliseconds(4), 58};
-  const auto decoded = decodePlacementMessage(encode(question));
+BOOST_AUTO_TEST_CASE(MessagesRoundTripAndInvalidOnesAreRejected) {
+  PlacementQuery query;
+  query.id = 7;
+  query.replica = base::EngineId{8};
+  query.scope = 9;
+  query.parts = {{1, 10}, {2, 20}};
+  query.promptTokens = 40;
+  query.work = {50, 40, 8, 900};
+  query.acceptableWait = milliseconds(80);
+  query.terms = {true, 2, 77, milliseconds(1), milliseconds(-2), milliseconds(3), milliseconds(4),
+                 58};
+  const auto decoded = decodePlacementMessage(encode(query));
   BOOST_REQUIRE(decoded.has_value());
   const auto& again = std::get<PlacementQuery>(*decoded);
   BOOST_TEST(again.id == 7U);
   BOOST_TEST(again.scope == 9U);
   BOOST_TEST(again.parts.size() == 2U);
   BOOST_TEST(again.parts[1].tokens == 20U);
-  BOOST_TEST((again.work == question.work));
-  BOOST_TEST((again.acceptableWait == question.acceptableWait));
-  BOOST_TEST((again.terms == question.terms));
+  BOOST_TEST((again.work == query.work));
+  BOOST_TEST((again.acceptableWait == query.acceptableWait));
+  BOOST_TEST((again.terms == query.terms));
   BOOST_TEST(!decodePlacementMessage("").has_value());
   // An end without its outcome, and one with an outcome that is none.
   BOOST_TEST(!decodePlacementMessage("\x94\x08\x01\x02\x09").has_value());
@@ -244,71 +244,71 @@
   BOOST_TEST(log.count(base::Event::kMessageRejected) == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(AnswersAndEndsSurviveTheirEncoding) {
-  PlacementReply answer;
-  answer.id = 7;
-  answer.replica = base::EngineId{8};
-  answer.verdict = PlacementVerdict::kQueued;
-  answer.queued = 12;
-  answer.within = milliseconds(400);
-  answer.retryAfter = milliseconds(900);
-  answer.keepsPauses = false;
-  answer.speedPercent = 160;
-  const auto decoded = decodePlacementMessage(encode(answer));
+BOOST_AUTO_TEST_CASE(RepliesAndEndMessagesRoundTrip) {
+  PlacementReply reply;
+  reply.id = 7;
+  reply.replica = base::EngineId{8};
+  reply.verdict = PlacementVerdict::kQueued;
+  reply.queued = 12;
+  reply.nextUpdateWithin = milliseconds(400);
+  reply.retryAfter = milliseconds(900);
+  reply.meetsPauseBounds = false;
+  reply.speedPercent = 160;
+  const auto decoded = decodePlacementMessage(encode(reply));
   BOOST_REQUIRE(decoded.has_value());
   const auto& again = std::get<PlacementReply>(*decoded);
   BOOST_TEST((again.verdict == PlacementVerdict::kQueued));
   BOOST_TEST(again.queued == 12U);
-  BOOST_TEST((again.within == answer.within));
-  BOOST_TEST((again.retryAfter == answer.retryAfter));
-  BOOST_TEST(!again.keepsPauses);
+  BOOST_TEST((again.nextUpdateWithin == reply.nextUpdateWithin));
+  BOOST_TEST((again.retryAfter == reply.retryAfter));
+  BOOST_TEST(!again.meetsPauseBounds);
   BOOST_TEST(again.speedPercent == 160U);
   PlacementEnded ended;
   ended.observed = {5, milliseconds(900), milliseconds(320), milliseconds(2)};
-  const auto decodedEnd = decodePlacementMessage(encode(ended));
-  BOOST_REQUIRE(decodedEnd.has_value());
-  BOOST_TEST((std::get<PlacementEnded>(*decodedEnd).observed == ended.observed));
+  const auto decodedEnded = decodePlacementMessage(encode(ended));
+  BOOST_REQUIRE(decodedEnded.has_value());
+  BOOST_TEST((std::get<PlacementEnded>(*decodedEnded).observed == ended.observed));
 }
 
 // The table service is silent: one node alone has heard the replica say that it leaves.
-BOOST_AUTO_TEST_CASE(HomeTellsAllThatAskThatAReplicaLeaves) {
+BOOST_AUTO_TEST_CASE(HomeInformsAllQueryingNodesThatAReplicaIsLeaving) {
   constexpr std::size_t kReplica = 3;
   const auto home = homeOf(kReplica);
-  const auto hearing = (home + 1) % kNodes;
-  const auto result = ask(hearing, {kReplica});
+  const auto notifiedNode = (home + 1) % kNodes;
+  const auto result = place(notifiedNode, {kReplica});
   BOOST_REQUIRE(result.grant.has_value());
-  record(hearing, kReplica)->notices().recordLeaving();
-  nodes[hearing]->placement.reportStarted(*result.grant);
+  record(notifiedNode, kReplica)->notices().recordLeaving();
+  nodes[notifiedNode]->placement.reportStarted(*result.grant);
   time.advance(milliseconds(20));
   BOOST_TEST(record(home, kReplica)->leaving());
   for (std::size_t node = 0; node < kNodes; ++node) {
-    BOOST_TEST(!ask(node, {kReplica}).grant.has_value());
+    BOOST_TEST(!place(node, {kReplica}).grant.has_value());
     BOOST_TEST(record(node, kReplica)->leaving());
   }
 }
 
-BOOST_AUTO_TEST_CASE(RequestsThatWaitForAReplicaThatLeavesGoElsewhere) {
+BOOST_AUTO_TEST_CASE(RequestsQueuedForALeavingReplicaAreReleased) {
   constexpr std::size_t kReplica = 3;
   const auto home = homeOf(kReplica);
-  const auto hearing = (home + 1) % kNodes;
-  const auto asking = (home + 2) % kNodes;
+  const auto notifiedNode = (home + 1) % kNodes;
+  const auto waitingNode = (home + 2) % kNodes;
   std::vector<PlacementGrant> grants;
   while (true) {
-    auto placed = begin(hearing, requestOf(hearing, {kReplica}));
+    auto placed = startPlacing(notifiedNode, requestOf(notifiedNode, {kReplica}));
     time.advance(milliseconds(20));
     if (!placed->granted()) break;
     grants.push_back(*placed->result->grant);
     BOOST_REQUIRE(grants.size() < 100U);
   }
-  const auto waiting = begin(asking, requestOf(asking, {kReplica}));
+  const auto waiting = startPlacing(waitingNode, requestOf(waitingNode, {kReplica}));
   time.advance(milliseconds(20));
   BOOST_TEST(!waiting->result.has_value());
-  record(hearing, kReplica)->notices().recordLeaving();
-  nodes[hearing]->placement.reportEnded(grants.front(), PlacementOutcome::kServed);
+  record(notifiedNode, kReplica)->notices().recordLeaving();
+  nodes[notifiedNode]->placement.reportEnded(grants.front(), PlacementOutcome::kServed);
   time.advance(milliseconds(20));
   BOOST_REQUIRE(waiting->result.has_value());
   BOOST_TEST(!waiting->granted());
-  BOOST_TEST(record(asking, kReplica)->leaving());
+  BOOST_TEST(record(waitingNode, kReplica)->leaving());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/routing/rate_pacer_test.cc
+++ b/tests/routing/rate_pacer_test.cc
@@ -26,13 +26,13 @@
     }
     return count;
   }
-  std::size_t mostIn(base::Duration window) const {
-    std::size_t most = 0;
+  std::size_t maximumIn(base::Duration window) const {
+    std::size_t maximum = 0;
     for (std::size_t last = 0; last < passed.size(); ++last) {
       const auto first = std::ranges::lower_bound(passed, passed[last] - window);
-      most = std::max(most, last + 1 - static_cast<std::size_t>(first - passed.begin()));
+      maximum = std::max(maximum, last + 1 - static_cast<std::size_t>(first - passed.begin()));
     }
-    return most;
+    return maximum;
   }
 
   RatePacer pacer;
@@ -49,7 +49,7 @@
   BOOST_TEST(!pacer.limited());
 }
 
-BOOST_AUTO_TEST_CASE(NearlyTheWholeRateIsUsed) {
+BOOST_AUTO_TEST_CASE(NearlyTheFullRateIsUsed) {
   for (const double rate : {0.5, 1.0, 7.0, 20.0}) {
     pacer.setRate(rate, now);
     const auto count = static_cast<double>(pass(seconds(60)));
@@ -59,13 +59,13 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(LimitBeginsWithOneRequestAndNoCredit) {
+BOOST_AUTO_TEST_CASE(NewLimitStartsWithOneRequestAndNoCredit) {
   pass(seconds(1));
   pacer.setRate(20, now);
   BOOST_TEST(pass(milliseconds(45)) == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(RateThatWasNotUsedIsMadeUpForAMoment) {
+BOOST_AUTO_TEST_CASE(UnusedRateIsCreditedBriefly) {
   pacer.setRate(20, now);
   pass(seconds(1));
   now += seconds(10);
@@ -73,7 +73,7 @@
   BOOST_TEST(pass(milliseconds(50)) <= 7U);
 }
 
-BOOST_AUTO_TEST_CASE(NothingSavedUnderAHigherRateIsSpentUnderALowerOne) {
+BOOST_AUTO_TEST_CASE(CreditOfAHigherRateIsLostUnderALowerOne) {
   pacer.setRate(20, now);
   pass(seconds(1));
   now += seconds(10);
@@ -81,19 +81,19 @@
   BOOST_TEST(pass(milliseconds(700)) == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(HigherRateCountsAtOnce) {
+BOOST_AUTO_TEST_CASE(HigherRateAppliesAtOnce) {
   pacer.setRate(0.1, now);
   BOOST_TEST(pass(seconds(1)) == 1U);
   pacer.setRate(10, now);
   BOOST_TEST(pass(seconds(1)) >= 9U);
 }
 
-BOOST_AUTO_TEST_CASE(ReplicaThatTakesNothingIsAskedNowAndThen) {
+BOOST_AUTO_TEST_CASE(ReplicaWithZeroRateIsProbedOccasionally) {
   pacer.setRate(0, now);
   BOOST_TEST(pass(seconds(60)) == 6U);
 }
 
-BOOST_AUTO_TEST_CASE(RequestThatWasNotSentLeavesItsPlace) {
+BOOST_AUTO_TEST_CASE(UnsentRequestReturnsItsShareOfTheRate) {
   pacer.setRate(1, now);
   BOOST_TEST(pass(milliseconds(100)) == 1U);
   BOOST_TEST(!pacer.mayPass(now));
@@ -101,7 +101,7 @@
   BOOST_TEST(pacer.mayPass(now));
 }
 
-BOOST_AUTO_TEST_CASE(NoWindowHoldsMuchMoreThanTheRate) {
+BOOST_AUTO_TEST_CASE(NoWindowExceedsTheRateByMuch) {
   base::SeededRandom random(11);
   for (int run = 0; run < 50; ++run) {
     const double rate = 0.2 + random.unit() * 20;
@@ -112,7 +112,7 @@
       pass(milliseconds(static_cast<std::int64_t>(random.below(2000))));
       now += milliseconds(static_cast<std::int64_t>(random.below(1500)));
     }
-    BOOST_TEST(static_cast<double>(mostIn(seconds(4))) <= 4.25 * rate + 2, rate);
+    BOOST_TEST(static_cast<double>(maximumIn(seconds(4))) <= 4.25 * rate + 2, rate);
   }
 }
 
--- a/tests/routing/replica_crash_detector_test.cc
+++ b/tests/routing/replica_crash_detector_test.cc
@@ -21,13 +21,13 @@
   void connect(const base::Endpoint& /*address*/, base::Duration timeout,
                std::function<void(clients::Reachability)> callback) override {
     ++connections;
-    const auto answer = answers.front();
-    if (answers.size() > 1) answers.pop_front();
-    const auto after = answer == clients::Reachability::kSilent ? timeout : milliseconds(1);
-    timers_.schedule(after, [answer, callback = std::move(callback)] { callback(answer); });
+    const auto result = results.front();
+    if (results.size() > 1) results.pop_front();
+    const auto after = result == clients::Reachability::kSilent ? timeout : milliseconds(1);
+    timers_.schedule(after, [result, callback = std::move(callback)] { callback(result); });
   }
 
-  std::deque<clients::Reachability> answers{clients::Reachability::kAccepts};
+  std::deque<clients::Reachability> results{clients::Reachability::kAccepts};
   int connections = 0;
 
  private:
@@ -36,10 +36,10 @@
 
 struct ReplicaEndFixture {
   ReplicaEndFixture() {
-    check.setListener([this](const LostRequests& runs) { ended.push_back(runs); });
+    detector.setListener([this](const LostRequests& runs) { ended.push_back(runs); });
   }
-  void lose(std::uint64_t run) {
-    check.onRequestInterrupted(replica, base::RequestFingerprint{run});
+  void interrupt(std::uint64_t request) {
+    detector.onRequestInterrupted(replica, base::RequestFingerprint{request});
   }
 
   static Replica facts() {
@@ -52,7 +52,7 @@
   test_support::VirtualTime time;
   test_support::RecordingLog log;
   ScriptedReachability reachability{time};
-  ReplicaCrashDetector check{{}, {time, time, log, reachability}};
+  ReplicaCrashDetector detector{{}, {time, time, log, reachability}};
   ReplicaRecordPtr replica = std::make_shared<ReplicaRecord>(facts());
   std::vector<LostRequests> ended;
 };
@@ -61,23 +61,23 @@
 
 BOOST_FIXTURE_TEST_SUITE(ReplicaEndCheckTest, ReplicaEndFixture)
 
-BOOST_AUTO_TEST_CASE(RunsThatBreakOffTogetherEndWithAReplicaThatRefusesConnections) {
-  reachability.answers = {clients::Reachability::kRefuses};
-  lose(1);
-  lose(2);
+BOOST_AUTO_TEST_CASE(RequestsInterruptedTogetherAreLostIfConnectionsAreRefused) {
+  reachability.results = {clients::Reachability::kRefuses};
+  interrupt(1);
+  interrupt(2);
   time.advance(milliseconds(300));
   BOOST_REQUIRE(ended.size() == 1U);
   BOOST_TEST(ended[0].instance == "replica");
   BOOST_TEST(
       (ended[0].requests == std::vector{base::RequestFingerprint{1}, base::RequestFingerprint{2}}));
   BOOST_TEST(log.count(base::Event::kReplicaEndedUnderRuns) == 1U);
-  lose(3);
+  interrupt(3);
   BOOST_REQUIRE(ended.size() == 2U);
   BOOST_TEST((ended[1].requests == std::vector{base::RequestFingerprint{3}}));
 }
 
-BOOST_AUTO_TEST_CASE(ReplicaThatAcceptsConnectionsOutlivedItsRuns) {
-  lose(1);
+BOOST_AUTO_TEST_CASE(ReplicaThatAcceptsConnectionsOutlivedItsRequests) {
+  interrupt(1);
   time.advance(seconds(20));
   BOOST_TEST(ended.empty());
   BOOST_TEST(reachability.connections == 1);
@@ -86,99 +86,99 @@
 
 // A replica that starts again at once accepts connections, and its entry shows the restart up to a
 // second later. The runs that it took with it counted as outlived.
-BOOST_AUTO_TEST_CASE(ReplicaThatStartsAgainAtOnceHasEnded) {
-  lose(1);
+BOOST_AUTO_TEST_CASE(ReplicaThatRestartsAtOnceHasEnded) {
+  interrupt(1);
   time.advance(seconds(1));
   BOOST_TEST(log.count(base::Event::kReplicaOutlivedRuns) == 1U);
-  check.onRestarted("replica");
+  detector.onRestarted("replica");
   BOOST_REQUIRE(ended.size() == 1U);
   BOOST_TEST((ended[0].requests == std::vector{base::RequestFingerprint{1}}));
 }
 
-BOOST_AUTO_TEST_CASE(RunThatBreaksOffAfterTheRestartIsShownWasLostWithTheReplica) {
-  check.onRestarted("replica");
-  lose(1);
+BOOST_AUTO_TEST_CASE(RequestInterruptedAfterTheListedRestartIsLost) {
+  detector.onRestarted("replica");
+  interrupt(1);
   BOOST_TEST(ended.size() == 1U);
   BOOST_TEST(reachability.connections == 0);
 }
 
 // An entry of the former run that was stored late names it once more; the next one is listed again.
-BOOST_AUTO_TEST_CASE(RunThatIsListedAgainHasNotEnded) {
-  check.onRestarted("replica");
-  check.onListed("replica");
-  lose(1);
+BOOST_AUTO_TEST_CASE(InstanceThatIsListedAgainHasNotEnded) {
+  detector.onRestarted("replica");
+  detector.onListed("replica");
+  interrupt(1);
   time.advance(seconds(1));
   BOOST_TEST(ended.empty());
   BOOST_TEST(log.count(base::Event::kReplicaOutlivedRuns) == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(RestartLongAfterARunBrokeOffHasNotEndedIt) {
-  lose(1);
+BOOST_AUTO_TEST_CASE(RestartLongAfterAnInterruptionIsUnrelated) {
+  interrupt(1);
   time.advance(seconds(4));
-  check.onRestarted("replica");
+  detector.onRestarted("replica");
   BOOST_TEST(ended.empty());
 }
 
-BOOST_AUTO_TEST_CASE(OutlivedRunsStayOutlivedWhenTheEntryGoes) {
-  lose(1);
+BOOST_AUTO_TEST_CASE(OutlivedRequestsStayOutlivedWhenTheEntryIsRemoved) {
+  interrupt(1);
   time.advance(seconds(1));
-  check.onRemoved("replica");
+  detector.onRemoved("replica");
   BOOST_TEST(ended.empty());
 }
 
-BOOST_AUTO_TEST_CASE(RunsLostAfterOthersWereOutlivedAreAskedForAnew) {
-  lose(1);
+BOOST_AUTO_TEST_CASE(LaterInterruptionsAreProbedAnew) {
+  interrupt(1);
   time.advance(seconds(1));
-  reachability.answers = {clients::Reachability::kRefuses};
-  lose(2);
+  reachability.results = {clients::Reachability::kRefuses};
+  interrupt(2);
   time.advance(seconds(1));
   BOOST_REQUIRE(ended.size() == 1U);
   BOOST_TEST((ended[0].requests == std::vector{base::RequestFingerprint{2}}));
 }
 
-BOOST_AUTO_TEST_CASE(RestartOfAReplicaThatSaidItWouldLeaveIsPlanned) {
+BOOST_AUTO_TEST_CASE(RestartOfALeavingReplicaIsPlanned) {
   auto leaving = facts();
   leaving.state = ReplicaState::kDraining;
   replica = std::make_shared<ReplicaRecord>(leaving);
-  reachability.answers = {clients::Reachability::kSilent};
-  lose(1);
+  reachability.results = {clients::Reachability::kSilent};
+  interrupt(1);
   time.advance(seconds(1));
-  check.onRestarted("replica");
+  detector.onRestarted("replica");
   BOOST_TEST(ended.empty());
 }
 
-BOOST_AUTO_TEST_CASE(OneRefusedConnectionDoesNotEndAReplica) {
-  reachability.answers = {clients::Reachability::kRefuses, clients::Reachability::kAccepts};
-  lose(1);
+BOOST_AUTO_TEST_CASE(OneRefusedConnectionIsNotACrash) {
+  reachability.results = {clients::Reachability::kRefuses, clients::Reachability::kAccepts};
+  interrupt(1);
   time.advance(seconds(20));
   BOOST_TEST(ended.empty());
 }
 
-BOOST_AUTO_TEST_CASE(ReplicaAtWorkForThisNodeLivesThoughItRefusesConnections) {
-  reachability.answers = {clients::Reachability::kRefuses};
+BOOST_AUTO_TEST_CASE(ReplicaWithRequestsInFlightIsAliveDespiteRefusals) {
+  reachability.results = {clients::Reachability::kRefuses};
   replica->onDispatched(10);
-  lose(1);
+  interrupt(1);
   time.advance(seconds(20));
   BOOST_TEST(ended.empty());
 }
 
-BOOST_AUTO_TEST_CASE(SilentReplicaHasEndedWhenItsEntryGoes) {
-  reachability.answers = {clients::Reachability::kSilent};
-  lose(1);
+BOOST_AUTO_TEST_CASE(UnresponsiveReplicaHasEndedWhenItsEntryIsRemoved) {
+  reachability.results = {clients::Reachability::kSilent};
+  interrupt(1);
   time.advance(seconds(4));
   BOOST_TEST(ended.empty());
-  check.onRemoved("replica");
+  detector.onRemoved("replica");
   BOOST_TEST(ended.size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(ReplicaThatSaidItWouldLeaveHasNotCrashed) {
+BOOST_AUTO_TEST_CASE(LeavingReplicaHasNotCrashed) {
   auto leaving = facts();
   leaving.state = ReplicaState::kDraining;
   replica = std::make_shared<ReplicaRecord>(leaving);
-  reachability.answers = {clients::Reachability::kSilent};
-  lose(1);
+  reachability.results = {clients::Reachability::kSilent};
+  interrupt(1);
   time.advance(seconds(4));
-  check.onRemoved("replica");
+  detector.onRemoved("replica");
   BOOST_TEST(ended.empty());
 }
 
--- a/tests/routing/replica_health_test.cc
+++ b/tests/routing/replica_health_test.cc
@@ -27,7 +27,7 @@
   BOOST_TEST(health.available(now + milliseconds(800)));
 }
 
-BOOST_AUTO_TEST_CASE(OnProbationOneRequestAtATime) {
+BOOST_AUTO_TEST_CASE(ReplicaOnProbationGetsOneRequestAtATime) {
   ReplicaHealth health;
   health.onUnreachable(kStart);
   const auto later = kStart + seconds(1);
@@ -40,7 +40,7 @@
   BOOST_TEST(health.available(later));
 }
 
-BOOST_AUTO_TEST_CASE(FailuresInARowEjectUnlessAllFail) {
+BOOST_AUTO_TEST_CASE(ConsecutiveFailuresEjectUnlessAllReplicasFail) {
   ReplicaHealth health;
   for (int count = 0; count < 3; ++count) health.onFailure(kStart, 0);
   BOOST_TEST(health.ejected(kStart));
@@ -49,7 +49,7 @@
   BOOST_TEST(!likeAll.ejected(kStart));
 }
 
-BOOST_AUTO_TEST_CASE(FailureRateThatTheServiceSharesDoesNotEject) {
+BOOST_AUTO_TEST_CASE(FailureRateOfTheWholeServiceDoesNotEject) {
   ReplicaHealth health;
   for (int count = 0; count < 200; ++count) {
     if (count % 7 == 0) {
@@ -72,7 +72,7 @@
   BOOST_TEST(ejected);
 }
 
-BOOST_AUTO_TEST_CASE(SilenceWithWaitingRequestsMakesUnavailableUntilHeard) {
+BOOST_AUTO_TEST_CASE(UnresponsiveReplicaIsUnavailableUntilDataArrives) {
   ReplicaHealth health;
   health.onDispatched(kStart);
   BOOST_TEST(health.available(kStart + milliseconds(600)));
@@ -81,7 +81,7 @@
   BOOST_TEST(health.available(kStart + milliseconds(900)));
 }
 
-BOOST_AUTO_TEST_CASE(ReadingLongPromptsIsNoSilence) {
+BOOST_AUTO_TEST_CASE(PrefillOfLongPromptsIsNotUnresponsiveness) {
   ReplicaHealth health;
   health.onDispatched(kStart, seconds(2));
   health.onDispatched(kStart, seconds(1));
@@ -96,7 +96,7 @@
 
 // It got one request each half second, and was passed over for a second whenever one of them
 // waited.
-BOOST_AUTO_TEST_CASE(ReplicaWithARateLimitCountsAsSilentLater) {
+BOOST_AUTO_TEST_CASE(RateLimitedReplicaCountsAsUnresponsiveLater) {
   ReplicaHealth health;
   health.setInterval(milliseconds(500));
   health.onDispatched(kStart);
--- a/tests/routing/replica_ledger_test.cc
+++ b/tests/routing/replica_ledger_test.cc
@@ -12,8 +12,8 @@
 namespace {
 
 constexpr std::uint32_t kLongPrompt = 6000;
-constexpr PlacementDemand kShort{700, 100, 32, 90'000};
-constexpr PlacementDemand kLong{9000, kLongPrompt, 32, 90'000};
+constexpr PlacementDemand kShortPrompt{700, 100, 32, 90'000};
+constexpr PlacementDemand kLongPromptDemand{9000, kLongPrompt, 32, 90'000};
 
 PlacementTerms bounded() {
   PlacementTerms terms;
@@ -35,9 +35,9 @@
                base::nodeIdOf(from), 0, now);
   }
   /// Streams of such pauses ran there, one after the other.
-  void teach(base::Duration pause) {
+  void observeStreams(base::Duration pause) {
     for (int count = 0; count < 20; ++count) {
-      const auto id = begin(kShort, bounded());
+      const auto id = begin(kShortPrompt, bounded());
       now += milliseconds(100);
       end(id, pause);
     }
@@ -55,56 +55,56 @@
 
 BOOST_FIXTURE_TEST_SUITE(ReplicaLedgerTest, LedgerFixture)
 
-BOOST_AUTO_TEST_CASE(WhatIsNotKnownHoldsNothingBack) {
-  begin(kShort, bounded());
-  BOOST_TEST((excess(kLong) == base::Duration::zero()));
+BOOST_AUTO_TEST_CASE(UnknownSpeedHoldsNothingBack) {
+  begin(kShortPrompt, bounded());
+  BOOST_TEST((excess(kLongPromptDemand) == base::Duration::zero()));
   BOOST_TEST(ledger.speedPercent() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(LongReadingStopsTheBoundedStreamsOfASlowReplica) {
-  teach(milliseconds(100));
-  BOOST_TEST((excess(kLong) == base::Duration::zero()));
-  begin(kShort, bounded());
-  const auto one = excess(kLong);
+BOOST_AUTO_TEST_CASE(LongPrefillDelaysBoundedStreamsOfASlowReplica) {
+  observeStreams(milliseconds(100));
+  BOOST_TEST((excess(kLongPromptDemand) == base::Duration::zero()));
+  begin(kShortPrompt, bounded());
+  const auto one = excess(kLongPromptDemand);
   BOOST_TEST((one > base::Duration::zero()));
-  BOOST_TEST((excess(kShort) == base::Duration::zero()));
-  begin(kShort, bounded());
-  BOOST_TEST((excess(kLong) == 2 * one));
+  BOOST_TEST((excess(kShortPrompt) == base::Duration::zero()));
+  begin(kShortPrompt, bounded());
+  BOOST_TEST((excess(kLongPromptDemand) == 2 * one));
 }
 
-BOOST_AUTO_TEST_CASE(StreamsWithoutABoundAreNoReasonToHoldBack) {
-  teach(milliseconds(100));
-  begin(kShort, {});
-  BOOST_TEST((excess(kLong) == base::Duration::zero()));
+BOOST_AUTO_TEST_CASE(StreamsWithoutABoundAddNoExcess) {
+  observeStreams(milliseconds(100));
+  begin(kShortPrompt, {});
+  BOOST_TEST((excess(kLongPromptDemand) == base::Duration::zero()));
 }
 
-BOOST_AUTO_TEST_CASE(ReplicaTooSlowForTheBoundTakesWorkWithoutOne) {
-  teach(milliseconds(400));
-  BOOST_TEST((excess(kShort) > base::Duration::zero()));
-  BOOST_TEST((ledger.pauseExcess(kShort, {}, now) == base::Duration::zero()));
+BOOST_AUTO_TEST_CASE(SlowReplicaAcceptsStreamsWithoutABound) {
+  observeStreams(milliseconds(400));
+  BOOST_TEST((excess(kShortPrompt) > base::Duration::zero()));
+  BOOST_TEST((ledger.pauseExcess(kShortPrompt, {}, now) == base::Duration::zero()));
 }
 
-BOOST_AUTO_TEST_CASE(ObservationsLostOrOfUnknownGrantsChangeNothing) {
-  teach(milliseconds(30));
+BOOST_AUTO_TEST_CASE(LostObservationsAndUnknownGrantsChangeNothing) {
+  observeStreams(milliseconds(30));
   const auto speed = ledger.speedPercent();
   for (int count = 0; count < 50; ++count) end(1'000'000 + count, seconds(2));
   BOOST_TEST(ledger.speedPercent() == speed);
   // Ends never came: the grants lapse, and new streams are measured as before.
-  for (int count = 0; count < 10; ++count) begin(kShort, bounded());
+  for (int count = 0; count < 10; ++count) begin(kShortPrompt, bounded());
   now += seconds(20);
   BOOST_TEST((ledger.load(now).requests == 0));
-  teach(milliseconds(30));
+  observeStreams(milliseconds(30));
   BOOST_TEST(ledger.speedPercent() == speed);
 }
 
-BOOST_AUTO_TEST_CASE(NewRunOrNewHomeKnowsAgainAfterFourStreams) {
-  teach(milliseconds(100));
+BOOST_AUTO_TEST_CASE(NewInstanceOrHomeKnowsTheSpeedAfterFourStreams) {
+  observeStreams(milliseconds(100));
   BOOST_TEST(ledger.speedPercent() > 0U);
   ledger = ReplicaLedger();
-  BOOST_TEST((excess(kLong) == base::Duration::zero()));
-  for (int count = 0; count < 4; ++count) end(begin(kShort, bounded()), milliseconds(100));
-  begin(kShort, bounded());
-  BOOST_TEST((excess(kLong) > base::Duration::zero()));
+  BOOST_TEST((excess(kLongPromptDemand) == base::Duration::zero()));
+  for (int count = 0; count < 4; ++count) end(begin(kShortPrompt, bounded()), milliseconds(100));
+  begin(kShortPrompt, bounded());
+  BOOST_TEST((excess(kLongPromptDemand) > base::Duration::zero()));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/routing/replica_selector_test.cc
+++ b/tests/routing/replica_selector_test.cc
@@ -44,16 +44,17 @@
 
   ReplicaDecision choose() { return choice.choose(query(), 1, now); }
 
-  void hold(const std::string& name, base::WeightsVersion version) {
+  void addHolder(const std::string& name, base::WeightsVersion version) {
     holders.addChain(base::engineIdOf(name), cacheScope(cacheSalt(version, ""), "m"), chain);
   }
 
   /// The other one of two nodes has this under way at the replica, and nothing else.
-  void tell(const std::string& name, ReplicaLoad load) {
-    fleet.onUpdate(base::nodeIdOf("other"), 1, ++newsNumber, {{base::engineIdOf(name), load}}, now);
+  void reportLoad(const std::string& name, ReplicaLoad load) {
+    fleet.onUpdate(base::nodeIdOf("other"), 1, ++updateNumber, {{base::engineIdOf(name), load}},
+                   now);
   }
 
-  std::uint64_t newsNumber = 0;
+  std::uint64_t updateNumber = 0;
   base::TimePoint now{seconds(100)};
   config::EngineProfile engine;
   prefix::PartChain chain = *prefix::PartChain::parse("aa:500,bb:500,cc:200");
@@ -70,7 +71,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(ReplicaChoiceTest, ChoiceFixture)
 
-BOOST_AUTO_TEST_CASE(EqualSharedPartsHaveOneHome) {
+BOOST_AUTO_TEST_CASE(EqualSharedPartsHaveOneHomeReplica) {
   const auto home = choose().replica;
   for (int count = 0; count < 5; ++count) BOOST_TEST((choose().replica == home));
   chain = *prefix::PartChain::parse("aa:500,bb:500,other:900");
@@ -79,7 +80,7 @@
 
 // An order that is carried out late may bring a replica back to an older version. A node that had
 // seen the newer one expected it for good, and all its requests there were refused.
-BOOST_AUTO_TEST_CASE(ListThatTakesAVersionBackIsBelieved) {
+BOOST_AUTO_TEST_CASE(VersionRevokedByTheListIsAccepted) {
   const auto replica = choose().replica;
   const auto name = replica->facts().instance;
   replica->recordVersion("m", 3);
@@ -93,9 +94,9 @@
   BOOST_TEST(replica->versionOf("m") == 3U);
 }
 
-BOOST_AUTO_TEST_CASE(LoadedHomeIsLeftAndItsCacheFetched) {
+BOOST_AUTO_TEST_CASE(OverloadedHomeReplicaIsAvoidedAndItsCacheFetched) {
   const auto home = choose().replica;
-  hold(home->facts().instance, 1);
+  addHolder(home->facts().instance, 1);
   for (int count = 0; count < 8; ++count) home->onDispatched(100);
   const auto decision = choose();
   BOOST_TEST((decision.replica != home));
@@ -104,21 +105,21 @@
   BOOST_TEST(decision.matchedTokens == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(NothingIsFetchedWhereItIsHeldAlready) {
+BOOST_AUTO_TEST_CASE(NothingIsFetchedIfTheReplicaHoldsIt) {
   const auto home = choose().replica;
-  hold(home->facts().instance, 1);
-  hold("r1", 1);
-  hold("r2", 1);
+  addHolder(home->facts().instance, 1);
+  addHolder("r1", 1);
+  addHolder("r2", 1);
   const auto decision = choose();
   BOOST_TEST(decision.matchedTokens == 1000U);
   BOOST_TEST(!decision.fetchFrom.has_value());
 }
 
 BOOST_AUTO_TEST_CASE(CacheOfAnotherVersionOrTenantIsNeverUsed) {
-  hold("r1", 2);
-  hold("r2", 2);
+  addHolder("r1", 2);
+  addHolder("r2", 2);
   BOOST_TEST(!choose().fetchFrom.has_value());
-  for (const char* name : {"r1", "r2", "r3", "r4"}) hold(name, 1);
+  for (const char* name : {"r1", "r2", "r3", "r4"}) addHolder(name, 1);
   auto isolated = query();
   isolated.isolatedTenant = "t";
   const auto decision = choice.choose(isolated, 1, now);
@@ -127,7 +128,7 @@
   BOOST_TEST(decision.cacheSalt != choose().cacheSalt);
 }
 
-BOOST_AUTO_TEST_CASE(ReplicasOfAllVersionsServedShareThePartsAndTheNewestTakesMore) {
+BOOST_AUTO_TEST_CASE(ReplicasOfAllVersionsShareThePartsAndTheNewestGetsMore) {
   // What is cached under an older version draws nothing there: that would leave the replicas of the
   // newer one idle and cold until the older is forbidden.
   add("r5", 2);
@@ -135,7 +136,7 @@
   std::map<base::WeightsVersion, int> homes;
   for (int part = 0; part < kParts; ++part) {
     chain = *prefix::PartChain::parse(std::to_string(part) + "a:500,cc:200");
-    for (const char* name : {"r1", "r2", "r3", "r4"}) hold(name, 1);
+    for (const char* name : {"r1", "r2", "r3", "r4"}) addHolder(name, 1);
     const auto decision = choose();
     BOOST_TEST(decision.rank == 0U);
     ++homes[decision.version];
@@ -146,7 +147,7 @@
   BOOST_TEST(homes[1] + homes[2] == kParts);
 }
 
-BOOST_AUTO_TEST_CASE(LongPromptsHaveTheirHomesBySpeedAndShortOnesEvenly) {
+BOOST_AUTO_TEST_CASE(LongPromptsAreDistributedBySpeedAndShortOnesEvenly) {
   constexpr int kParts = 600;
   const auto homes = [&](const char* shared) {
     std::map<std::string, int> count;
@@ -156,27 +157,27 @@
     }
     return count;
   };
-  const auto unknown = homes("900");
+  const auto homesWithUnknownSpeeds = homes("900");
   replicas.find("r1")->recordSpeed(60);
   replicas.find("r2")->recordSpeed(100);
   replicas.find("r3")->recordSpeed(110);
   replicas.find("r4")->recordSpeed(270);
-  auto ofLong = homes("900");
-  BOOST_TEST(ofLong["r4"] > 3 * ofLong["r1"]);
-  BOOST_TEST(ofLong["r2"] > ofLong["r1"]);
-  auto ofShort = homes("300");
-  BOOST_TEST(ofShort["r1"] > kParts / 6);
-  BOOST_TEST(ofShort["r4"] < kParts / 3);
+  auto homesOfLongPrompts = homes("900");
+  BOOST_TEST(homesOfLongPrompts["r4"] > 3 * homesOfLongPrompts["r1"]);
+  BOOST_TEST(homesOfLongPrompts["r2"] > homesOfLongPrompts["r1"]);
+  auto homesOfShortPrompts = homes("300");
+  BOOST_TEST(homesOfShortPrompts["r1"] > kParts / 6);
+  BOOST_TEST(homesOfShortPrompts["r4"] < kParts / 3);
   // Speeds that hardly differ move no part, nor do those of too few replicas.
   replicas.find("r1")->recordSpeed(95);
   replicas.find("r4")->recordSpeed(120);
-  BOOST_TEST((homes("900") == unknown));
+  BOOST_TEST((homes("900") == homesWithUnknownSpeeds));
   for (const char* name : {"r1", "r2"}) replicas.find(name)->recordSpeed(0);
   replicas.find("r4")->recordSpeed(500);
-  BOOST_TEST((homes("900") == unknown));
+  BOOST_TEST((homes("900") == homesWithUnknownSpeeds));
 }
 
-BOOST_AUTO_TEST_CASE(PartsKeepTheirHomesWhenAnotherReplicaGoes) {
+BOOST_AUTO_TEST_CASE(PartsKeepTheirHomeReplicasWhenAnotherIsRemoved) {
   constexpr int kParts = 100;
   std::vector<std::string> homes;
   const auto chooseFor = [&](int part) {
@@ -191,7 +192,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(ShortPromptsGoToTheOwnZoneFirstAndOneOfAnotherIsKeptAmongTheFirst) {
+BOOST_AUTO_TEST_CASE(ShortPromptsPreferTheOwnZoneAndKeepOneOtherCandidate) {
   for (int number = 0; number < 8; ++number) {
     Replica far;
     far.instance = "far" + std::to_string(number);
@@ -212,42 +213,42 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(LongRunsAreKeptTogetherOnAsManyReplicasAsTheyFill) {
+BOOST_AUTO_TEST_CASE(LongRunningRequestsShareAsFewReplicasAsTheyFill) {
   for (const char* name : {"r5", "r6", "r7", "r8"}) add(name, 1);
   for (const std::size_t wanted : {1U, 2U, 3U}) {
     std::set<std::string> taken;
     for (int part = 0; part < 50; ++part) {
       chain = *prefix::PartChain::parse(std::to_string(part) + "a:50,cc:200");
-      auto run = query();
-      run.longRun = true;
-      run.longRunReplicas = wanted;
-      taken.insert(choice.choose(run, 1, now).replica->facts().instance);
+      auto longRequest = query();
+      longRequest.longRun = true;
+      longRequest.longRunReplicas = wanted;
+      taken.insert(choice.choose(longRequest, 1, now).replica->facts().instance);
     }
     BOOST_TEST(taken.size() == wanted);
   }
 }
 
-BOOST_AUTO_TEST_CASE(LongRunsGoToTheNewestVersionThatIsServed) {
+BOOST_AUTO_TEST_CASE(LongRunningRequestsGoToTheNewestVersion) {
   add("r5", 2);
   for (int part = 0; part < 20; ++part) {
     chain = *prefix::PartChain::parse(std::to_string(part) + "a:50,cc:200");
-    auto run = query();
-    run.longRun = true;
-    BOOST_TEST(choice.choose(run, 1, now).version == 2U);
+    auto longRequest = query();
+    longRequest.longRun = true;
+    BOOST_TEST(choice.choose(longRequest, 1, now).version == 2U);
   }
 }
 
-BOOST_AUTO_TEST_CASE(LongRunsGoOnToOtherReplicasWhenTheirsAreLoaded) {
-  auto run = query();
-  run.longRun = true;
-  const auto first = choice.choose(run, 1, now).replica;
+BOOST_AUTO_TEST_CASE(LongRunningRequestsOverflowToOtherReplicas) {
+  auto longRequest = query();
+  longRequest.longRun = true;
+  const auto first = choice.choose(longRequest, 1, now).replica;
   for (int count = 0; count < 8; ++count) first->onDispatched(10);
-  const auto next = choice.choose(run, 1, now).replica;
+  const auto next = choice.choose(longRequest, 1, now).replica;
   BOOST_REQUIRE(next != nullptr);
   BOOST_TEST((next != first));
 }
 
-BOOST_AUTO_TEST_CASE(OlderVersionIsForbiddenOnceTheNewerIsDue) {
+BOOST_AUTO_TEST_CASE(OlderVersionIsForbiddenOnceTheNewerIsRequired) {
   targets.onNamed("m", 2, now);
   BOOST_TEST(choose().version == 1U);
   now += seconds(7);
@@ -256,7 +257,7 @@
   BOOST_TEST(choose().version == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(ReplicaWhereRequestsWaitIsNotSentOldWeightsShortlyBeforeTheNewerAreDue) {
+BOOST_AUTO_TEST_CASE(SlowReplicaGetsNoRequestsOnOldWeightsShortlyBeforeTheDeadline) {
   // Forbidden from 7 s on; waits of up to 0.6 s are within the margin.
   targets.onNamed("m", 2, now);
   const auto first = choose().replica;
@@ -271,7 +272,7 @@
   BOOST_TEST((choose().replica == first));
 }
 
-BOOST_AUTO_TEST_CASE(RequestsThatStillWaitCountAsLongAsTheyHaveWaited) {
+BOOST_AUTO_TEST_CASE(WaitingRequestsCountInTheExpectedWait) {
   targets.onNamed("m", 2, now);
   const auto first = choose().replica;
   now += milliseconds(4200);
@@ -281,7 +282,7 @@
   BOOST_TEST((choose().replica != first));
 }
 
-BOOST_AUTO_TEST_CASE(DrainingChangingEjectedAndTriedReplicasAreNotChosen) {
+BOOST_AUTO_TEST_CASE(DrainingLoadingEjectedAndTriedReplicasAreNotSelected) {
   add("r1", 1, ReplicaState::kDraining);
   replicas.find("r2")->setLoadingWeights(now + seconds(1));
   replicas.find("r3")->health().onUnreachable(now);
@@ -291,16 +292,16 @@
   BOOST_TEST((choice.choose(tried, 1, now).replica == nullptr));
 }
 
-BOOST_AUTO_TEST_CASE(WorkOfOtherNodesFillsAReplicaForThisOne) {
+BOOST_AUTO_TEST_CASE(LoadOfOtherNodesCountsForThisNode) {
   const auto first = choose().replica;
-  tell(first->facts().instance, {8, 800, {}});
+  reportLoad(first->facts().instance, {8, 800, {}});
   const auto second = choice.choose(query(), 2, now).replica;
   BOOST_TEST((second != first));
-  tell(first->facts().instance, {1, 99'000, {}});
+  reportLoad(first->facts().instance, {1, 99'000, {}});
   BOOST_TEST((choice.choose(query(), 2, now).replica == second));
 }
 
-BOOST_AUTO_TEST_CASE(IdleReplicaIsOpenToOneNodeWhereTheOthersAreKnownToUseNone) {
+BOOST_AUTO_TEST_CASE(KnownIdleReplicaIsFullyAvailableToOneNode) {
   const auto first = choose().replica;
   for (int sent = 0; sent < 5; ++sent) first->onDispatched(10'000);
   // An even share among eight nodes is 7,500 tokens.
@@ -309,16 +310,16 @@
   BOOST_TEST((choice.choose(query(), 8, now).replica == first));
 }
 
-BOOST_AUTO_TEST_CASE(NewsThatComeTooSeldomAreNotReliedOn) {
+BOOST_AUTO_TEST_CASE(LoadUpdatesWithALongIntervalAreIgnored) {
   const auto first = choose().replica;
-  tell(first->facts().instance, {8, 800, 0});
+  reportLoad(first->facts().instance, {8, 800, 0});
   fleet.setInterval(milliseconds(250));
   BOOST_TEST((choice.choose(query(), 2, now).replica != first));
   fleet.setInterval(milliseconds(251));
   BOOST_TEST((choice.choose(query(), 2, now).replica == first));
 }
 
-BOOST_AUTO_TEST_CASE(ReplicaWithTheShortestQueueIsTakenWhereAllAreLong) {
+BOOST_AUTO_TEST_CASE(ReplicaWithTheShortestQueueIsSelectedIfAllAreLong) {
   const auto queues =
       std::map<std::string, std::uint32_t>{{"r1", 400}, {"r2", 300}, {"r3", 350}, {"r4", 500}};
   LoadByReplica load;
@@ -330,18 +331,18 @@
   BOOST_TEST((choice.choose(query(), 2, now).replica == replicas.find("r4")));
 }
 
-BOOST_AUTO_TEST_CASE(QueueIsReckonedByTheQuickestAnswers) {
+BOOST_AUTO_TEST_CASE(QueueTimeIsEstimatedFromTheFastestResponses) {
   const auto first = choose().replica;
   // Answers that came late say more of the queue than of the reading.
   for (int count = 0; count < 20; ++count) first->prefillSpeed().learn(1000, milliseconds(900));
   first->prefillSpeed().learn(1000, milliseconds(20));
   first->prefillSpeed().learn(1000, milliseconds(900));
-  tell(first->facts().instance, {1, 100, 8000});
+  reportLoad(first->facts().instance, {1, 100, 8000});
   BOOST_TEST((choice.choose(query(), 2, now).replica == first));
-  BOOST_TEST((first->prefillSpeed().leastTime(1000) < milliseconds(40)));
+  BOOST_TEST((first->prefillSpeed().minimumTime(1000) < milliseconds(40)));
 }
 
-BOOST_AUTO_TEST_CASE(ReplicaThatShowsNewerWeightsIsChosenAtOnce) {
+BOOST_AUTO_TEST_CASE(ReplicaReportingNewerWeightsIsSelectedAtOnce) {
   for (const char* name : {"r1", "r2", "r3", "r4"})
     replicas.find(name)->setLoadingWeights(now + seconds(2));
   BOOST_TEST((choose().replica == nullptr));
@@ -351,7 +352,7 @@
   BOOST_TEST((choose().replica == replicas.find("r3")));
 }
 
-BOOST_AUTO_TEST_CASE(FullReplicaIsTakenOnlyWhenNoOtherIsLeft) {
+BOOST_AUTO_TEST_CASE(ReplicaAtCapacityIsSelectedOnlyAsLastResort) {
   for (const char* name : {"r1", "r2", "r3"})
     replicas.find(name)->setAtCapacity(now + milliseconds(100));
   BOOST_TEST(choose().replica->facts().instance == "r4");
@@ -359,7 +360,7 @@
   BOOST_TEST((choose().replica != nullptr));
 }
 
-BOOST_AUTO_TEST_CASE(UnreadPartsAreSavedToTheStoreAndFetchedFromItLater) {
+BOOST_AUTO_TEST_CASE(UncachedPartsAreSavedToTheStoreAndFetchedLater) {
   config::RouteTableContents contents;
   config::Service service;
   service.name = "kept";
@@ -369,13 +370,13 @@
   BOOST_TEST(!choose().saveTo.has_value());
   stores.setLocalAvailability("store/0.0.0.9:9", true);
   BOOST_TEST((choose().saveTo == base::Endpoint{9, 9}));
-  hold("store/0.0.0.9:9", 1);
+  addHolder("store/0.0.0.9:9", 1);
   const auto decision = choose();
   BOOST_TEST(!decision.saveTo.has_value());
   BOOST_TEST((decision.fetchFrom->endpoint == base::Endpoint{9, 9}));
 }
 
-BOOST_AUTO_TEST_CASE(NodeThatDoesNotWatchTheStoreSeeksPartsThere) {
+BOOST_AUTO_TEST_CASE(NodeThatDoesNotWatchTheStoreFetchesFromIt) {
   config::RouteTableContents contents;
   config::Service service;
   service.name = "kept";
@@ -391,7 +392,7 @@
   BOOST_TEST(decision.fetchFrom->tokens == 0U);
   // A holder that is known goes first.
   const auto home = decision.replica->facts().instance;
-  hold(home == "r1" ? "r2" : "r1", 1);
+  addHolder(home == "r1" ? "r2" : "r1", 1);
   decision = choose();
   BOOST_TEST(decision.fetchFrom->tokens == 1000U);
   BOOST_TEST(!decision.saveTo.has_value());
@@ -410,7 +411,7 @@
 
 BOOST_AUTO_TEST_SUITE(WeightsTargetsTest)
 
-BOOST_AUTO_TEST_CASE(EachVersionIsDueByItself) {
+BOOST_AUTO_TEST_CASE(EachVersionHasItsOwnDeadline) {
   WeightsTargets targets({seconds(8), seconds(1)});
   const base::TimePoint start{seconds(10)};
   BOOST_TEST(targets.onNamed("m", 2, start));
@@ -427,7 +428,7 @@
 
 BOOST_AUTO_TEST_SUITE(PrefixHoldersTest)
 
-BOOST_AUTO_TEST_CASE(PartsCountOnlyWhereAllBeforeThemAreHeld) {
+BOOST_AUTO_TEST_CASE(PartsMatchOnlyAfterAllPrecedingParts) {
   PrefixHolders holders;
   const auto chain = *prefix::PartChain::parse("aa:10,bb:20,cc:30,own:5");
   const auto replica = base::engineIdOf("r");
--- a/tests/routing/replica_speed_model_test.cc
+++ b/tests/routing/replica_speed_model_test.cc
@@ -15,55 +15,56 @@
 namespace {
 
 constexpr std::uint32_t kPauses = 40;
-constexpr PaceLoad kNothingRead{1, 0, 0};
+constexpr StreamLoad kNoPrefill{1, 0, 0};
 
-struct PaceFixture {
+struct SpeedModelFixture {
   /// A stream whose pauses are all alike, seen by the next of ten nodes.
-  void see(base::Duration pause, const PaceLoad& load = kNothingRead) {
-    seeFrom(number++ % 10, pause, load);
+  void addStream(base::Duration pause, const StreamLoad& load = kNoPrefill) {
+    addStreamFrom(number++ % 10, pause, load);
   }
-  void seeFrom(int node, base::Duration pause, const PaceLoad& load = kNothingRead) {
-    pace.learn({kPauses, pause * kPauses, pause, {}}, load, base::nodeIdOf(std::to_string(node)),
-               now);
+  void addStreamFrom(int node, base::Duration pause, const StreamLoad& load = kNoPrefill) {
+    model.addObservation({kPauses, pause * kPauses, pause, {}}, load,
+                         base::nodeIdOf(std::to_string(node)), now);
     now += milliseconds(100);
   }
-  base::Duration expected(std::uint64_t unread = 0) const {
-    return pace.expectedLongestPause({1, unread, 0}, now).value();
+  base::Duration expected(std::uint64_t prefillBacklog = 0) const {
+    return model.expectedLongestPause({1, prefillBacklog, 0}, now).value();
   }
 
   int number = 0;
   base::TimePoint now{seconds(100)};
   base::SeededRandom random{3};
-  ReplicaSpeedModel pace;
+  ReplicaSpeedModel model;
 };
 
 }  // namespace
 
-BOOST_FIXTURE_TEST_SUITE(ReplicaPaceTest, PaceFixture)
+BOOST_FIXTURE_TEST_SUITE(ReplicaPaceTest, SpeedModelFixture)
 
-BOOST_AUTO_TEST_CASE(NothingIsSaidUntilSomeStreamsWereSeen) {
-  for (int count = 0; count < 3; ++count) see(milliseconds(30));
-  BOOST_TEST(!pace.expectedLongestPause(kNothingRead, now).has_value());
-  BOOST_TEST(!pace.speed().has_value());
-  see(milliseconds(30));
-  BOOST_TEST(pace.expectedLongestPause(kNothingRead, now).has_value());
-  BOOST_TEST(pace.speed().value() == 1.0, boost::test_tools::tolerance(0.01));
+BOOST_AUTO_TEST_CASE(NothingIsEstimatedBeforeFourStreams) {
+  for (int count = 0; count < 3; ++count) addStream(milliseconds(30));
+  BOOST_TEST(!model.expectedLongestPause(kNoPrefill, now).has_value());
+  BOOST_TEST(!model.speed().has_value());
+  addStream(milliseconds(30));
+  BOOST_TEST(model.expectedLongestPause(kNoPrefill, now).has_value());
+  BOOST_TEST(model.speed().value() == 1.0, boost::test_tools::tolerance(0.01));
 }
 
-BOOST_AUTO_TEST_CASE(SpeedIsThatOfTheStepsWhateverIsReadBeside) {
+BOOST_AUTO_TEST_CASE(SpeedIsIndependentOfConcurrentPrefill) {
   // 50 ms for the steps of a piece, 40 us for each token that is read beside it.
   for (int count = 0; count < 60; ++count) {
     const auto tokens = static_cast<std::uint64_t>(count % 5) * 200;
-    see(milliseconds(50) + std::chrono::microseconds(40) * tokens, {4, tokens, tokens * kPauses});
+    addStream(milliseconds(50) + std::chrono::microseconds(40) * tokens,
+              {4, tokens, tokens * kPauses});
   }
-  BOOST_TEST(pace.speed().value() == 0.6, boost::test_tools::tolerance(0.1));
+  BOOST_TEST(model.speed().value() == 0.6, boost::test_tools::tolerance(0.1));
 }
 
-BOOST_AUTO_TEST_CASE(PauseGrowsWithWhatWaitsToBeRead) {
+BOOST_AUTO_TEST_CASE(PauseGrowsWithThePrefillBacklog) {
   for (int count = 0; count < 60; ++count) {
     const auto tokens = static_cast<std::uint64_t>(count % 4) * 1500;
     const auto longest = milliseconds(50) + std::chrono::microseconds(40) * tokens;
-    pace.learn(
+    model.addObservation(
         {kPauses, milliseconds(50) * kPauses + std::chrono::microseconds(40) * tokens, longest, {}},
         {4, tokens, tokens}, base::nodeIdOf(std::to_string(count % 10)), now);
     now += milliseconds(100);
@@ -74,22 +75,22 @@
   BOOST_TEST((expected(4500) <= milliseconds(330)));
 }
 
-BOOST_AUTO_TEST_CASE(LongestPausesOfAFewStreamsCountThoughTheMeanIsShort) {
+BOOST_AUTO_TEST_CASE(FewLongPausesCountDespiteAShortMean) {
   for (int count = 0; count < 80; ++count) {
     const auto longest = count % 3 == 0 ? milliseconds(120) : milliseconds(40);
-    pace.learn({kPauses, milliseconds(35) * kPauses, longest, {}}, kNothingRead,
-               base::nodeIdOf(std::to_string(count % 10)), now);
+    model.addObservation({kPauses, milliseconds(35) * kPauses, longest, {}}, kNoPrefill,
+                         base::nodeIdOf(std::to_string(count % 10)), now);
     now += milliseconds(100);
   }
   BOOST_TEST((expected() >= milliseconds(100)));
 }
 
-BOOST_AUTO_TEST_CASE(AbsurdObservationsArePassedOver) {
-  for (int count = 0; count < 20; ++count) see(milliseconds(30));
+BOOST_AUTO_TEST_CASE(ImplausibleObservationsAreIgnored) {
+  for (int count = 0; count < 20; ++count) addStream(milliseconds(30));
   const auto before = expected();
-  const auto speed = pace.speed().value();
+  const auto speed = model.speed().value();
   const auto huge = base::Duration::max();
-  const auto most = std::numeric_limits<std::uint32_t>::max();
+  const auto maximum = std::numeric_limits<std::uint32_t>::max();
   const StreamObservation absurd[] = {
       {},
       {kPauses, seconds(-3), milliseconds(30), {}},
@@ -102,86 +103,87 @@
       {kPauses, base::Duration::min(), huge, huge},
   };
   for (int count = 0; count < 5; ++count)
-    for (const auto& one : absurd)
-      pace.learn(one, kNothingRead, base::nodeIdOf(std::to_string(count)), now);
+    for (const auto& observation : absurd)
+      model.addObservation(observation, kNoPrefill, base::nodeIdOf(std::to_string(count)), now);
   BOOST_TEST((expected() == before));
-  BOOST_TEST(pace.speed().value() == speed);
+  BOOST_TEST(model.speed().value() == speed);
   // Counts that cannot be, in a stream that could: bounded, not refused.
-  pace.learn({most, seconds(60), milliseconds(30), {}}, kNothingRead, base::nodeIdOf("a"), now);
-  pace.learn({kPauses, seconds(1), milliseconds(30), {}},
-             {1, std::numeric_limits<std::uint64_t>::max(), 0}, base::nodeIdOf("a"), now);
+  model.addObservation({maximum, seconds(60), milliseconds(30), {}}, kNoPrefill,
+                       base::nodeIdOf("a"), now);
+  model.addObservation({kPauses, seconds(1), milliseconds(30), {}},
+                       {1, std::numeric_limits<std::uint64_t>::max(), 0}, base::nodeIdOf("a"), now);
   BOOST_TEST((expected() <= 2 * before));
   BOOST_TEST((expected() >= before / 2));
 }
 
-BOOST_AUTO_TEST_CASE(OneNodeThatSeesAllSlowDoesNotMakeAReplicaSlow) {
-  for (int count = 0; count < 30; ++count) see(milliseconds(30));
-  const auto speed = pace.speed().value();
+BOOST_AUTO_TEST_CASE(OneSlowNodeDoesNotMakeAReplicaSlow) {
+  for (int count = 0; count < 30; ++count) addStream(milliseconds(30));
+  const auto speed = model.speed().value();
   for (int count = 0; count < 60; ++count) {
     if (count % 10 == 0) {
-      seeFrom(77, milliseconds(300));
+      addStreamFrom(77, milliseconds(300));
     } else {
-      see(milliseconds(30));
+      addStream(milliseconds(30));
     }
-    BOOST_TEST(!pace.slow(now));
+    BOOST_TEST(!model.slow(now));
   }
-  BOOST_TEST(pace.speed().value() > speed * 0.6);
+  BOOST_TEST(model.speed().value() > speed * 0.6);
 }
 
-BOOST_AUTO_TEST_CASE(SlowMomentIsFoundByTheSecondStreamAndItsEndByProbes) {
-  for (int count = 0; count < 30; ++count) see(milliseconds(30));
+BOOST_AUTO_TEST_CASE(SlownessIsDetectedByTheSecondStreamAndItsEndByProbes) {
+  for (int count = 0; count < 30; ++count) addStream(milliseconds(30));
   const auto usual = expected();
-  see(milliseconds(105));
-  BOOST_TEST(!pace.slow(now));
-  see(milliseconds(105));
-  BOOST_TEST(pace.slow(now));
+  addStream(milliseconds(105));
+  BOOST_TEST(!model.slow(now));
+  addStream(milliseconds(105));
+  BOOST_TEST(model.slow(now));
   BOOST_TEST((expected() > usual * 2));
   // Nothing is sent there: it counts as well again after a while, so that one stream goes there.
   now += seconds(4);
-  BOOST_TEST(!pace.slow(now));
-  see(milliseconds(105));
-  see(milliseconds(105));
-  BOOST_TEST(pace.slow(now));
+  BOOST_TEST(!model.slow(now));
+  addStream(milliseconds(105));
+  addStream(milliseconds(105));
+  BOOST_TEST(model.slow(now));
   now += seconds(4);
-  see(milliseconds(30));
-  see(milliseconds(30));
-  BOOST_TEST(!pace.slow(now));
+  addStream(milliseconds(30));
+  addStream(milliseconds(30));
+  BOOST_TEST(!model.slow(now));
 }
 
-BOOST_AUTO_TEST_CASE(ShortMomentsDoNotMakeAReplicaSlowByTurns) {
+BOOST_AUTO_TEST_CASE(ShortSlowIntervalsDoNotToggleTheState) {
   // One stream in seven is slower by 2.5; the state may not change with each.
   int changes = 0;
   bool before = false;
   for (int count = 0; count < 700; ++count) {
-    see(random.below(7) == 0 ? milliseconds(75) : milliseconds(30));
-    changes += pace.slow(now) != before ? 1 : 0;
-    before = pace.slow(now);
+    addStream(random.below(7) == 0 ? milliseconds(75) : milliseconds(30));
+    changes += model.slow(now) != before ? 1 : 0;
+    before = model.slow(now);
   }
   BOOST_TEST(changes <= 4);
 }
 
-BOOST_AUTO_TEST_CASE(SpeedToldKeepsStillWhileMeasurementsScatter) {
-  for (int count = 0; count < 40; ++count) see(milliseconds(30));
-  auto told = pace.speed().value();
+BOOST_AUTO_TEST_CASE(ReportedSpeedIsStableWhileMeasurementsScatter) {
+  for (int count = 0; count < 40; ++count) addStream(milliseconds(30));
+  auto reported = model.speed().value();
   int changes = 0;
   for (int count = 0; count < 500; ++count) {
-    see(milliseconds(20) + milliseconds(random.below(20)));
-    changes += pace.speed().value() != told ? 1 : 0;
-    told = pace.speed().value();
+    addStream(milliseconds(20) + milliseconds(random.below(20)));
+    changes += model.speed().value() != reported ? 1 : 0;
+    reported = model.speed().value();
   }
   BOOST_TEST(changes <= 2);
-  BOOST_TEST(shareOfReading(told, 1.0) == 1.0);
+  BOOST_TEST(shareOfLongPrompts(reported, 1.0) == 1.0);
 }
 
-BOOST_AUTO_TEST_CASE(SharesFollowSpeedOnlyWhereItDiffersForSure) {
-  BOOST_TEST(shareOfReading(0, 1) == 1.0);
-  BOOST_TEST(shareOfReading(1, 0) == 1.0);
-  BOOST_TEST(shareOfReading(1.2, 1) == 1.0);
-  BOOST_TEST(shareOfReading(0.85, 1) == 1.0);
-  BOOST_TEST(shareOfReading(1.6, 1) / shareOfReading(0.6, 1) == 1.6 / 0.6,
+BOOST_AUTO_TEST_CASE(SharesFollowSpeedOnlyIfItDiffersClearly) {
+  BOOST_TEST(shareOfLongPrompts(0, 1) == 1.0);
+  BOOST_TEST(shareOfLongPrompts(1, 0) == 1.0);
+  BOOST_TEST(shareOfLongPrompts(1.2, 1) == 1.0);
+  BOOST_TEST(shareOfLongPrompts(0.85, 1) == 1.0);
+  BOOST_TEST(shareOfLongPrompts(1.6, 1) / shareOfLongPrompts(0.6, 1) == 1.6 / 0.6,
              boost::test_tools::tolerance(1e-9));
-  BOOST_TEST(shareOfReading(1e9, 1) <= 9.0);
-  BOOST_TEST(shareOfReading(1e-9, 1) > 0.1);
+  BOOST_TEST(shareOfLongPrompts(1e9, 1) <= 9.0);
+  BOOST_TEST(shareOfLongPrompts(1e-9, 1) > 0.1);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/routing/request_durations_test.cc
+++ b/tests/routing/request_durations_test.cc
@@ -13,7 +13,7 @@
 constexpr base::TimePoint kStart{seconds(100)};
 
 /// Runs of 5 ms a token.
-RequestDurations learned() {
+RequestDurations trainedDurations() {
   RequestDurations times;
   for (const std::uint32_t tokens : {10U, 400U, 40U, 100U, 300U, 20U})
     times.onEnd("llm", tokens, milliseconds(5) * tokens);
@@ -24,7 +24,7 @@
 
 BOOST_AUTO_TEST_SUITE(RunTimesTest)
 
-BOOST_AUTO_TEST_CASE(NothingIsLongBeforeRunsWereSeen) {
+BOOST_AUTO_TEST_CASE(NoRequestIsLongBeforeSomeCompleted) {
   RequestDurations times;
   BOOST_TEST(!times.isLong("llm", 100'000));
   for (int run = 0; run < 4; ++run) times.onEnd("llm", 10, seconds(1));
@@ -33,15 +33,15 @@
   BOOST_TEST(times.isLong("llm", 100'000));
 }
 
-BOOST_AUTO_TEST_CASE(LongIsWhatTakesLongAtThePaceSeen) {
-  const auto times = learned();
+BOOST_AUTO_TEST_CASE(RequestIsLongByTheMeasuredDurations) {
+  const auto times = trainedDurations();
   BOOST_TEST(!times.isLong("llm", 190));
   BOOST_TEST(times.isLong("llm", 210));
   BOOST_TEST(!times.isLong("other", 10'000));
 }
 
-BOOST_AUTO_TEST_CASE(ReplicasFollowFromRunsOfAllNodesAndSlots) {
-  auto times = learned();
+BOOST_AUTO_TEST_CASE(ReplicaCountFollowsFromLoadOfAllNodesAndSlots) {
+  auto times = trainedDurations();
   BOOST_TEST(times.replicasForLongRuns("llm", 10, 5, kStart) == 1U);
   // For 20 s, ten runs of 2 s begin each second: twenty are under way.
   auto now = kStart;
--- a/tests/routing/service_model_test.cc
+++ b/tests/routing/service_model_test.cc
@@ -20,7 +20,7 @@
 
 BOOST_AUTO_TEST_SUITE(ServiceModelTest)
 
-BOOST_AUTO_TEST_CASE(QueueAndUncachedTokensMakeTheTime) {
+BOOST_AUTO_TEST_CASE(QueueAndUncachedTokensDetermineTheTime) {
   ServiceModel model;
   model.prefillTokensPerSecond = 1000;
   const auto estimate = estimateService(
@@ -32,7 +32,7 @@
   BOOST_TEST(estimate.importedTokens == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(ImportsOnlyWhereItBeatsRecomputing) {
+BOOST_AUTO_TEST_CASE(ImportsOnlyIfFasterThanRecomputing) {
   ServiceModel model;
   model.prefillTokensPerSecond = 1000;
   model.importTokensPerSecond = 10'000;
@@ -48,7 +48,7 @@
   BOOST_TEST(late.importedTokens == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(ADoubtfulMatchCountsInPart) {
+BOOST_AUTO_TEST_CASE(UncertainMatchCountsInPart) {
   ServiceModel model;
   const auto sure = estimateService(model, {.promptTokens = 4000, .cachedTokens = 4000});
   const auto doubtful =
@@ -57,7 +57,7 @@
   BOOST_TEST(doubtful.uncachedTokens == 2000U);
 }
 
-BOOST_AUTO_TEST_CASE(AnnouncedWorkIsReplayedAgainstTheEnginesSpeed) {
+BOOST_AUTO_TEST_CASE(AnnouncedWorkIsReplayedAtTheEngineSpeed) {
   QueueEstimate queue({.prefillTokensPerSecond = 1000, .reportLag = 0ms});
   queue.onReport({}, kStart);
   queue.onDispatched(PriorityClass::kStandard, 500, kStart);
@@ -73,7 +73,7 @@
   BOOST_TEST(queue.tokensAhead(PriorityClass::kBackground, kStart + 800ms) == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(AReportBoundsTheReplayFromBothSides) {
+BOOST_AUTO_TEST_CASE(ReportBoundsTheReplayFromBothSides) {
   QueueEstimate queue({.prefillTokensPerSecond = 1000, .reportLag = 0ms, .waitingTokens = 400});
   queue.onReport({}, kStart);
   queue.onDispatched(PriorityClass::kUrgent, 3000, kStart);
@@ -92,7 +92,7 @@
   BOOST_TEST(queue.tokensAhead(PriorityClass::kUrgent, kStart + 5s) == 1200U);
 }
 
-BOOST_AUTO_TEST_CASE(SharedPrefixesTakeMemoryOnce) {
+BOOST_AUTO_TEST_CASE(SharedPrefixesUseMemoryOnce) {
   MemoryEstimate memory;
   const PromptFootprint prompt{7, 1000, 100};
   BOOST_TEST(memory.missingBlocks(prompt) == 0U);
@@ -108,7 +108,7 @@
   BOOST_TEST(memory.missingBlocks(prompt) == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(ADispatchYoungerThanTheReportsLagIsKept) {
+BOOST_AUTO_TEST_CASE(DispatchMoreRecentThanTheReportLagIsKept) {
   QueueEstimate queue({.prefillTokensPerSecond = 1000, .reportLag = 400ms});
   queue.onDispatched(PriorityClass::kUrgent, 2000, kStart);
   queue.onReport({}, kStart + 300ms);
@@ -117,16 +117,16 @@
   BOOST_TEST(queue.tokensAhead(PriorityClass::kUrgent, kStart + 500ms) == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(HeatWidensAtOnceAndNarrowsByStep) {
-  PrefixDemand heat({});
-  for (int request = 0; request < 20; ++request) heat.record(1, 1000, kStart);
-  BOOST_TEST(heat.tokensPerSecond(1, kStart) == 10'000.0);
-  BOOST_TEST(heat.tokensPerSecond(1, kStart + 10s) < 100.0);
-  BOOST_TEST(heat.holderCount(1, 8, kStart) == 8U);
-  BOOST_TEST(heat.holderCount(1, 2, kStart + 1s) == 8U);
-  BOOST_TEST(heat.holderCount(1, 2, kStart + 2s) == 7U);
-  BOOST_TEST(heat.holderCount(1, 2, kStart + 3s) == 7U);
-  BOOST_TEST(heat.holderCount(1, 2, kStart + 4s) == 6U);
+BOOST_AUTO_TEST_CASE(HolderCountGrowsAtOnceAndShrinksByStep) {
+  PrefixDemand demand({});
+  for (int request = 0; request < 20; ++request) demand.record(1, 1000, kStart);
+  BOOST_TEST(demand.tokensPerSecond(1, kStart) == 10'000.0);
+  BOOST_TEST(demand.tokensPerSecond(1, kStart + 10s) < 100.0);
+  BOOST_TEST(demand.holderCount(1, 8, kStart) == 8U);
+  BOOST_TEST(demand.holderCount(1, 2, kStart + 1s) == 8U);
+  BOOST_TEST(demand.holderCount(1, 2, kStart + 2s) == 7U);
+  BOOST_TEST(demand.holderCount(1, 2, kStart + 3s) == 7U);
+  BOOST_TEST(demand.holderCount(1, 2, kStart + 4s) == 6U);
 }
 
 BOOST_AUTO_TEST_CASE(ImportsOfAllNodesQueueAtTheStore) {
@@ -138,13 +138,13 @@
   BOOST_TEST(base::toMilliseconds(imports.wait(kStart + 1s)) == 0.0);
 }
 
-BOOST_AUTO_TEST_CASE(HeatForgetsTheColdestRoots) {
-  PrefixDemand heat({.maximumRoots = 2});
-  heat.record(1, 100, kStart);
-  heat.record(2, 5000, kStart);
-  heat.record(3, 5000, kStart);
-  BOOST_TEST(heat.roots() == 2U);
-  BOOST_TEST(heat.tokensPerSecond(1, kStart) == 0.0);
+BOOST_AUTO_TEST_CASE(RootsWithTheLowestDemandAreEvicted) {
+  PrefixDemand demand({.maximumRoots = 2});
+  demand.record(1, 100, kStart);
+  demand.record(2, 5000, kStart);
+  demand.record(3, 5000, kStart);
+  BOOST_TEST(demand.roots() == 2U);
+  BOOST_TEST(demand.tokensPerSecond(1, kStart) == 0.0);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/routing/staged_lookup_test.cc
+++ b/tests/routing/staged_lookup_test.cc
@@ -13,9 +13,9 @@
  public:
   void lookup(base::PriorityClass /*priority*/, const std::vector<base::EngineId>& engines,
               const prefix::Checkpoints& /*checkpoints*/, LookupCallback callback) override {
-    asked.push_back(engines);
+    queries.push_back(engines);
     LookupResult result;
-    result.lookupId = asked.size();
+    result.lookupId = queries.size();
     for (const auto engine : engines) {
       EngineLookupResult knowledge = best;
       knowledge.engine = engine;
@@ -29,7 +29,7 @@
   }
 
   EngineLookupResult best{{}, true, false, 8, 0, 0, 0};
-  std::vector<std::vector<base::EngineId>> asked;
+  std::vector<std::vector<base::EngineId>> queries;
   std::uint64_t announced = 0;
 };
 
@@ -74,9 +74,9 @@
   prefix::Checkpoints checkpoints{1, 10, {5}};
   std::optional<LookupResult> result;
 
-  void ask() {
+  void runLookup() {
     staged.lookup(base::PriorityClass::kStandard, engines, checkpoints,
-                  [this](LookupResult answer) { result = std::move(answer); });
+                  [this](LookupResult lookupResult) { result = std::move(lookupResult); });
   }
 };
 
@@ -84,12 +84,12 @@
 
 BOOST_FIXTURE_TEST_SUITE(StagedLookupTest, StagedLookupFixture)
 
-BOOST_AUTO_TEST_CASE(AsksAboutTheFirstOfTheRegionAloneWhereItsAnswerSettles) {
-  ask();
-  BOOST_REQUIRE(lookup.asked.size() == 1U);
+BOOST_AUTO_TEST_CASE(QueriesOnlyTheFirstOfTheRegionIfItsReplyIsConclusive) {
+  runLookup();
+  BOOST_REQUIRE(lookup.queries.size() == 1U);
   // The first of the own region.
-  BOOST_REQUIRE(lookup.asked[0].size() == 1U);
-  BOOST_TEST((lookup.asked[0][0] == engines[1]));
+  BOOST_REQUIRE(lookup.queries[0].size() == 1U);
+  BOOST_TEST((lookup.queries[0][0] == engines[1]));
   BOOST_REQUIRE(result.has_value());
   BOOST_REQUIRE(result->engines.size() == 3U);
   BOOST_TEST((result->engines[0].engine == engines[1]));
@@ -102,15 +102,15 @@
   BOOST_TEST(lookup.announced == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(AsksAboutAllWhereItDoesNotSettle) {
+BOOST_AUTO_TEST_CASE(QueriesAllIfTheReplyIsNotConclusive) {
   const EngineLookupResult good = lookup.best;
   std::size_t lookups = 0;
   const auto expectTwoStages = [&](const EngineLookupResult& best) {
     lookup.best = best;
-    ask();
+    runLookup();
     lookups += 2;
-    BOOST_REQUIRE(lookup.asked.size() == lookups);
-    BOOST_TEST(lookup.asked.back().size() == 3U);
+    BOOST_REQUIRE(lookup.queries.size() == lookups);
+    BOOST_TEST(lookup.queries.back().size() == 3U);
   };
   EngineLookupResult best = good;
   best.known = false;
@@ -126,11 +126,11 @@
   expectTwoStages(best);
 }
 
-BOOST_AUTO_TEST_CASE(AsksAboutAllAtOnceInSmallFleets) {
+BOOST_AUTO_TEST_CASE(QueriesAllAtOnceInSmallFleets) {
   members.set(membersOf(31));
-  ask();
-  BOOST_REQUIRE(lookup.asked.size() == 1U);
-  BOOST_TEST(lookup.asked[0].size() == 3U);
+  runLookup();
+  BOOST_REQUIRE(lookup.queries.size() == 1U);
+  BOOST_TEST(lookup.queries[0].size() == 3U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
