--- a/src/routing/instance_notices.h
+++ b/src/routing/instance_notices.h
@@ -1,10 +1,12 @@
 /// \file
-/// What one run of a replica has said of itself, in answers or in its entry: that it leaves, until
-/// when it wants no requests from this node, and how many it takes from all nodes together.
+/// Notices that one instance of a replica has given about itself, in responses or in its entry:
+/// that it is leaving, until when this node must back off, and how many requests it accepts from
+/// all nodes together.
 ///
-/// States of the rest: none -> resting until its end -> to be tried, with one request at a time ->
-/// none once one was not turned away, or resting again. All that waited for the end would otherwise
-/// come at once to a replica that may still have too much.
+/// States of the back-off: none -> backing off until its end -> to be probed, with one request at a
+/// time -> none once a request was not rejected, or backing off again. Without the probe, all
+/// requests that waited for the end of the back-off would arrive at once at a replica that may
+/// still be overloaded.
 #pragma once
 
 #include <algorithm>
@@ -17,30 +19,32 @@
 
 class InstanceNotices {
  public:
-  /// The run leaves. Holds for as long as the run lives: whatever is read later is older, as a run
-  /// that leaves ends. True where this is news.
+  /// Records that the instance is leaving. This is final for the instance: an instance that is
+  /// leaving ends, so any contrary message that arrives later is older. Returns true if it was not
+  /// known before.
   bool recordLeaving() { return !std::exchange(leaving_, true); }
   bool leaving() const { return leaving_; }
 
-  /// The run wants no requests from this node until then. Of several ends the latest counts: an
-  /// answer that was overtaken must not shorten what a later one asked for.
+  /// The instance accepts no requests from this node until the given time. Of several end times the
+  /// latest counts: a response that was overtaken must not shorten a back-off that a later one
+  /// requested.
   void startBackOff(base::TimePoint until) {
     backOffUntil_ = std::max(backOffUntil_, until);
     probed_ = false;
   }
   bool backingOff(base::TimePoint now) const { return now < backOffUntil_; }
   base::TimePoint backOffUntil() const { return backOffUntil_; }
-  /// The run has rested, and the one request that tries it is under way.
+  /// The back-off is over and the one request that probes the instance is in flight.
   bool probing() const { return probeInFlight_; }
 
-  /// A request is sent. True where it tries the run; call endProbe then once, when its answer began
-  /// or will not.
+  /// A request is sent. Returns true if it is the probe; endProbe must then be called exactly once,
+  /// when its response started or can no longer start.
   bool beginProbe() {
     if (probed_) return false;
     probeInFlight_ = true;
     return true;
   }
-  /// `taken`: the run did not turn the request away.
+  /// `accepted`: the instance did not reject the request.
   void endProbe(bool accepted) {
     probeInFlight_ = false;
     probed_ = probed_ || accepted;
@@ -52,7 +56,7 @@
  private:
   bool leaving_ = false;
   base::TimePoint backOffUntil_{};
-  /// It has taken a request since its last rest.
+  /// Whether it has accepted a request since its last back-off.
   bool probed_ = true;
   bool probeInFlight_ = false;
   InstanceRateLimit rateLimit_;
--- a/src/routing/instance_rate_limit.cc
+++ b/src/routing/instance_rate_limit.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// A message between nodes is taken to be under way for at most this.
+/// Assumed maximum delivery time of a message between nodes.
 constexpr base::Duration kMaximumDelivery = std::chrono::milliseconds(200);
 
 }  // namespace
@@ -35,7 +35,7 @@
   const auto& notice = evidence.notice;
   if (notice.kind == clients::RateLimitNotice::Kind::kNothing) return false;
   const bool same = equals(notice);
-  // What ends or raises a limit must be younger than all that named it.
+  // Evidence that ends or raises a limit must be more recent than all evidence that confirmed it.
   if (!same && (isLowerThan(notice) ? evidence.from : evidence.to) <= asOf_) return false;
   asOf_ = std::max(asOf_, notice.limited() ? evidence.to : evidence.from);
   if (same) return false;
--- a/src/routing/instance_rate_limit.h
+++ b/src/routing/instance_rate_limit.h
@@ -1,11 +1,12 @@
 /// \file
-/// What is known of the rate limit of one run of a replica: the requests a second that it takes
-/// from all nodes together, for as long as its answers say so.
+/// Known rate limit of one instance of a replica: the number of requests per second that it accepts
+/// from all nodes together, for as long as its responses report it.
 ///
-/// Answers overtake each other, and heads of streams are old when they are read. So each answer is
-/// evidence of a moment between two times: when its request was sent, and when it was read. A lower
-/// limit counts at once; a higher one, or none, only where its request was sent after the latest
-/// answer that named the limit in force had been read. No limit ends by time alone.
+/// Responses overtake each other, and the headers of streams are old by the time they are
+/// processed. Each response is therefore treated as evidence of a moment between two times: when
+/// its request was sent, and when it was read. A lower limit applies at once. A higher limit, or
+/// none, applies only if the request of that response was sent after the latest response that named
+/// the limit in force had been read. No limit expires by time alone.
 #pragma once
 
 #include <optional>
@@ -15,38 +16,39 @@
 
 namespace covewing::routing {
 
-/// What was said at some moment between two times.
+/// What was reported at some moment between two times.
 struct RateLimitEvidence {
   clients::RateLimitNotice notice;
   base::TimePoint from{};
   base::TimePoint to{};
 };
 
-/// What a node knows, as it tells other nodes. They have no common clock.
+/// Known limit of a node as it is sent to other nodes, which have no common clock.
 struct KnownRateLimit {
-  /// Nothing where the run never named a limit.
+  /// Kind kNothing if the instance never reported a limit.
   clients::RateLimitNotice notice;
-  /// Since it was last confirmed.
+  /// Time since it was last confirmed.
   base::Duration age{};
 };
 
-/// What another node knows, told in a message that comes now.
+/// Converts the known limit of another node, received in a message now.
 RateLimitEvidence evidenceOf(const KnownRateLimit& known, base::TimePoint now);
 
 class InstanceRateLimit {
  public:
-  /// True where the limit in force is another since.
+  /// Returns true if the limit in force changed.
   bool update(const RateLimitEvidence& evidence);
-  /// Requests a second; empty without a limit.
+  /// Requests per second; empty without a limit.
   std::optional<double> perSecond() const { return perSecond_; }
-  /// Up to when what is known was confirmed.
+  /// Time up to which the known limit is confirmed.
   base::TimePoint asOf() const { return asOf_; }
   KnownRateLimit known(base::TimePoint now) const;
-  /// A limit that cannot be read. True the first time, so that it is logged once.
+  /// Records a limit that cannot be parsed. Returns true the first time, so that it is logged only
+  /// once.
   bool recordUnreadable();
 
  private:
-  /// Whether the limit in force is lower than this one.
+  /// Whether the limit in force is lower than the given one.
   bool isLowerThan(const clients::RateLimitNotice& notice) const;
   bool equals(const clients::RateLimitNotice& notice) const;
 
--- a/src/routing/ledger_capacity.cc
+++ b/src/routing/ledger_capacity.cc
@@ -28,12 +28,13 @@
   const CapacityDemand& demand = demandOf_(entry.id);
   if (!ledger_.pacer().mayPass(now_)) return false;
   const auto current = ledger_.load(now_);
-  // A replica without work takes any request, also one larger than the memory that was told.
+  // An idle replica accepts any request, even one larger than its stated memory.
   if (current.requests == 0) return true;
   const auto slotsWithExtra = replica_.slots == 0 ? 0 : replica_.slots + kExtraRequests;
   if (slotsWithExtra > 0 && current.requests >= slotsWithExtra) return false;
   if (!ledger_.hasCapacity(demand.work, now_)) return false;
-  // One that is late, or that nobody else can take, is better served with pauses than not at all.
+  // A request that is late, or that no other replica can accept, is better served with pauses than
+  // not at all.
   const bool hasAlternatives = inTime && !demand.acceptsPauses;
   if (hasAlternatives && ledger_.pauseExcess(demand.work, demand.terms, now_).count() > 0)
     return false;
--- a/src/routing/ledger_capacity.h
+++ b/src/routing/ledger_capacity.h
@@ -1,5 +1,6 @@
 /// \file
-/// The room of one replica for its queue (admission/admission_queue.h), by what its home counts.
+/// Capacity of one replica as seen by its queue (admission/admission_queue.h), derived from the
+/// records of its home.
 #pragma once
 
 #include <cstdint>
@@ -13,25 +14,28 @@
 
 namespace covewing::routing {
 
-/// What the home weighs of a request beyond its place in the queue.
+/// Properties of a request that the home considers besides its position in the queue.
 struct CapacityDemand {
   PlacementDemand work;
   PlacementTerms terms;
-  /// The replica has to turn to the request within this, if it may go elsewhere or is late.
+  /// Maximum expected wait until the replica starts the request, if the request may be sent to
+  /// another replica or is late.
   base::Duration acceptableWait{};
-  /// No home would take the request without a pause that is too long, or it waits in the queue.
+  /// The request accepts pauses that are too long: no home would grant it without, or it waits in
+  /// the queue.
   bool acceptsPauses = false;
 };
 
-/// The room for one demand at a time; lives for one decision.
+/// Capacity for one demand at a time; lives for one decision.
 class LedgerCapacity final : public admission::ReplicaCapacity {
  public:
-  /// Finds the demand of an entry; all entries that are offered have one.
+  /// Returns the demand of an entry; every entry that is offered must have one.
   using DemandOf = std::function<const CapacityDemand&(std::uint64_t id)>;
 
-  /// Requests sent beyond what the replica runs at once. It bridges the message that a run ended
-  /// and the grant that follows: some 5 ms, in which a replica of 24 slots ends less than one run
-  /// of a second. More would wait there in the replica's order, not in the queue's.
+  /// Number of requests sent beyond the replica's slots. It bridges the time between the message
+  /// that a request ended and the grant that follows: some 5 ms, in which a replica with 24 slots
+  /// ends less than one request of a second. Further requests would wait there in the replica's
+  /// order instead of the queue's.
   static constexpr std::uint32_t kExtraRequests = 1;
 
   LedgerCapacity(ReplicaLedger& ledger, const PlacementDemand& replica, DemandOf demandOf,
@@ -46,8 +50,8 @@
   base::Duration meanRunTime() const override;
 
  private:
-  /// The replica's rate limit allows fewer requests than its slots. Its room is then that of a
-  /// replica with one slot, in which each request runs for the interval of the rate.
+  /// Whether the replica's rate limit allows fewer requests than its slots. Its capacity is then
+  /// that of a replica with one slot in which each request runs for the interval of the rate.
   bool isRateBound() const;
 
   ReplicaLedger& ledger_;
--- a/src/routing/part_index.h
+++ b/src/routing/part_index.h
@@ -1,7 +1,8 @@
 /// \file
-/// What the home of some parts of prompts knows of them: the replicas and stores that hold each, as
-/// they are told by the nodes that send prompts and by the homes of replicas, which watch their
-/// caches. Knowledge may be outdated; a fetch in vain costs a millisecond and the reading.
+/// Index that a node keeps of the prompt parts it is the home of: the replicas and cache stores
+/// that hold each part. Entries come from the nodes that send prompts and from the homes of the
+/// replicas, which watch the replicas' caches. They may be out of date; an attempt to fetch a part
+/// that is no longer cached costs one millisecond plus the prefill of the part.
 #pragma once
 
 #include <cstddef>
@@ -15,17 +16,18 @@
 namespace covewing::routing {
 
 struct PartIndexOptions {
-  /// Holders kept for each part and scope; the latest. Counted by scope, for a part that all
-  /// tenants share is held under as many scopes as there are isolated tenants and versions in use:
-  /// with 6 for all of them, half of the lookups of such a part found no holder under their own
-  /// (90 replicas, 16 tenants, first 10 s of a shortage).
+  /// Maximum number of holders kept for each part and scope; the most recent ones are kept. The
+  /// limit applies per scope because a part that all tenants share is held under as many scopes as
+  /// there are isolated tenants and weights versions in use: with 6 holders for all scopes
+  /// together, half of the lookups of such a part found no holder under their own scope (90
+  /// replicas, 16 tenants, first 10 s of a capacity shortage).
   std::size_t maximumHolders = 6;
-  /// Holders kept for each part under all scopes; the latest.
+  /// Maximum number of holders kept for each part over all scopes; the most recent ones are kept.
   std::size_t maximumHoldersOfAllScopes = 96;
-  /// A replica that got no prompt with the part for so long is taken to have dropped it, should the
-  /// news of that be lost.
+  /// A holder expires if no prompt with the part was reported for this long: the replica has then
+  /// probably evicted the part, and the message about the eviction may have been lost.
   base::Duration holderLifetime = std::chrono::seconds(60);
-  /// Parts kept at most.
+  /// Maximum number of parts in the index.
   std::size_t maximumParts = 100'000;
 };
 
@@ -35,7 +37,7 @@
 
   void add(std::uint64_t part, const PartHolder& holder, base::TimePoint now);
   void remove(std::uint64_t part, const PartHolder& holder);
-  /// The holders under the scope, the latest first.
+  /// Returns the unexpired holders under the scope, most recent first.
   std::vector<PartHolder> holdersOf(std::uint64_t part, CacheScope scope,
                                     base::TimePoint now) const;
   std::size_t size() const { return parts_.size(); }
@@ -47,11 +49,12 @@
   };
 
   void dropExpired(base::TimePoint now);
-  /// Drops the oldest of the scope, and of all, beyond the bounds.
+  /// Removes the oldest holder of the scope, and the oldest of all scopes, where the limits are
+  /// exceeded.
   void dropOldest(std::vector<Entry>& entries, CacheScope scope) const;
 
   PartIndexOptions options_;
-  /// The latest first.
+  /// Holders of each part, most recent first.
   std::unordered_map<std::uint64_t, std::vector<Entry>> parts_;
 };
 
--- a/src/routing/part_lookup.cc
+++ b/src/routing/part_lookup.cc
@@ -72,7 +72,7 @@
 }
 
 void PartLookup::onReply(const base::PeerIdentity& sender, const PartReply& reply) {
-  // Also a late answer shows that the home is there.
+  // A late reply, too, shows that the home is alive.
   avoidedUntil_.erase(sender.node);
   const auto entry = pending_.extract(reply.nonce);
   if (entry.empty()) return;
--- a/src/routing/part_lookup.h
+++ b/src/routing/part_lookup.h
@@ -1,14 +1,16 @@
 /// \file
-/// Finds the holders of a prompt's shared parts, whichever node sent prompts there.
+/// Finds the replicas and stores that hold the shared parts of a prompt, whichever node sent
+/// prompts to them.
 ///
-/// Each long shared part has a home among the live nodes by rendezvous hashing. Nodes tell the home
-/// which replicas have read the part, those that watch a replica's cache tell what it keeps and
-/// drops, and nodes ask the home. So a prompt costs a few small messages, however many nodes there
-/// are.
+/// Each long shared part has a home among the live nodes, chosen by rendezvous hashing. Nodes
+/// report to the home which replicas have prefilled the part, nodes that watch a replica's cache
+/// report what it keeps and evicts, and nodes query the home for the holders. A prompt therefore
+/// costs a few small messages, independent of the number of nodes.
 ///
-/// A lookup never costs a request: it ends without an answer after a few milliseconds, and a home
-/// that did not answer is not asked again for a while. After a change of members a part may have
-/// another home that knows nothing yet; the prompts that come next teach it.
+/// A lookup never fails or noticeably delays a request: it ends without a result after a few
+/// milliseconds, and a home that did not reply is not queried again for a while. After a membership
+/// change a part may have a new home whose index is still empty; reports about the next prompts
+/// fill it.
 #pragma once
 
 #include <cstdint>
@@ -31,13 +33,13 @@
 
 struct PartLookupOptions {
   PartIndexOptions index;
-  /// Longest wait for an answer.
+  /// Maximum wait for the reply of a home.
   base::Duration timeout = std::chrono::milliseconds(15);
-  /// A home that did not answer is passed over for so long.
+  /// A home that did not reply is not queried for this long.
   base::Duration avoidFor = std::chrono::milliseconds(1000);
 };
 
-/// All must outlive the lookup and share its thread.
+/// All referenced objects must outlive the lookup and be used on its thread only.
 struct PartLookupEnvironment {
   base::Clock& clock;
   base::TimerService& timers;
@@ -49,7 +51,7 @@
 
 class PartLookup final : public base::PeerHandler {
  public:
-  /// The holders that the home knows; empty when it did not answer.
+  /// Receives the holders that the home has on record; empty if the home did not reply.
   using HoldersCallback = std::function<void(const std::optional<std::vector<PartHolder>>&)>;
 
   PartLookup(PartLookupOptions options, PartLookupEnvironment environment)
@@ -58,14 +60,15 @@
   PartLookup(const PartLookup&) = delete;
   PartLookup& operator=(const PartLookup&) = delete;
 
-  /// Asks for the holders under the scope. Calls `found` once; inside the call where the answer is
-  /// known or cannot be had.
+  /// Looks up the holders of the part under the scope. Calls `found` exactly once; calls it before
+  /// returning if this node is the home or the home is not to be queried.
   void lookup(std::uint64_t part, CacheScope scope, HoldersCallback found);
-  /// The holder has read a prompt with the part, or no longer holds it.
+  /// Reports to the home of the part that the holder has prefilled a prompt with the part (`held`
+  /// is true), or no longer holds it.
   void announce(std::uint64_t part, const PartHolder& holder, bool held = true);
   void onPeerMessage(const base::PeerIdentity& sender, std::string_view payload) override;
 
-  /// Parts that this node is the home of.
+  /// Number of parts in the index of this node, which is their home.
   std::size_t size() const { return index_.size(); }
 
  private:
--- a/src/routing/part_messages.cc
+++ b/src/routing/part_messages.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Type numbers on the wire; never reused. 1 was a question without a scope.
+/// Type numbers on the wire; never reused. 1 was a query without a scope.
 enum class MessageType : std::uint8_t { kReply = 2, kUpdate = 3, kQuery = 4 };
 
 constexpr std::uint32_t kQueryFields = 4;
--- a/src/routing/part_messages.h
+++ b/src/routing/part_messages.h
@@ -1,6 +1,7 @@
 /// \file
-/// Messages on the part-index channel: a node asks the home of a shared part of a prompt who holds
-/// it, the home answers, and nodes tell the home which replicas have read it and which dropped it.
+/// Messages on the part-index channel: a node queries the home of a shared prompt part for its
+/// holders, the home replies, and nodes report to the home which replicas have prefilled or evicted
+/// the part.
 #pragma once
 
 #include <cstdint>
@@ -16,14 +17,14 @@
 namespace covewing::routing {
 
 struct PartQuery {
-  /// Chosen by the asker; the answer carries it.
+  /// Chosen by the sender of the query; the reply repeats it.
   std::uint64_t nonce = 0;
   std::uint64_t part = 0;
-  /// Only holders under this scope are of use to the asker.
+  /// The reply lists only holders under this scope; the sender cannot use others.
   CacheScope scope = 0;
 };
 
-/// A replica and the scope under which it holds a part, with every part before it.
+/// A replica or store, and the scope under which it holds a part and every part before it.
 struct PartHolder {
   base::EngineId replica;
   CacheScope scope = 0;
@@ -36,7 +37,8 @@
   std::vector<PartHolder> holders;
 };
 
-/// The replica has read a prompt with this part, or no longer holds it.
+/// Reports that the replica has prefilled a prompt with this part (`held` is true), or no longer
+/// holds it.
 struct PartUpdate {
   std::uint64_t part = 0;
   PartHolder holder;
@@ -46,7 +48,7 @@
 using PartMessage = std::variant<PartQuery, PartReply, PartUpdate>;
 
 std::string encode(const PartMessage& message);
-/// Empty when the bytes are none of these messages.
+/// Returns nothing if the bytes are not a valid message of this channel.
 std::optional<PartMessage> decodePartMessage(std::string_view bytes);
 
 }  // namespace covewing::routing
--- a/src/routing/placement.cc
+++ b/src/routing/placement.cc
@@ -32,7 +32,7 @@
   return counters;
 }
 
-// --- asking
+// --- placing requests
 
 void Placement::place(Ticket ticket, PlacementRequest request, ResultCallback found) {
   Pending pending;
@@ -51,7 +51,7 @@
 void Placement::closeQuery(Pending& pending) {
   environment_.timers.cancel(pending.timer);
   if (openQueries_.erase(pending.queryId) == 0) return;
-  // A grant that is under way is withdrawn as well.
+  // Also withdraws a grant that is already on its way.
   if (pending.maximumQueueWait) returnGrant(grantOf(pending));
 }
 
@@ -197,7 +197,7 @@
   pending.timer = environment_.timers.schedule(within, std::move(onMissed));
 }
 
-// --- what becomes of requests
+// --- progress of placed requests
 
 PlacementGrant Placement::dispatchUngranted(const PlacementCandidate& candidate,
                                             base::Duration longestPause) {
--- a/src/routing/placement.h
+++ b/src/routing/placement.h
@@ -1,19 +1,21 @@
 /// \file
-/// Decides with the homes of replicas where a request runs: the asking side.
+/// Decides, together with the homes of the replicas, which replica runs a request. This is the
+/// client side, used by the node that received the request.
 ///
-/// Every replica has a home among the nodes (routing/replica_homes.h) that knows the work of all
-/// nodes there, what its cache holds, whether it answers, and who waits for it
-/// (routing/placement_home.h). A node asks the homes of the candidates in turn, in the order of
-/// preference, until one grants the request because the replica turns to it soon. Where none does,
-/// or others wait at the first homes already, the request joins the queue of the home with the
-/// shortest wait. It is asked for nowhere else meanwhile; the home grants or refuses it later.
+/// Every replica has a home among the nodes (routing/replica_homes.h). The home tracks the work of
+/// all nodes at the replica, its cached prompt parts, whether it responds, and the requests queued
+/// for it (routing/placement_home.h). A node queries the homes of the candidate replicas one after
+/// another, in order of preference, until one grants the request because its replica can start it
+/// soon. If none does, or if the first homes already have queues, the request joins the queue of
+/// the home with the shortest expected wait. It is then queued at that home only, which grants or
+/// refuses it later.
 ///
-/// A question never costs a request: a home that does not answer is passed over after some
-/// milliseconds, one that does not keep its promise of another answer as soon as that is due, and
-/// where no home answers the node decides by what it knows itself. Nothing that must hold rests on
-/// a home: versions, tenants, instances and runs are checked where they were. Two nodes that both
-/// take themselves for a home each miss what the other granted; the replica's own refusals bound
-/// that.
+/// A query cannot make a request fail: a home that does not reply is skipped after some
+/// milliseconds, a home that does not send the next update of a queued request in time is abandoned
+/// as soon as the update is overdue, and if no home replies the node decides from its own data. No
+/// guarantee depends on a home: versions, tenants, instances and executions are checked elsewhere,
+/// independently of placement. If two nodes both consider themselves the home of a replica, neither
+/// sees the grants of the other; the replica's own refusals then bound the overload.
 #pragma once
 
 #include <cstdint>
@@ -37,28 +39,32 @@
 namespace covewing::routing {
 
 struct PlacementOptions {
-  /// Longest wait for a home's answer. A round trip takes 2 to 4 ms, and a busy node answers late.
+  /// Maximum wait for the reply of a home. A round trip takes 2 to 4 ms, and an overloaded node
+  /// replies late.
   base::Duration timeout = std::chrono::milliseconds(25);
-  /// A request asks no more homes after so many did not answer.
+  /// A request queries no further homes after this many time-outs.
   std::size_t maximumTimeouts = 2;
-  /// A home that did not answer so many questions in a row is passed over for a while.
+  /// A home is not queried for a while after this many time-outs in a row.
   std::size_t timeoutsToAvoid = 2;
   base::Duration avoidFor = std::chrono::milliseconds(1000);
-  /// A later candidate must have a wait shorter by this: it fetches what an earlier one may hold.
+  /// A later candidate is preferred only if its expected wait is shorter by at least this per
+  /// position, since it may have to fetch prompt parts that an earlier candidate already holds.
   base::Duration moveMargin = std::chrono::milliseconds(20);
-  /// Added to the time within which a home promised another answer: a busy node is late by some
-  /// milliseconds, and a request that leaves the queue loses its place.
+  /// Added to the time within which a home announced its next update: an overloaded node is some
+  /// milliseconds late, and a request that leaves the queue loses its position.
   base::Duration updateMargin = std::chrono::milliseconds(50);
-  /// A request joins a queue after so many homes told that others wait there. One may be an uneven
-  /// load that the next home has room for; each home more costs two messages in a shortage.
+  /// A request joins a queue after this many homes reported a queue. A single queue may come from
+  /// uneven load while the next home still has capacity; each further home costs two messages per
+  /// request during a capacity shortage.
   std::size_t queuesToJoin = 2;
-  /// A home that told of others waiting is known to have a queue for so long without being asked:
-  /// some runs end meanwhile, few queues do, and the home that is joined grants at once if it did.
+  /// After a home reported a queue, the queue is assumed to persist for this long and the home is
+  /// not queried. A few requests end in this time, but few queues empty; if this one did, the home
+  /// grants at once when the request joins.
   base::Duration queueAssumedFor = std::chrono::milliseconds(200);
   PlacementHomeOptions home;
 };
 
-/// All must outlive the placement and share its thread.
+/// All referenced objects must outlive the placement and be used on its thread only.
 struct PlacementEnvironment {
   base::Clock& clock;
   base::TimerService& timers;
@@ -70,95 +76,97 @@
   PrefixHolders& holders;
 };
 
-/// A replica that a request could go to.
+/// A replica to which a request could be sent.
 struct PlacementCandidate {
   ReplicaRecordPtr record;
   CacheScope scope = 0;
   PlacementDemand work;
-  /// Expected time that it takes until the answer begins when nothing else runs there.
+  /// Expected time from dispatch to the first byte of the response if nothing else runs at the
+  /// replica.
   base::Duration prefillTime{};
 };
 
-/// How a request stands among others; times are on this node's clock.
+/// Scheduling constraints of a request; times are on this node's clock.
 struct PlacementConstraints {
   /// 0 is the most urgent.
   std::uint32_t urgency = 0;
-  /// Hash of the tenant's name; 0: none.
+  /// Hash of the tenant's name; 0 if there is no tenant.
   std::uint64_t tenant = 0;
   base::TimePoint arrivedAt{};
-  /// The answer is in time if it begins by then.
+  /// The response is in time if it starts by then.
   base::TimePoint softStartDeadline{};
-  /// An answer that begins later is of no use to the caller.
+  /// A response that starts later is of no use to the caller.
   base::TimePoint hardStartDeadline{};
-  /// As PlacementTerms has them.
+  /// Same meaning as in PlacementTerms.
   base::Duration longestPause{};
   std::uint32_t outputTokens = 0;
 };
 
 struct PlacementRequest {
-  /// In order of preference.
+  /// Candidates in order of preference.
   std::vector<PlacementCandidate> candidates;
-  /// Empty for requests without a prompt.
+  /// Name of the model; empty for requests without a prompt.
   std::string model;
-  /// The shared parts of the prompt; empty without one.
+  /// Shared parts of the prompt; empty for requests without a prompt.
   std::vector<prefix::PromptPart> parts;
   std::uint32_t promptTokens = 0;
-  /// The first candidate that turns to the request within this is taken.
+  /// The first candidate whose expected wait is at most this is used.
   base::Duration acceptableWait{};
   PlacementConstraints constraints;
 };
 
-/// What a home counts a request under.
+/// Identifies a request, granted or not, at the home that counts it.
 struct PlacementGrant {
   std::uint64_t id = 0;
   base::EngineId replica;
   base::NodeId homeId;
   base::Endpoint home;
-  /// The home counted it within the replica's rate limit.
+  /// The home counted the request against the replica's rate limit.
   bool paced = false;
-  /// By when the grant was there: a node that stood still reads it later.
+  /// Latest time at which the grant can have arrived: a node that was paused reads it later.
   base::TimePoint at{};
 
-  /// Longest time from a paced grant to the first byte at the replica: what is paced must not
-  /// arrive at once with what was paced before.
+  /// Maximum time from a rate-limited grant until the request reaches the replica. Requests that
+  /// were spread out by the home must not reach the replica together with those granted before
+  /// them.
   static constexpr base::Duration kMaximumUseDelay = std::chrono::milliseconds(500);
-  /// Whether it still counts within the rate limit of its replica.
+  /// Whether the request may still be sent under its share of the replica's rate limit.
   bool validForRateLimit(base::TimePoint now) const {
     return paced && now - at <= kMaximumUseDelay;
   }
 };
 
 struct PlacementResult {
-  /// Place of the candidate that granted the request; empty when none did.
+  /// Index of the candidate that granted the request; empty if none did.
   std::optional<std::size_t> candidate;
   std::optional<PlacementGrant> grant;
   std::uint32_t matchedTokens = 0;
   /// Expected wait at the chosen candidate.
   base::Duration wait{};
-  /// The request cannot be served in the time that it has, by the home whose queue it joined, and
-  /// one like it would be after this.
+  /// Set if the home whose queue the request joined refused it because it cannot be served within
+  /// its deadlines: the time after which an equal request would be served.
   std::optional<base::Duration> retryAfter;
-  /// The home that answered last paces its replica by a rate limit.
+  /// The home that replied last enforces a rate limit for its replica.
   bool rateLimited = false;
-  /// Requests that waited for the same room when a home last answered.
+  /// Length of the queue for the same replica in the latest reply of a home.
   std::uint32_t queued = 0;
-  /// Questions sent, and how many of them were answered.
+  /// Number of queries sent, and number of replies received.
   std::size_t queriesSent = 0;
   std::size_t repliesReceived = 0;
 };
 
-/// Counts since the start, for metrics.
+/// Totals since the start of the process, for metrics.
 struct PlacementCounters {
   std::uint64_t queries = 0;
   std::uint64_t granted = 0;
   std::uint64_t declined = 0;
   std::uint64_t timeouts = 0;
-  /// Requests that joined a queue, were refused by a home, and left a queue because the home did
-  /// not keep its promise of another answer.
+  /// Requests that joined a queue, that were refused by a home, and that left a queue because the
+  /// home did not send the next update in time.
   std::uint64_t queued = 0;
   std::uint64_t refused = 0;
   std::uint64_t queueUpdatesMissed = 0;
-  /// As the home of replicas; `queuedHere` is the number now.
+  /// Totals of this node as a home, and the number of requests in its queues now.
   PlacementHomeCounters home;
   std::size_t queuedHere = 0;
 };
@@ -172,28 +180,31 @@
   Placement(const Placement&) = delete;
   Placement& operator=(const Placement&) = delete;
 
-  /// Names a request that is being placed; never 0.
+  /// Identifies a request that is being placed; never 0.
   using Ticket = std::uint64_t;
 
   Ticket newTicket() { return ++lastTicket_; }
-  /// Calls `found` once unless the request is cancelled; inside the call where only this node is
-  /// asked and answers at once.
+  /// Places the request. Calls `found` exactly once unless the request is cancelled; calls it
+  /// before returning if only this node was queried and decided at once.
   void place(Ticket ticket, PlacementRequest request, ResultCallback found);
-  /// The request is over: it waits nowhere any more, and `found` is not called. Tickets of requests
-  /// that were placed are ignored.
+  /// Cancels the placement: the request is removed from the queue that it waits in, and `found` is
+  /// not called. Tickets of requests that have been placed are ignored.
   void cancel(Ticket ticket);
-  /// Tells the home of a request that is sent without its grant.
+  /// Reports a request that is sent without a grant to the home of its replica.
   PlacementGrant dispatchUngranted(const PlacementCandidate& candidate,
                                    base::Duration longestPause = {});
-  /// A call that is no request goes to a replica with a rate limit: its home counts it.
+  /// Reports a control call, which is not an inference request, to the home of a rate-limited
+  /// replica, so that the call counts against the limit.
   void countControlCall(const ReplicaRecord& replica);
-  /// The answer to the request began. Its home is told what the replica has said of itself.
+  /// Reports to the home that the response started, together with the rate limit in its headers and
+  /// with whether the replica is leaving.
   void reportStarted(const PlacementGrant& grant, const clients::RateLimitNotice& rateLimit = {});
-  /// The request ended, or was turned away. Tells what the replica has said of itself as well.
+  /// Reports to the home that the request ended or was rejected by the replica, together with the
+  /// rate limit in the response headers and with whether the replica is leaving.
   void reportEnded(const PlacementGrant& grant, PlacementOutcome outcome,
                    const StreamObservation& observed = {},
                    const clients::RateLimitNotice& rateLimit = {});
-  /// The request is not sent to the replica after all.
+  /// Returns a grant whose request is not sent to the replica.
   void returnGrant(const PlacementGrant& grant,
                    PlacementOutcome outcome = PlacementOutcome::kWithdrawn);
   void onPeerMessage(const base::PeerIdentity& sender, std::string_view payload) override;
@@ -202,22 +213,22 @@
 
  private:
   enum class Phase : std::uint8_t {
-    /// Homes are asked in turn.
+    /// Homes are queried one after another.
     kQuerying,
-    /// The home with the shortest wait is asked to queue the request.
+    /// The home with the shortest expected wait is asked to queue the request.
     kJoining,
     kQueued,
   };
-  /// What is known of a candidate while one request is placed.
+  /// State of a candidate while one request is placed.
   struct CandidateState {
     std::optional<base::Duration> wait;
-    /// By how much the longest pause would be over what routes allow; zero: no stream there pauses
-    /// too long.
+    /// By how much the longest pause would exceed what the routes allow, summed over the streams at
+    /// the replica; zero if no stream there would pause too long.
     base::Duration pauseExcess{};
-    /// Not worth asking for this request any more.
+    /// The candidate is ruled out for this request.
     bool ruledOut = false;
   };
-  /// A request whose homes are being asked, or which waits at one.
+  /// A request that is being placed: its homes are being queried, or it waits in the queue of one.
   struct Pending {
     PlacementRequest request;
     ResultCallback found;
@@ -227,25 +238,27 @@
     std::size_t queriesSent = 0;
     std::size_t repliesReceived = 0;
     std::size_t timeouts = 0;
-    /// Homes that told of others waiting.
+    /// Number of homes that reported a queue.
     std::size_t queuesSeen = 0;
     std::uint32_t queued = 0;
     bool rateLimited = false;
-    /// The home that is asked may queue the request if the wait there is at most this.
+    /// Set if the queried home may queue the request: it does so only if the expected wait there is
+    /// at most this.
     std::optional<base::Duration> maximumQueueWait;
-    /// The question that is open, and the home asked.
+    /// Identifier of the open query, and the home that received it.
     std::uint64_t queryId = 0;
     base::NodeId homeId;
     base::Endpoint home;
     base::TimerId timer = 0;
-    /// When the timer is due: an answer that is read later lay unread.
+    /// When the timer fires. A reply that is processed later had already arrived and was waiting to
+    /// be read.
     base::TimePoint replyDue{};
   };
   struct HomeReliability {
     std::size_t timeouts = 0;
     base::TimePoint avoidedUntil{};
   };
-  /// The queue of a home, as it told lately.
+  /// Queue of a home according to its latest reply.
   struct KnownQueue {
     std::uint32_t length = 0;
     base::Duration wait{};
@@ -255,24 +268,27 @@
   };
 
   const ReplicaRecord& recordOf(const Pending& pending) const;
-  /// Asks the homes of the candidates in turn, then joins a queue.
+  /// Queries the homes of the remaining candidates one after another, then joins a queue.
   void queryNext(Ticket ticket);
-  /// Whether this candidate is asked now; notes what is known of it if not.
+  /// Whether the candidate at the current position is to be queried; if not, records what is known
+  /// of it.
   bool shouldQuery(Pending& pending);
   bool enoughQueuesSeen(const Pending& pending) const;
-  /// The wait up to which the home that is asked next may queue the request at once, which saves
-  /// two messages: the last one before a queue is joined, if its wait is the shortest.
+  /// Maximum expected wait up to which the home that is queried next may queue the request at once,
+  /// which saves two messages. Set for the last query before a queue is joined; the home queues the
+  /// request only if its wait is the shortest known.
   std::optional<base::Duration> queueWaitLimit(const Pending& pending) const;
   base::Duration costOf(const Pending& pending, std::size_t index) const;
   void joinQueue(Ticket ticket);
-  /// Whether a candidate goes before another. One where no stream pauses too long goes before one
-  /// where some would, by however much that one's wait is shorter: at 1.1 times the room of
-  /// replicas of three speeds 24 in 100 streams pause too long, 39 where pauses only add to the
-  /// wait, and 36 where they do not count (12 seeds of the load test of pauses).
+  /// Whether a candidate is preferred to another. A candidate where no stream pauses too long is
+  /// preferred to one where some would, however much shorter the wait of the latter is: at 1.1
+  /// times the capacity of replicas with three different speeds, 24 in 100 streams pause too long,
+  /// against 39 if pauses only add to the wait and 36 if they are ignored (12 seeds of the load
+  /// test of pauses).
   bool isPreferred(const Pending& pending, std::size_t index, std::size_t other) const;
-  /// The candidate whose queue is joined; empty when none is left.
+  /// Returns the candidate whose queue is to be joined; empty if none is left.
   std::optional<std::size_t> candidateWithShortestWait(const Pending& pending) const;
-  /// Sends the question of the pending request's position and phase.
+  /// Sends the query for the pending request's current candidate and phase.
   void sendQuery(Ticket ticket);
   PlacementQuery queryOf(const Pending& pending) const;
   bool isAvoided(base::NodeId home) const;
@@ -284,9 +300,9 @@
   void onRefused(Ticket ticket, const PlacementReply& reply);
   void onTimeout(Ticket ticket);
   void onUpdateMissed(Ticket ticket);
-  /// The home of the pending request did not answer in time.
+  /// Records that the home of the pending request did not reply in time.
   void recordMissedReply(const Pending& pending);
-  /// Asks the others again, without the candidate at the position.
+  /// Rules out the current candidate and queries the others again.
   void ruleOutCandidate(Ticket ticket);
   PlacementResult resultOf(const Pending& pending) const;
   void conclude(Ticket ticket, const PlacementResult& result);
@@ -295,11 +311,11 @@
   bool isLeaving(base::EngineId replica) const;
   void closeQuery(Pending& pending);
 
-  /// An answer of this node as home to a question of some node.
+  /// Sends a reply of this node, as a home, to the node that sent the query.
   void sendReply(const base::PeerIdentity& sender, const PlacementReply& reply);
   void deliverToSelf();
   void sendEnded(const PlacementGrant& grant, const PlacementEnded& message);
-  /// Waits for the answer of the home that was asked.
+  /// Starts the timer for the reply of the queried home.
   void awaitReply(Pending& pending, base::Duration within, std::function<void()> onMissed);
   bool isSelf(base::NodeId node) const;
   void send(const base::Endpoint& destination, const PlacementMessage& message);
@@ -310,12 +326,12 @@
   PlacementHome home_;
   Ticket lastTicket_ = 0;
   std::unordered_map<Ticket, Pending> pending_;
-  /// Open questions.
+  /// Open queries by their identifier.
   std::unordered_map<std::uint64_t, Ticket> openQueries_;
   std::map<base::NodeId, HomeReliability> homeReliability_;
   std::unordered_map<base::EngineId, KnownQueue> queues_;
-  /// Late answers of this node as home to itself: requests are not taken up inside the calls in
-  /// which others end.
+  /// Deferred replies of this node, as a home, to itself. They are delivered by a timer so that a
+  /// request does not continue inside the calls in which others end.
   std::vector<PlacementReply> repliesToSelf_;
   base::TimerId toSelfTimer_ = 0;
   PlacementCounters counters_;
--- a/src/routing/placement_answers.cc
+++ b/src/routing/placement_answers.cc
@@ -1,4 +1,4 @@
-// What follows from the answers of homes, and from their silence.
+// Handling of the replies of homes, and of missing replies.
 #include <algorithm>
 #include <utility>
 
@@ -7,11 +7,11 @@
 namespace covewing::routing {
 
 void Placement::onReply(const base::PeerIdentity& sender, const PlacementReply& reply) {
-  // A late answer, too, shows that the home is there.
+  // A late reply, too, shows that the home is alive.
   homeReliability_.erase(sender.node);
   const auto query = openQueries_.find(reply.id);
   if (query == openQueries_.end()) {
-    // The request went elsewhere meanwhile.
+    // The request has been placed elsewhere or cancelled in the meantime.
     const bool counted = reply.granted() || reply.verdict == PlacementVerdict::kQueued;
     if (counted) returnGrant({reply.id, reply.replica, sender.node, sender.endpoint});
     return;
@@ -34,7 +34,7 @@
     return;
   }
   if (pending.phase != Phase::kQuerying) return;
-  // Others wait there for its rate, which says nothing of the room of others.
+  // The queue there is due to the rate limit and says nothing about the capacity of other replicas.
   if (!pending.rateLimited) ++pending.queuesSeen;
   queues_[reply.replica] = {reply.queued, reply.wait, reply.pauseExcess,
                             environment_.clock.now() + options_.queueAssumedFor,
@@ -62,7 +62,8 @@
 }
 
 void Placement::onRefused(Ticket ticket, const PlacementReply& reply) {
-  // Only a home with the shortest wait known is asked to queue a request, so that none serves it.
+  // Only the home with the shortest known wait is asked to queue a request, so no other home can
+  // serve it either.
   ++counters_.refused;
   auto result = resultOf(pending_.at(ticket));
   result.retryAfter = reply.retryAfter;
@@ -116,7 +117,7 @@
 void Placement::ruleOutCandidate(Ticket ticket) {
   auto& pending = pending_.at(ticket);
   pending.candidateStates[pending.position] = {std::nullopt, {}, true};
-  // What the homes told before it waited in a queue is out of date.
+  // Replies received before the request was queued are out of date.
   if (pending.phase != Phase::kQuerying) {
     for (auto& state : pending.candidateStates) state.wait.reset();
     pending.phase = Phase::kQuerying;
--- a/src/routing/placement_home.cc
+++ b/src/routing/placement_home.cc
@@ -7,7 +7,8 @@
 
 namespace {
 
-/// The shared parts as a chain; the request's own part does not matter here.
+/// Converts the shared parts to a chain; the request's own part, which is the last one, is not used
+/// here.
 prefix::PartChain chainOf(std::vector<prefix::PromptPart> parts) {
   parts.push_back({});
   return prefix::PartChain(std::move(parts));
@@ -43,7 +44,7 @@
   const auto record = environment_.replicas.find(replica);
   if (record == nullptr || !record->inService()) return false;
   if (record->loadingWeights(now) || record->versionUncertain(now)) return false;
-  // Where nodes differ on who the home is, one of them alone counts.
+  // If nodes disagree on which node is the home, only one of them may count the requests.
   if (record->notices().rateLimit().perSecond() && !isHome(*record)) return false;
   return state.ledger.available(now);
 }
@@ -138,7 +139,8 @@
   if (!state.ledger.pacer().mayPass(now)) ++counters_.rateLimited;
   const auto capacity = capacityOf(state, query.id, demand);
   const auto entry = entryOf(query.id, demand);
-  // A question that only looks for room is no arrival where there is none: the request asks others.
+  // A query that may not queue is not recorded as an arrival if there is no capacity: the request
+  // will query other homes.
   const bool late = demand.terms.softStartWithin < base::Duration::zero();
   const bool mayWait = query.terms.mayQueue && reply.wait <= query.maximumQueueWait;
   if (!mayWait && !capacity.fits(entry, !late)) return reply;
@@ -293,7 +295,7 @@
 void PlacementHome::sendDueUpdates(ReplicaQueue& state) {
   const auto now = environment_.clock.now();
   for (auto& [id, waiting] : state.waiting) {
-    // One look early: the next one would be too late.
+    // Sends the update one check early, because the next check would be too late.
     if (now - waiting.updatedAt + 2 * options_.checkInterval < options_.updateInterval) continue;
     waiting.updatedAt = now;
     auto reply = describe(waiting.query, state);
--- a/src/routing/placement_home.h
+++ b/src/routing/placement_home.h
@@ -1,20 +1,23 @@
 /// \file
-/// The home's side of placement: what runs at the replicas that this node is home to, and the
-/// queues of the requests that wait for their room.
+/// Server side of placement: tracks what runs at the replicas that this node is the home of, and
+/// keeps the queues of the requests that wait for their capacity.
 ///
-/// States of a question: granted or declined at once; or, where it may queue, granted, refused or
-/// queued. A queued one is granted, refused or declined later by a message, and until then told
-/// that it still waits, each time within `promise`. The queue is looked at when a request there
-/// began or ended, and every `lookInterval` while some wait. When the replica may get no requests
-/// any more, or another node is its home, all that wait are declined, so that they go elsewhere.
+/// States of a query: granted or declined at once, or, if it may queue, granted, refused or queued.
+/// A queued query is later granted, refused or declined by a message; until then its node receives
+/// an update at least every `updateInterval`. A queue is checked when a request at its replica
+/// starts or ends, and every `checkInterval` while requests wait. When the replica may no longer
+/// receive requests, or another node becomes its home, all its queued requests are declined, so
+/// that their nodes try other replicas.
 ///
-/// A replica that names a rate limit is paced here for all nodes (routing/rate_pacer.h), by the
-/// node that takes itself for its home alone. What the home knows of the limit, it hears in its own
-/// requests and watches, from those that ask it and from what they tell of their answers. A home
-/// that has lost sight of most members may be one of several: it grants its part of the rate alone.
+/// The rate limit that a replica reports is enforced here for all nodes together
+/// (routing/rate_pacer.h), and only by the node that considers itself the home. The home obtains
+/// the limit from its own requests and cache watches, from the queries of other nodes, and from
+/// what these report about the replica's responses. A home that cannot reach most members may be
+/// one of several homes: it grants only its share of the rate.
 ///
-/// Nothing survives the node: nodes whose requests waited here miss the promised answer and ask
-/// elsewhere. A home that follows another grants no credit.
+/// Nothing is persisted: if the node stops, the nodes whose requests were queued here miss the next
+/// update and query other homes. A home that takes over from another starts without unused rate
+/// credit.
 #pragma once
 
 #include <array>
@@ -37,18 +40,18 @@
 namespace covewing::routing {
 
 struct PlacementHomeOptions {
-  /// A request in the queue hears from its home within this. A caller's request should not wait
-  /// for a dead home for more than half a second; shorter would cost more messages than the
-  /// decisions themselves.
+  /// Maximum time between two updates that the home sends to a queued request. A caller's request
+  /// should not wait for a dead home for more than half a second; shorter intervals would cost more
+  /// messages than the decisions themselves.
   base::Duration updateInterval = std::chrono::milliseconds(400);
-  /// How often a queue is looked at when nothing happens at its replica: much less than the
-  /// shortest times that callers state, some 100 ms and more.
+  /// How often a queue is checked when nothing happens at its replica: much shorter than the
+  /// shortest deadlines that callers set, some 100 ms and more.
   base::Duration checkInterval = std::chrono::milliseconds(25);
   ReplicaLedgerOptions ledger;
   admission::AdmissionQueueOptions queue;
 };
 
-/// All must outlive the home and share its thread.
+/// All referenced objects must outlive the home and be used on its thread only.
 struct PlacementHomeEnvironment {
   base::Clock& clock;
   base::TimerService& timers;
@@ -58,34 +61,36 @@
   PrefixHolders& holders;
 };
 
-/// Waits of requests that were granted from a queue.
+/// QueuedRequest times of requests that were granted from a queue.
 struct QueueWaits {
   std::uint64_t count = 0;
   base::Duration total{};
 };
 
-/// Urgencies that metrics tell apart; the last one stands for all less urgent ones as well.
+/// Number of urgency levels with metrics of their own; the last one also counts all less urgent
+/// requests.
 inline constexpr std::size_t kUrgencyLevels = 4;
 
-/// Counts since the start, for metrics.
+/// Totals since the start of the process, for metrics.
 struct PlacementHomeCounters {
   std::uint64_t grantedAtOnce = 0;
   std::uint64_t grantedLater = 0;
-  /// Refused when they asked, and out of the queue.
+  /// Requests refused at once, and requests refused after they had been queued.
   std::uint64_t refusedAtOnce = 0;
   std::uint64_t refusedLater = 0;
-  /// Left the queue: by their node, and because the replica or its home changed.
+  /// Requests that left the queue: withdrawn by their node, and removed because the replica or its
+  /// home changed.
   std::uint64_t withdrawn = 0;
   std::uint64_t cleared = 0;
-  /// Questions for which the rate limit of the replica left nothing at once.
+  /// Queries that could not be granted at once because of the replica's rate limit.
   std::uint64_t rateLimited = 0;
   std::array<QueueWaits, kUrgencyLevels> waits{};
 };
 
 class PlacementHome {
  public:
-  /// Sends an answer to a queued question to the node that asked. Not called inside the calls that
-  /// the asking node makes here, but by way of messages or a timer.
+  /// Sends the reply to a queued query to the node that sent the query. The reply must be delivered
+  /// by a message or a timer, not inside the call in which it is sent.
   using SendReply = std::function<void(const base::PeerIdentity& sender, const PlacementReply&)>;
 
   PlacementHome(PlacementHomeOptions options, PlacementHomeEnvironment environment,
@@ -94,15 +99,15 @@
   PlacementHome(const PlacementHome&) = delete;
   PlacementHome& operator=(const PlacementHome&) = delete;
 
-  /// The answer to a question that is new here.
+  /// Decides a new query and returns the reply.
   PlacementReply decide(const PlacementQuery& query, const base::PeerIdentity& sender);
   void onUngrantedDispatch(const UngrantedDispatch& dispatch);
   void onStarted(const PlacementStarted& started);
-  /// Also ends the wait of a queued request.
+  /// Also removes a queued request from its queue.
   void onEnded(const PlacementEnded& ended, base::NodeId node);
 
   const PlacementHomeCounters& counters() const { return counters_; }
-  /// Requests that wait here now, for all replicas.
+  /// Number of requests queued here now, for all replicas.
   std::size_t queued() const;
 
  private:
@@ -112,52 +117,53 @@
     base::PeerIdentity sender;
     CapacityDemand demand;
     base::TimePoint since{};
-    /// When its node was last told that it waits.
+    /// When its node was last informed that the request is queued.
     base::TimePoint updatedAt{};
   };
-  /// What is known of one replica, and what waits for it.
+  /// State of one replica and its queue.
   struct ReplicaQueue {
     explicit ReplicaQueue(const PlacementHomeOptions& options)
         : ledger(options.ledger), queue(options.queue) {}
     ReplicaLedger ledger;
     admission::AdmissionQueue queue;
     std::unordered_map<std::uint64_t, QueuedRequest> waiting;
-    /// What the replica has, as the latest question told.
+    /// Capacity of the replica according to the latest query.
     PlacementDemand capacity;
   };
 
   ReplicaQueue& stateOf(base::EngineId replica);
-  /// A node heard the replica say that it leaves: all that ask here are told so, also while the
-  /// table service cannot tell them.
+  /// A node reported that the replica is leaving: all nodes that query this home are informed, even
+  /// while the table service cannot inform them.
   void onLeaving(base::EngineId replica);
-  /// What the node that asks knows of the replica's rate limit.
+  /// Takes over what the sender of the query has observed of the replica's rate limit.
   void adoptRateLimit(const PlacementQuery& query);
-  /// What a node's answer from the replica said of its rate limit.
+  /// Takes over the rate limit that the replica reported in a response to some node.
   void onRateLimitReported(base::EngineId replica, const clients::RateLimitNotice& notice,
                            const ReplicaQueue& state, std::uint64_t grant);
-  /// Paces the replica by what is known of its rate limit now.
+  /// Applies the currently known rate limit of the replica.
   void applyRateLimit(base::EngineId replica, ReplicaQueue& state) const;
-  /// The part of a rate limit that this node may grant as the home.
+  /// Share of a rate limit that this node may grant as the home, from 0 to 1.
   double rateShare() const;
   bool isHome(const ReplicaRecord& record) const;
-  /// Whether the replica may be sent requests now.
+  /// Whether requests may be sent to the replica now.
   bool usable(base::EngineId replica, ReplicaQueue& state) const;
-  /// An answer with all but the verdict.
+  /// Returns a reply with all fields except the verdict.
   PlacementReply describe(const PlacementQuery& query, ReplicaQueue& state) const;
-  /// What the request takes there by what the home knows to be cached.
+  /// Resources that the request needs at the replica, given the prompt parts that the home
+  /// considers cached there.
   static PlacementDemand demandAt(const PlacementQuery& query, const PlacementReply& reply);
   LedgerCapacity capacityOf(ReplicaQueue& state, std::uint64_t newId,
                             const CapacityDemand& newDemand) const;
   LedgerCapacity capacityOf(ReplicaQueue& state) const;
   admission::QueueEntry entryOf(std::uint64_t id, const CapacityDemand& demand) const;
-  /// Expected wait of a request that does not queue: for what runs, and for what waits before it.
+  /// Expected wait of a new request, for the requests that run and for those queued before it.
   base::Duration expectedWaitOf(const CapacityDemand& demand, ReplicaQueue& state) const;
   void grant(const PlacementQuery& query, const CapacityDemand& demand, ReplicaQueue& state);
-  /// Grants and refuses what waits for the replica, as its room says now.
+  /// Grants and refuses queued requests according to the replica's current capacity.
   void serveQueue(base::EngineId replica, ReplicaQueue& state);
   void grantNext(ReplicaQueue& state);
   void refuseExpired(ReplicaQueue& state);
-  /// Declines all that wait for the replica.
+  /// Declines all requests queued for the replica.
   void clearQueue(ReplicaQueue& state);
   bool senderHasLeft(const QueuedRequest& waiting) const;
   void withdrawRequestsOfLeftNodes(ReplicaQueue& state);
--- a/src/routing/placement_home_rate_limit.cc
+++ b/src/routing/placement_home_rate_limit.cc
@@ -1,4 +1,4 @@
-// What a home knows of the rate limits of its replicas, and what part of them it may grant.
+// Rate limits of the replicas as known to their home, and the share of them that it may grant.
 #include "routing/placement_home.h"
 
 namespace covewing::routing {
@@ -30,13 +30,15 @@
   const auto record = environment_.replicas.find(replica);
   if (record == nullptr) return;
   const auto now = environment_.clock.now();
-  // The request was sent after its grant. Where that is not known, what it says ends no limit.
+  // The request was sent after its grant. If the time of the grant is unknown, the notice cannot
+  // end a limit.
   const auto sentAfter = state.ledger.grantedAt(grant).value_or(base::TimePoint::min());
   recordRateLimit(*record, environment_.log, {notice, sentAfter, now}, {kOtherNode, 0, {}});
 }
 
 void PlacementHome::adoptRateLimit(const PlacementQuery& query) {
-  // Only a limit: that there is none, a home learns from answers of the replica.
+  // Only limits are taken over: that there is no limit, a home accepts from the replica's responses
+  // only.
   if (!query.rateLimit.notice.limited()) return;
   if (const auto record = environment_.replicas.find(query.replica))
     recordRateLimit(*record, environment_.log,
--- a/src/routing/placement_messages.cc
+++ b/src/routing/placement_messages.cc
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Type numbers on the wire; never reused. 1, 2 and 5 were questions, answers and ends before
+/// Type numbers on the wire; never reused. 1, 2 and 5 were queries, replies and end messages before
 /// requests could be queued.
 enum class MessageType : std::uint8_t {
   kUngrantedDispatch = 3,
@@ -26,7 +26,7 @@
 constexpr std::uint32_t kStartedFields = 5;
 constexpr std::uint32_t kEndedFields = 11;
 constexpr std::uint32_t kPartFields = 2;
-/// Prompts have a few shared parts; more than this is no message of ours.
+/// Prompts have only a few shared parts; a message with more than this is invalid.
 constexpr std::uint32_t kMaximumParts = 64;
 
 base::Writer& begin(base::Writer& writer, std::uint32_t fields, MessageType type) {
@@ -45,8 +45,8 @@
   writer.unsignedInteger(terms.outputTokens);
 }
 
-/// Numbers of what is said of a rate limit; from kLimitOfZero on the limit follows, in thousandths
-/// of a request a second.
+/// Encoding of a rate limit notice: from kLimitOfZero on, the number is the limit in thousandths of
+/// a request per second.
 constexpr std::uint64_t kNothingReported = 0;
 constexpr std::uint64_t kUnlimited = 1;
 constexpr std::uint64_t kLimitOfZero = 2;
@@ -128,7 +128,7 @@
   writer.boolean(ended.notSent);
 }
 
-/// A field that earlier builds do not send.
+/// Reads a flag that earlier builds do not send; false if it is absent.
 bool readFlag(base::Reader& reader) { return reader.more() && reader.boolean(); }
 
 clients::RateLimitNotice readNotice(base::Reader& reader) {
@@ -139,7 +139,7 @@
 }
 
 KnownRateLimit readKnownLimit(base::Reader& reader) {
-  /// An hour; older knowledge counts as this old.
+  /// One hour in milliseconds; greater ages are reduced to it.
   constexpr std::uint64_t kMaximumAge = 3'600'000;
   KnownRateLimit known;
   known.notice = readNotice(reader);
@@ -178,7 +178,8 @@
   return terms;
 }
 
-/// A number as one of the values of an enumeration that ends with `last`; empty when it is none.
+/// Reads a value of an enumeration whose greatest value is `last`; empty if the number is not one
+/// of its values.
 template <class Value>
 std::optional<Value> readEnumeration(base::Reader& reader, Value last) {
   const auto number = reader.unsignedInteger();
--- a/src/routing/placement_messages.h
+++ b/src/routing/placement_messages.h
@@ -1,6 +1,7 @@
 /// \file
-/// Messages on the placement channel: a node asks the home of a replica whether a request should
-/// go there, the home answers, and nodes tell it what they sent and what became of it.
+/// Messages on the placement channel: a node queries the home of a replica whether to send a
+/// request there, the home replies, and nodes report the requests that they sent and their
+/// outcomes.
 #pragma once
 
 #include <cstdint>
@@ -19,15 +20,15 @@
 
 namespace covewing::routing {
 
-/// What a request takes of a replica, and what the replica has in all.
+/// Resources that a request needs at a replica, and the replica's total capacity.
 struct PlacementDemand {
-  /// Tokens of memory for the prompt and the longest answer.
+  /// KV-cache memory in tokens for the prompt and the longest possible output.
   std::uint32_t tokens = 0;
-  /// Tokens of the prompt that the replica must read, as far as the sender knows.
+  /// Prompt tokens that the replica must prefill, as far as the sender knows.
   std::uint32_t prefillTokens = 0;
-  /// Requests that the replica runs at once; 0: not known.
+  /// Number of requests that the replica runs concurrently; 0 if unknown.
   std::uint32_t slots = 0;
-  /// Tokens of memory that requests may fill; 0: not known or without meaning.
+  /// KV-cache memory in tokens that requests may use; 0 if unknown or not applicable.
   std::uint32_t memory = 0;
 
   bool operator==(const PlacementDemand&) const = default;
@@ -35,71 +36,74 @@
 
 enum class PlacementOutcome : std::uint8_t {
   kServed = 1,
-  /// The replica said that it did not run the request for lack of room.
+  /// The replica reported that it did not run the request for lack of capacity.
   kRefused = 2,
-  /// A failure of the replica's own, a broken answer, or silence.
+  /// The replica failed, broke off the response, or did not respond.
   kFailed = 3,
-  /// No connection could be had.
+  /// No connection could be established.
   kUnreachable = 4,
-  /// The caller left, or the request ended for a reason that says nothing of the replica.
+  /// The caller disconnected, or the request ended for a reason unrelated to the replica.
   kWithdrawn = 5,
 };
 
-/// How a request stands among others that wait for the same room. Times are spans from the moment
-/// at which the message is sent: nodes have no common clock.
+/// Scheduling constraints of a request among those that compete for the same capacity. Times are
+/// spans from the moment at which the message is sent, since nodes have no common clock.
 struct PlacementTerms {
-  /// The home may queue the request where it cannot grant it; else it only grants or declines.
+  /// The home may queue the request if it cannot grant it; otherwise it only grants or declines.
   bool mayQueue = false;
   /// 0 is the most urgent.
   std::uint32_t urgency = 0;
-  /// Hash of the tenant's name; 0: none.
+  /// Hash of the tenant's name; 0 if there is no tenant.
   std::uint64_t tenant = 0;
-  /// Since the request reached the system.
+  /// Time since the request reached the system.
   base::Duration age{};
-  /// The answer is in time if the request begins within this.
+  /// The response is in time if the request starts within this.
   base::Duration softStartWithin{};
-  /// Beginning later than this is of no use to the caller.
+  /// A request that starts later than this is of no use to the caller.
   base::Duration hardStartWithin{};
-  /// Longest pause between the pieces of the answer that keeps it in time; zero: none stated.
+  /// Maximum pause between two chunks of the response for the stream to count as in time; zero if
+  /// the route sets none.
   base::Duration longestPause{};
-  /// Tokens that the answer is expected to have.
+  /// Expected number of output tokens.
   std::uint32_t outputTokens = 0;
 
   bool operator==(const PlacementTerms&) const = default;
 };
 
 struct PlacementQuery {
-  /// Chosen by the asker; names the grant too.
+  /// Chosen by the sender of the query; also identifies the grant.
   std::uint64_t id = 0;
   base::EngineId replica;
-  /// Empty for requests without a prompt.
+  /// Name of the model; empty for requests without a prompt.
   std::string model;
   CacheScope scope = 0;
-  /// The shared parts of the prompt.
+  /// Shared parts of the prompt.
   std::vector<prefix::PromptPart> parts;
   /// Tokens of the whole prompt.
   std::uint32_t promptTokens = 0;
   PlacementDemand work;
-  /// The request is granted where the expected wait is at most this.
+  /// The request is granted if the expected wait is at most this.
   base::Duration acceptableWait{};
   PlacementTerms terms;
-  /// Where it may queue, it does only if the expected wait is at most this: another home told more.
+  /// If the request may queue, the home queues it only if the expected wait is at most this; beyond
+  /// it, another home that has replied is preferable.
   base::Duration maximumQueueWait = base::Duration::max();
-  /// What the asker knows of the replica's rate limit.
+  /// Rate limit of the replica as observed by the sender.
   KnownRateLimit rateLimit{};
 };
 
-/// What a home says to a request, at once or later while the request is queued there.
+/// Decision of a home on a request, sent at once, or later while the request is queued there.
 enum class PlacementVerdict : std::uint8_t {
-  /// It may be sent now.
+  /// The request may be sent now.
   kGranted = 1,
-  /// Not now; another home may be asked.
+  /// The request may not be sent now; another home may be queried.
   kDeclined = 2,
-  /// It waits in the home's queue. Another answer follows before `within` is over: a grant, a
-  /// refusal, or this again. Without one the home or the message is lost.
+  /// The request waits in the home's queue. Another reply follows before `nextUpdateWithin` has
+  /// passed: a grant, a refusal, or this verdict again. If none arrives, the home or the message
+  /// was lost.
   kQueued = 3,
-  /// It cannot be served in the time that it has; nor is it worth asking others while `queued` is
-  /// not zero there.
+  /// The request cannot be served within its deadlines. If `queued` is not zero, querying other
+  /// homes is not worthwhile either.
   kRefused = 4,
 };
 
@@ -107,54 +111,57 @@
   std::uint64_t id = 0;
   base::EngineId replica;
   PlacementVerdict verdict = PlacementVerdict::kDeclined;
-  /// False where the replica should not get the request: it fails, leaves, changes its weights, or
-  /// has no room.
+  /// False if the replica must not receive the request: it fails, is leaving, is changing its
+  /// weights, or has no capacity.
   bool usable = true;
   base::Duration wait{};
-  /// Version of the model's weights at the replica, as far as the home knows; 0: not known.
+  /// Version of the model's weights at the replica, as far as the home knows; 0 if unknown.
   base::WeightsVersion version = 0;
-  /// Leading shared tokens that the home believes cached at the replica.
+  /// Number of leading shared tokens that the home considers cached at the replica.
   std::uint32_t matchedTokens = 0;
-  /// Requests that wait in the home's queue for this replica, those ahead of this one where it
-  /// waits too.
+  /// Length of the home's queue for this replica; if the request is queued itself, the number of
+  /// requests ahead of it.
   std::uint32_t queued = 0;
-  /// Of a queued request: another answer follows within this.
+  /// For a queued request: another reply follows within this time.
   base::Duration nextUpdateWithin{};
-  /// Of a refused request: when one like it would be served.
+  /// For a refused request: the time after which an equal request would be served.
   base::Duration retryAfter{};
-  /// False where the stream, or one that runs there, would pause for longer than its route allows.
+  /// False if the request's stream, or one that already runs there, would pause for longer than its
+  /// route allows.
   bool meetsPauseBounds = true;
-  /// By how much these streams' longest pauses are expected to exceed what is allowed, summed.
+  /// Sum over these streams of the time by which their longest pause is expected to exceed the
+  /// allowed one.
   base::Duration pauseExcess{};
-  /// Speed of the replica (ReplicaSpeedModel::speed) in hundredths; 0: not known.
+  /// Speed of the replica (ReplicaSpeedModel::speed) in hundredths; 0 if unknown.
   std::uint32_t speedPercent = 0;
-  /// The replica has said that it leaves.
+  /// The replica reported that it is leaving.
   bool leaving = false;
-  /// What the home knows of the replica's rate limit.
+  /// Rate limit of the replica as known to the home.
   KnownRateLimit rateLimit{};
-  /// Of a granted request: it is counted within that limit.
+  /// For a granted request: it is counted against that limit.
   bool paced = false;
 
   bool granted() const { return verdict == PlacementVerdict::kGranted; }
 };
 
-/// A request, or another call, is sent to the replica though its home did not grant it.
+/// Reports a request, or another call, that is sent to the replica without a grant of its home.
 struct UngrantedDispatch {
   std::uint64_t id = 0;
   base::EngineId replica;
   PlacementDemand work;
-  /// As in its terms.
+  /// Same meaning as in PlacementTerms.
   base::Duration longestPause{};
-  /// It is no request: it counts within the replica's rate limit, and takes no room.
+  /// The call is not an inference request: it counts against the replica's rate limit but uses no
+  /// capacity.
   bool controlCall = false;
 };
 
 struct PlacementStarted {
   std::uint64_t id = 0;
   base::EngineId replica;
-  /// The replica has said that it leaves.
+  /// The replica reported that it is leaving.
   bool leaving = false;
-  /// What the head of this answer said.
+  /// Rate limit reported in the header of the response.
   clients::RateLimitNotice rateLimit{};
 };
 
@@ -162,13 +169,13 @@
   std::uint64_t id = 0;
   base::EngineId replica;
   PlacementOutcome outcome = PlacementOutcome::kServed;
-  /// What the node saw of the stream; nothing for answers without pieces.
+  /// What the node observed of the stream; default values if the response was not streamed.
   StreamObservation observed;
-  /// The replica has said that it leaves.
+  /// The replica reported that it is leaving.
   bool leaving = false;
-  /// What the head of the answer said; nothing where none came.
+  /// Rate limit reported in the header of the response; nothing if no response arrived.
   clients::RateLimitNotice rateLimit{};
-  /// The request never went to the replica.
+  /// The request was never sent to the replica.
   bool notSent = false;
 };
 
@@ -176,7 +183,7 @@
                                       PlacementStarted, PlacementEnded>;
 
 std::string encode(const PlacementMessage& message);
-/// Empty when the bytes are none of these messages.
+/// Returns nothing if the bytes are not a valid message of this channel.
 std::optional<PlacementMessage> decodePlacementMessage(std::string_view bytes);
 
 }  // namespace covewing::routing
--- a/src/routing/prefill_speed.h
+++ b/src/routing/prefill_speed.h
@@ -1,5 +1,5 @@
 /// \file
-/// How long a replica takes to read a prompt, learned from its answers.
+/// Estimates how long a replica takes to prefill a prompt, from the time until its responses start.
 #pragma once
 
 #include <cstdint>
@@ -10,13 +10,14 @@
 
 class PrefillSpeed {
  public:
-  /// It took so long from the dispatch of a request until its answer began, with so many tokens to
-  /// read. Short prompts are left out: they tell more of the queue than of the reading.
+  /// Records the time from the dispatch of a request until its response started, and the number of
+  /// tokens that were to prefill. Short prompts are ignored: their times depend more on the queue
+  /// than on the prefill.
   void learn(std::uint32_t tokens, base::Duration took);
 
-  /// Expected time for so many tokens, usual queues included.
+  /// Expected time to prefill this many tokens, including typical queueing.
   base::Duration time(std::uint64_t tokens) const { return scaled(perToken_, tokens); }
-  /// The same when nothing else waits: from the quickest answers.
+  /// Expected time without queueing, estimated from the fastest responses.
   base::Duration minimumTime(std::uint64_t tokens) const {
     return scaled(minimumPerToken_, tokens);
   }
@@ -26,7 +27,7 @@
     return base::Duration{static_cast<base::Duration::rep>(perToken * static_cast<double>(tokens))};
   }
 
-  /// Microseconds a token. The first value is slower than replicas are.
+  /// Microseconds per token. The initial value is slower than real replicas are.
   double perToken_ = 60;
   /// Follows shorter times at once and longer ones slowly.
   double minimumPerToken_ = 60;
--- a/src/routing/prefix_demand.cc
+++ b/src/routing/prefix_demand.cc
@@ -5,7 +5,7 @@
 namespace covewing::routing {
 
 namespace {
-/// Roots whose remaining work is below this are forgotten first, in tokens.
+/// Roots with less remaining work than this, in tokens, are evicted first.
 constexpr double kLowDemandTokens = 64;
 }  // namespace
 
--- a/src/routing/prefix_demand.h
+++ b/src/routing/prefix_demand.h
@@ -1,6 +1,7 @@
 /// \file
-/// How hot each prefix root is, by this node's own traffic: decides how many engines may hold it.
-/// Widens with the first measurement, narrows one engine at a time.
+/// Demand for each prefix root in prompt tokens per second, measured from this node's own traffic.
+/// Determines how many engines may hold the prefix: the number grows with the first measurement and
+/// shrinks by one engine at a time.
 #pragma once
 
 #include <cstdint>
@@ -13,9 +14,9 @@
 struct PrefixDemandOptions {
   /// Time constant of the measured rate.
   base::Duration timeConstant = std::chrono::seconds(2);
-  /// Shortest time between two steps of narrowing.
+  /// Minimum time between two decrements of the holder count.
   base::Duration shrinkInterval = std::chrono::seconds(2);
-  /// Roots remembered; the coldest are forgotten.
+  /// Maximum number of roots; the ones with the lowest rate are evicted.
   std::size_t maximumRoots = 4096;
 };
 
@@ -25,11 +26,12 @@
 
   explicit PrefixDemand(const PrefixDemandOptions& options) : options_(options) {}
 
-  /// Work for this root came in, in prompt tokens to compute.
+  /// Records work for this root, in prompt tokens to compute.
   void record(RootKey root, std::uint32_t tokens, base::TimePoint now);
-  /// Tokens a second for this root.
+  /// Rate of this root in tokens per second.
   double tokensPerSecond(RootKey root, base::TimePoint now) const;
-  /// Follows `wanted` upwards at once and downwards by steps.
+  /// Number of engines that may hold the root: increases to `wanted` at once and decreases towards
+  /// it step by step.
   std::size_t holderCount(RootKey root, std::size_t wanted, base::TimePoint now);
   std::size_t roots() const { return entries_.size(); }
 
--- a/src/routing/prefix_hash_policy.cc
+++ b/src/routing/prefix_hash_policy.cc
@@ -5,8 +5,9 @@
 namespace covewing::routing {
 
 namespace {
-/// Block that stands for the prefix: the first 32 blocks (512 tokens) are enough to tell long
-/// shared documents apart, and questions behind them do not reach into it.
+/// Index of the block whose hash identifies the prefix: the first 32 blocks (512 tokens) are enough
+/// to distinguish long shared documents, and the questions that follow a document do not extend
+/// into them.
 constexpr std::size_t kRootBlock = 31;
 }  // namespace
 
--- a/src/routing/prefix_hash_policy.h
+++ b/src/routing/prefix_hash_policy.h
@@ -1,6 +1,6 @@
 /// \file
-/// Baseline: rendezvous hashing of the salted prefix root, own zone first. Needs no memory, so a
-/// restarted router sends a prefix where its cache is.
+/// Baseline policy: rendezvous hashing of the salted prefix root, with the own zone preferred.
+/// Keeps no state, so a restarted router sends a prefix to the engine that has it cached.
 #pragma once
 
 #include "routing/policy_factory.h"
--- a/src/routing/prefix_holders.h
+++ b/src/routing/prefix_holders.h
@@ -1,7 +1,7 @@
 /// \file
-/// Which replicas hold which parts of prompts in their caches, as far as this node knows: from
-/// requests that it sent, and from replicas' cache events. Knowledge may be outdated; that costs
-/// time and never a wrong answer, since replicas match parts themselves.
+/// Which replicas have which prompt parts cached, as far as this node knows from the requests that
+/// it sent and from the replicas' cache events. Entries may be out of date; that costs time but
+/// never produces a wrong response, since replicas match the parts themselves.
 #pragma once
 
 #include <cstdint>
@@ -14,27 +14,27 @@
 
 namespace covewing::routing {
 
-/// What a part's cached state depends on besides the part itself: the weights, and the tenant where
-/// it shares with nobody.
+/// Identifies what the cached state of a part depends on besides the part itself: the weights
+/// version, and the tenant if its cache is isolated.
 using CacheScope = std::uint64_t;
 
 class PrefixHolders {
  public:
-  /// The replica holds so many tokens of the part; 0: none.
+  /// The replica holds this many tokens of the part; 0 removes the entry.
   void add(base::EngineId replica, CacheScope scope, std::uint64_t part, std::uint32_t tokens);
-  /// The replica holds all parts of the chain.
+  /// The replica holds all shared parts of the chain.
   void addChain(base::EngineId replica, CacheScope scope, const prefix::PartChain& chain);
-  /// The replica ended, or dropped what it held.
+  /// Removes all entries of the replica, which has ended or dropped its cache.
   void remove(base::EngineId replica);
 
-  /// Leading tokens of the chain's shared parts that the replica holds.
+  /// Number of leading tokens of the chain's shared parts that the replica holds.
   std::uint32_t matchedTokens(base::EngineId replica, CacheScope scope,
                               const prefix::PartChain& chain) const;
-  /// Nobody holds the part, as far as is known from now on.
+  /// Removes all holders of the part under the scope.
   void removePart(CacheScope scope, std::uint64_t part);
-  /// Tokens of the part that the replica holds.
+  /// Number of tokens of the part that the replica holds.
   std::uint32_t tokensOf(base::EngineId replica, CacheScope scope, std::uint64_t part) const;
-  /// Whether some replica is known to hold the part.
+  /// Whether at least one replica is known to hold the part.
   bool anyHolds(CacheScope scope, std::uint64_t part) const;
   std::size_t size() const { return size_; }
 
--- a/src/routing/rate_pacer.cc
+++ b/src/routing/rate_pacer.cc
@@ -15,9 +15,10 @@
   const auto before = interval_;
   interval_ = perSecond ? std::optional(intervalOf(perSecond)) : std::nullopt;
   if (!interval_ || before == interval_) return;
-  // A replica that has just named a limit is in need: one request at once, and no credit.
+  // A replica that has just reported a limit is overloaded: one request may pass at once, without
+  // credit.
   if (!before) nextDue_ = std::max(nextDue_, now + kCredit);
-  // Behind a higher rate the next one is due earlier than the lower one said.
+  // After an increase of the rate the next request is due earlier than the lower rate implied.
   if (before && *interval_ < *before)
     nextDue_ = std::min(nextDue_, lastPassed_ + kCredit + *interval_);
 }
--- a/src/routing/rate_pacer.h
+++ b/src/routing/rate_pacer.h
@@ -1,14 +1,15 @@
 /// \file
-/// Paces what goes to one replica to the rate that it names: the place where the requests of all
-/// nodes are counted, kept by the replica's home.
+/// Limits the requests that all nodes together send to one replica to the rate that the replica
+/// reports. Used by the replica's home, which counts the requests of all nodes.
 ///
-/// Each request moves the time at which the next one is due by the interval of the rate. A request
-/// may go while that time is at most `kCredit` ahead, so that a rate that was not used for a moment
-/// is made up for, and nothing older is.
+/// Each request advances the time at which the next one is due by the interval of the rate. A
+/// request may pass while that time is at most `kCredit` ahead: capacity that was not used during
+/// the last moment can be used later, older unused capacity is lost.
 ///
 /// In any span t at most 1 + rate * (t + kCredit) requests pass. In four seconds that is 1 + 4.25
-/// times the rate: what a former home granted, calls that are no requests and grants that arrive
-/// together behind a slow connection have the rest up to one and a half times the rate, and a few.
+/// times the rate. The remainder, up to one and a half times the rate and a few requests, is left
+/// for requests granted by a former home, for control calls, and for grants that arrive together
+/// over a slow connection.
 #pragma once
 
 #include <optional>
@@ -19,24 +20,25 @@
 
 class RatePacer {
  public:
-  /// So much of the rate may be made up for.
+  /// Unused time that can be made up for.
   static constexpr base::Duration kCredit = std::chrono::milliseconds(250);
-  /// Lower rates, zero too, are paced as this one (requests a second): one request now and then
-  /// asks whether the limit still holds.
+  /// Lower rates, including zero, are treated as this one (requests per second): an occasional
+  /// request checks whether the limit still applies.
   static constexpr double kMinimumRate = 0.1;
 
-  /// The rate from now on, in requests a second; empty: without limit. What passed before counts.
+  /// Sets the rate from now on, in requests per second; empty removes the limit. Requests that
+  /// passed before still count.
   void setRate(std::optional<double> perSecond, base::TimePoint now);
   bool limited() const { return interval_.has_value(); }
-  /// Between two requests at the rate; zero without one.
+  /// Time between two requests at the rate; zero without a rate.
   static base::Duration intervalOf(std::optional<double> perSecond);
-  /// Between two requests; zero without a limit.
+  /// Time between two requests at the current rate; zero without a limit.
   base::Duration interval() const { return interval_.value_or(base::Duration::zero()); }
 
   bool mayPass(base::TimePoint now) const { return untilNext(now) == base::Duration::zero(); }
   base::Duration untilNext(base::TimePoint now) const;
   void onPassed(base::TimePoint now);
-  /// A request that passed is not sent after all.
+  /// A request that passed is not sent; its share of the rate is returned.
   void onNotSent();
 
  private:
--- a/src/routing/replica.h
+++ b/src/routing/replica.h
@@ -1,5 +1,5 @@
 /// \file
-/// A replica of a service as the fleet's list describes it.
+/// A replica of a service as described by its entry in the fleet list.
 #pragma once
 
 #include <cstdint>
@@ -17,28 +17,30 @@
 enum class ReplicaState : std::uint8_t {
   kReady,
   kDraining,
-  /// Its entry cannot be read: it gets no new work until it can, and has not ended.
+  /// The entry cannot be parsed. The replica receives no new work until it can, but is not
+  /// considered ended.
   kUnknown
 };
 
-/// A model that a replica has loaded.
+/// A model that the replica has loaded.
 struct ReplicaModel {
   std::string name;
   base::WeightsVersion version = 0;
 };
 
 struct Replica {
-  /// Names one run of one replica; a restart has another, also where the deployment's own name for
-  /// the replica stays. All that is known of a run is kept by this name and ends with it.
+  /// Identifies one instance (process lifetime) of a replica; a restart gets a new identifier even
+  /// if the deployment's own name of the replica stays. Everything known about an instance is
+  /// stored under this identifier and discarded with it.
   std::string instance;
   std::string service;
   base::Endpoint endpoint;
   std::string zone;
-  /// Requests that it runs at once; 0: not stated.
+  /// Number of requests that the replica runs concurrently; 0 if not stated.
   std::uint32_t slots = 0;
   ReplicaState state = ReplicaState::kReady;
   std::vector<ReplicaModel> models;
-  /// The entry tells when the run started.
+  /// Whether the entry states when the instance started.
   bool hasStartTime = false;
   /// When this node read the entry.
   base::TimePoint readAt{};
--- a/src/routing/replica_crash_detector.cc
+++ b/src/routing/replica_crash_detector.cc
@@ -47,13 +47,14 @@
     suspicions_.erase(found);
     return;
   }
-  conclude(instance, "its entry is gone");
+  conclude(instance, "its entry was removed");
 }
 
 void ReplicaCrashDetector::onRestarted(const std::string& instance) {
   if (dropPlannedEnd(instance)) return;
   const auto now = environment_.clock.now();
-  // Runs whose connections break later were lost with it, though the address accepts new ones.
+  // Requests whose connections fail later were lost with the ended instance, although the address
+  // accepts new connections.
   endedAt_[instance] = now;
   const auto found = suspicions_.find(instance);
   if (found == suspicions_.end()) return;
@@ -62,7 +63,7 @@
     suspicions_.erase(found);
     return;
   }
-  conclude(instance, "its entry names another run");
+  conclude(instance, "its entry names another instance");
 }
 
 bool ReplicaCrashDetector::dropPlannedEnd(const std::string& instance) {
@@ -101,7 +102,7 @@
     suspicion.outlivedAt = environment_.clock.now();
     return;
   }
-  // What this node still has under way there shows that the process lives.
+  // A request of this node that is still in flight there shows that the process is alive.
   const bool refused =
       reachability == clients::Reachability::kRefuses && suspicion.replica->inFlight() == 0;
   suspicion.refusals = refused ? suspicion.refusals + 1 : 0;
--- a/src/routing/replica_crash_detector.h
+++ b/src/routing/replica_crash_detector.h
@@ -1,12 +1,12 @@
 /// \file
-/// Tells whether runs broke off because their replica ended or because only their connections did:
-/// both look the same to the requests.
+/// Detects whether interrupted requests were lost because their replica ended, or whether only
+/// their connections failed: the two cases look the same from a single request.
 ///
-/// States of a replica under which runs broke off: asking (a connection is tried, a few times) ->
-/// outlived (it accepts one) or ended (it refuses two in a row while none of this node's requests
-/// is under way there any more), or undecided (no answer) -> ended when its entry goes. A replica
-/// that starts again at once accepts connections as well: outlived -> ended when its entry shows
-/// the restart soon after.
+/// States of a replica with interrupted requests: probing (a connection is attempted a few times)
+/// -> outlived (the replica accepts one) or ended (it refuses two in a row while no request of this
+/// node is in flight there any more), or undecided (no response) -> ended when its entry is
+/// removed. A replica that restarts at once accepts connections, too: outlived -> ended if its
+/// entry shows the restart soon afterwards.
 #pragma once
 
 #include <functional>
@@ -25,30 +25,32 @@
 namespace covewing::routing {
 
 struct ReplicaCrashDetectorOptions {
-  /// From the first broken run to the first connection: the runs of one crash break off within a
-  /// few milliseconds.
+  /// Time from the first interrupted request to the first connection attempt: the requests of one
+  /// crash are interrupted within a few milliseconds.
   base::Duration firstProbe = std::chrono::milliseconds(30);
   base::Duration probeInterval = std::chrono::milliseconds(120);
   base::Duration connectTimeout = std::chrono::milliseconds(300);
-  /// A replica that has too many connections may refuse one.
+  /// Refused connections in a row after which the replica counts as ended; one may be refused
+  /// because the replica has too many connections.
   std::uint32_t refusals = 2;
   std::uint32_t maximumProbes = 6;
-  /// Longest wait for the entry of a silent replica to go.
+  /// Maximum wait for the removal of the entry of an unresponsive replica.
   base::Duration maximumUndecidedTime = std::chrono::seconds(15);
-  /// Longest time from the connection that a restarted replica accepted until its entry shows the
-  /// restart: entries are written about once a second.
+  /// Maximum time from the connection that a restarted replica accepted until its entry shows the
+  /// restart: entries are written about once per second.
   base::Duration restartShownWithin = std::chrono::seconds(3);
-  /// Runs that break off later are reported at once for so long after the end.
+  /// Requests that are interrupted within this time after the end of their replica are reported at
+  /// once.
   base::Duration endRetention = std::chrono::seconds(30);
 };
 
-/// Runs that ended because their replica did.
+/// Requests that were lost because their replica ended.
 struct LostRequests {
   std::string instance;
   std::vector<base::RequestFingerprint> requests;
 };
 
-/// All must outlive the check and share its thread.
+/// All referenced objects must outlive the detector and be used on its thread only.
 struct ReplicaCrashDetectorEnvironment {
   base::Clock& clock;
   base::TimerService& timers;
@@ -68,13 +70,13 @@
   ReplicaCrashDetector& operator=(const ReplicaCrashDetector&) = delete;
 
   void setListener(Listener listener) { listener_ = std::move(listener); }
-  /// A run that may have begun broke off at the replica.
+  /// A request that the replica may have started was interrupted.
   void onRequestInterrupted(const ReplicaRecordPtr& replica, base::RequestFingerprint request);
-  /// The run is listed: it lives, whatever was taken for its end.
+  /// The instance is listed: it is running, even if it was considered ended.
   void onListed(const std::string& instance) { endedAt_.erase(instance); }
-  /// The replica's entry is gone.
+  /// The replica's entry was removed.
   void onRemoved(const std::string& instance);
-  /// The replica's entry names another run of it: this one has ended, and not as planned.
+  /// The replica's entry names another instance: the given one has ended, and not as planned.
   void onRestarted(const std::string& instance);
 
  private:
@@ -89,8 +91,8 @@
     std::optional<base::TimePoint> outlivedAt{};
   };
 
-  /// Drops the doubt of a replica that had said that it would leave, which ends as planned; false
-  /// where there is none.
+  /// Drops the suspicion about a replica that had announced that it was leaving, since its end is
+  /// planned; returns false if there is none.
   bool dropPlannedEnd(const std::string& instance);
   void scheduleProbe(const std::string& instance, base::Duration delay);
   void probe(const std::string& instance);
@@ -105,7 +107,7 @@
   /// By instance.
   std::map<std::string, Suspicion> suspicions_;
   std::map<std::string, base::TimePoint> endedAt_;
-  /// Outlived by callbacks that must no longer reach this object.
+  /// Allows callbacks that run after the destruction of this object to detect it.
   std::shared_ptr<bool> lifetime_ = std::make_shared<bool>(true);
 };
 
--- a/src/routing/replica_directory.cc
+++ b/src/routing/replica_directory.cc
@@ -19,7 +19,7 @@
   const Replica before = std::exchange(facts_, std::move(facts));
   for (const ReplicaModel& model : facts_.models) {
     const auto* listed = before.findModel(model.name);
-    // The list may lag behind answers, but tells the states of a run in their order.
+    // The list may lag behind responses, but reports the states of an instance in order.
     if (listed != nullptr && model.version < listed->version) removeVersion(model.name);
     recordVersion(model.name, model.version);
   }
@@ -88,7 +88,7 @@
              {"request", source.request},
              {"per_second", rateLimitText(limit.perSecond())},
              {"before", rateLimitText(before)},
-             {"why", unreadable ? "a limit that it names cannot be read" : ""}});
+             {"why", unreadable ? "the reported limit cannot be parsed" : ""}});
 }
 
 void ReplicaRecord::onDispatched(std::uint32_t tokens) {
--- a/src/routing/replica_directory.h
+++ b/src/routing/replica_directory.h
@@ -1,6 +1,7 @@
 /// \file
-/// The replicas of all services: what the fleet's list says, joined with what this node has seen of
-/// each itself. Used by routing, by the relay of requests and by the rollout of weights.
+/// The replicas of all services: the entries of the fleet list, joined with this node's own
+/// observations of each replica. Used by routing, by the relay of requests and by the rollout of
+/// weights.
 #pragma once
 
 #include <cstdint>
@@ -24,7 +25,8 @@
 
 namespace covewing::routing {
 
-/// One replica as this node knows it. Outlives its entry in the directory while requests hold it.
+/// State of one replica as known to this node. Outlives its directory entry while requests hold a
+/// reference.
 class ReplicaRecord {
  public:
   explicit ReplicaRecord(Replica facts);
@@ -33,67 +35,71 @@
   ReplicaHealth& health() { return health_; }
   const ReplicaHealth& health() const { return health_; }
 
-  /// The newest version of the model that the list or an answer named; 0 when none is known. An
-  /// order that is carried out late may bring a run back to an older version: it counts once the
-  /// list, having named a newer one, names it.
+  /// The newest version of the model that the list or a response reported; 0 if none is known. An
+  /// order that is carried out late may bring an instance back to an older version: the older
+  /// version is accepted only if the list reports it after having reported a newer one.
   base::WeightsVersion versionOf(std::string_view model) const;
-  /// An answer showed the version. Answers overtake each other, so an older one proves nothing.
+  /// A response reported the version. Responses overtake each other, so an older version in a
+  /// response is ignored.
   void recordVersion(const std::string& model, base::WeightsVersion version);
-  /// A refusal showed that the version known is wrong and not which is right: the replica is passed
-  /// over until the list or an answer tells, or `until`.
+  /// A refusal showed that the known version is wrong, but not which one is right: the replica is
+  /// skipped until the list or a response reports a version, or until the given time.
   void markVersionUncertain(base::TimePoint until) { versionUncertainUntil_ = until; }
   bool versionUncertain(base::TimePoint now) const { return now < versionUncertainUntil_; }
-  /// Its address answers for another run or another replica: this one has ended for good, whatever
-  /// the list still says.
+  /// The address responds on behalf of another instance or another replica: this instance has ended
+  /// for good, even if the list still contains it.
   void setTerminated() { terminated_ = true; }
   bool terminated() const { return terminated_; }
-  /// New weights are about to be ordered or are being loaded: no requests until then, or until a
-  /// newer version is shown.
+  /// New weights are about to be ordered or are being loaded: no requests until the given time, or
+  /// until a newer version is reported.
   void setLoadingWeights(base::TimePoint until) { loadingWeightsUntil_ = until; }
   bool loadingWeights(base::TimePoint now) const { return now < loadingWeightsUntil_; }
-  /// A refusal for lack of room: passed over until then while others can take the request.
+  /// The replica refused a request for lack of capacity: it is skipped until the given time while
+  /// others can accept the request.
   void setAtCapacity(base::TimePoint until) { atCapacityUntil_ = until; }
   bool atCapacity(base::TimePoint now) const { return now < atCapacityUntil_; }
 
-  /// What the run has said of itself.
+  /// Notices that the instance has given about itself.
   InstanceNotices& notices() { return *notices_; }
   const InstanceNotices& notices() const { return *notices_; }
-  /// It is about to end, by its entry or its own word.
+  /// The instance is about to end, according to its entry or its own notice.
   bool leaving() const { return notices_->leaving() || facts_.state == ReplicaState::kDraining; }
-  /// It may get new work, from whatever node: requests, and orders of weights.
+  /// The replica may receive new work from any node: requests and weights orders.
   bool inService() const {
     return facts_.state == ReplicaState::kReady && !terminated_ && !leaving();
   }
 
-  /// Requests of this node may be sent there now.
+  /// Whether requests of this node may be sent to the replica now.
   bool acceptsRequests(base::TimePoint now) const {
     return inService() && !notices_->backingOff(now) && !notices_->probing();
   }
-  /// What is known of its readiness, for logs: "ready", "leaving", "resting", "gone" or
-  /// "unreadable".
+  /// Readiness for log lines: "ready", "leaving", "resting", "gone" or "unreadable".
   std::string_view stateName(base::TimePoint now) const;
 
-  /// How fast the replica reads prompts, as this node has seen.
+  /// Prefill speed of the replica as measured by this node.
   const PrefillSpeed& prefillSpeed() const { return prefillSpeed_; }
   PrefillSpeed& prefillSpeed() { return prefillSpeed_; }
 
-  /// Speed as the replica's home told (ReplicaSpeedModel::speed), in hundredths; 0: not known.
+  /// Speed as reported by the replica's home (ReplicaSpeedModel::speed), in hundredths; 0 if
+  /// unknown.
   void recordSpeed(std::uint32_t percent) { speedPercent_ = percent; }
   std::uint32_t speedPercent() const { return speedPercent_; }
 
-  /// The answer to a request that had been sent began after so long.
+  /// Records the time from the dispatch of a request to the start of its response.
   void recordWait(base::Duration took);
-  /// How long a request that is sent now may wait until it begins, from the latest waits and from
-  /// those of requests that still wait.
+  /// How long a request that is sent now may wait until it starts, estimated from recent waits and
+  /// from requests that are still waiting.
   base::Duration expectedWait(base::TimePoint now) const;
 
-  /// Requests of this node that the replica has not finished, and the tokens they need.
+  /// Requests of this node that the replica has not finished, and the KV-cache tokens that they
+  /// need.
   std::uint32_t inFlight() const { return inFlight_; }
   std::uint64_t tokensInFlight() const { return tokensInFlight_; }
-  /// All work that this node has under way there.
+  /// Total load of this node at the replica.
   ReplicaLoad ownLoad() const { return {inFlight_, tokensInFlight_, pendingPrefillTokens_}; }
   void onDispatched(std::uint32_t tokens);
-  /// A prompt waits of which the replica must read so many tokens; its answer began, or will not.
+  /// Adds and removes a prompt of which the replica must prefill this many tokens; it is removed
+  /// when its response starts or can no longer start.
   void addPendingPrefill(std::uint32_t prefillTokens) { pendingPrefillTokens_ += prefillTokens; }
   void removePendingPrefill(std::uint32_t prefillTokens) { pendingPrefillTokens_ -= prefillTokens; }
   void onFinished(std::uint32_t tokens);
@@ -110,7 +116,7 @@
   base::TimePoint versionUncertainUntil_{};
   base::TimePoint loadingWeightsUntil_{};
   base::TimePoint atCapacityUntil_{};
-  /// Shared with the directory, which keeps them beyond the entry.
+  /// Shared with the directory, which keeps the notices after the entry is removed.
   std::shared_ptr<InstanceNotices> notices_ = std::make_shared<InstanceNotices>();
   PrefillSpeed prefillSpeed_;
   std::uint32_t speedPercent_ = 0;
@@ -123,72 +129,72 @@
 
 using ReplicaRecordPtr = std::shared_ptr<ReplicaRecord>;
 
-/// A rate limit for logs: requests a second, or "none".
+/// A rate limit for log lines: requests per second, or "none".
 std::string rateLimitText(std::optional<double> perSecond);
 
-/// Source of what another node told.
+/// Source name of notices that another node reported.
 inline constexpr std::string_view kOtherNode = "other node";
 
-/// From what a node knows what a run says of itself.
+/// Where a notice about an instance comes from.
 struct NoticeSource {
   /// "entry", "answer", "order", "report", "cache events" or "other node".
   std::string_view name;
-  /// Of the answer; 0 where there is none.
+  /// Status code of the response; 0 if there is no response.
   unsigned status = 0;
-  /// The request that was answered; empty where there is none.
+  /// Identifier of the request that received the response; empty if there is none.
   std::string request;
 };
 
-/// Notes that the replica leaves, and logs it where that is news.
+/// Records that the replica is leaving, and logs it if that was not known.
 void recordLeaving(ReplicaRecord& replica, base::EventLog& log, const NoticeSource& source);
 
-/// Takes in what the replica said of its rate limit, and logs it where that is news.
+/// Processes a report of the replica's rate limit, and logs it if the limit in force changes.
 void recordRateLimit(ReplicaRecord& replica, base::EventLog& log, const RateLimitEvidence& evidence,
                      const NoticeSource& source);
 
 class ReplicaDirectory {
  public:
-  /// Ascending by instance, equal on all nodes that know the same list.
+  /// Ascending by instance; equal on all nodes that have the same list.
   using Replicas = std::vector<ReplicaRecordPtr>;
 
   void onListed(Replica facts);
-  /// The entry is gone. The run may live on, and its entry come again: what it has said of itself
-  /// is kept.
+  /// The entry was removed. The instance may still be running and its entry may return, so its
+  /// notices are kept.
   void onRemoved(const std::string& instance);
-  /// The run has certainly ended.
+  /// The instance has definitely ended.
   void onEnded(const std::string& instance);
-  /// The replica's entry cannot be read any more: it is none of its service's until it can. What is
-  /// known of it stays, as it may go on to run.
+  /// The replica's entry cannot be parsed any more: the replica is removed from its service until
+  /// it can. Its state is kept, as it may still be running.
   void onUnreadable(const std::string& instance);
 
   ReplicaRecordPtr find(std::string_view instance) const;
   ReplicaRecordPtr find(base::EngineId replica) const;
-  /// The listed replicas of a service, draining ones included.
+  /// The listed replicas of a service, including draining ones.
   const Replicas& ofService(std::string_view service) const;
   /// All listed replicas by instance.
   const std::map<std::string, ReplicaRecordPtr, std::less<>>& all() const { return byInstance_; }
-  /// Mean failure rate of the service's replicas other than this one.
+  /// Mean failure rate of the other replicas of the same service.
   double failureRateOfOthers(const ReplicaRecord& record) const;
 
  private:
-  /// What a run without an entry has said of itself.
+  /// Notices of an instance that has no entry.
   struct KeptNotices {
     std::string instance;
     std::shared_ptr<InstanceNotices> notices;
   };
-  /// More than the replicas of the largest fleet, which may all lose their entries in one outage of
-  /// the table service.
+  /// More than the replicas of the largest fleet, all of which may lose their entries in one outage
+  /// of the table service.
   static constexpr std::size_t kMaximumKeptNotices = 1024;
 
   void addToService(ReplicaRecordPtr record);
-  /// Gives the run's notices back to its new record.
+  /// Restores the kept notices of the instance to its new record.
   void restoreNotices(ReplicaRecord& record);
   void removeFromService(const ReplicaRecord& record);
 
   std::map<std::string, ReplicaRecordPtr, std::less<>> byInstance_;
   std::unordered_map<base::EngineId, ReplicaRecordPtr> byId_;
   std::map<std::string, Replicas, std::less<>> byService_;
-  /// The oldest first.
+  /// Oldest first.
   std::deque<KeptNotices> keptNotices_;
 };
 
--- a/src/routing/replica_health.cc
+++ b/src/routing/replica_health.cc
@@ -55,7 +55,7 @@
 }
 
 void ReplicaHealth::eject(base::TimePoint now) {
-  // Failures of requests that were sent before the ejection do not lengthen it.
+  // Failures of requests that were sent before the ejection do not extend it.
   if (ejected(now)) return;
   nextEjection_ = nextEjection_.count() == 0
                       ? options_.firstEjection
--- a/src/routing/replica_health.h
+++ b/src/routing/replica_health.h
@@ -1,10 +1,11 @@
 /// \file
-/// What a node has seen of one replica's answers, and whether it should get requests.
+/// Health of one replica as observed by a node from its responses; determines whether it should
+/// receive requests.
 ///
-/// States: healthy -> (a connection fails, or failures in a row, or a failure rate far above the
-/// service's) ejected for a time that doubles with each ejection -> on probation, one request at a
-/// time -> healthy after a success. A replica that is silent while requests wait for its first byte
-/// is not chosen while that lasts.
+/// States: healthy -> (a connection fails, several failures in a row, or a failure rate far above
+/// that of the service) ejected for a time that doubles with each ejection -> on probation, one
+/// request at a time -> healthy after a success. A replica that is unresponsive while requests wait
+/// for their first byte is not selected while that lasts.
 #pragma once
 
 #include <cstdint>
@@ -16,17 +17,18 @@
 struct ReplicaHealthOptions {
   base::Duration firstEjection = std::chrono::milliseconds(400);
   base::Duration maximumEjection = std::chrono::seconds(4);
-  /// Failures in a row that eject.
+  /// Number of consecutive failures that cause an ejection.
   std::uint32_t consecutiveFailures = 3;
   /// Weight of the newest outcome in the failure rate.
   double smoothing = 0.12;
-  /// Failure rate above the service's that ejects.
+  /// Excess of the failure rate over that of the service that causes an ejection.
   double excessRate = 0.3;
-  /// Outcomes before the failure rate counts.
+  /// Minimum number of outcomes for the failure rate to count.
   std::uint32_t minimumOutcomes = 6;
-  /// Silence, beyond the work of the requests that wait, after which nothing more is sent.
+  /// Time without data, in addition to the expected work of the waiting requests, after which no
+  /// more requests are sent.
   base::Duration unresponsiveAfter = std::chrono::milliseconds(700);
-  /// Intervals of a rate limit that are added to it.
+  /// Number of rate-limit intervals that are added to this time.
   std::int64_t graceIntervals = 2;
 };
 
@@ -34,31 +36,33 @@
  public:
   explicit ReplicaHealth(ReplicaHealthOptions options = {}) : options_(options) {}
 
-  /// A request was sent and its answer has not begun; `work` is what it takes until then when
-  /// nothing else runs.
+  /// A request was sent and its response has not started; `work` is the expected time until it
+  /// starts if nothing else runs there.
   void onDispatched(base::TimePoint now, base::Duration work = {});
-  /// The wait for the answer's first byte ended, in whatever way.
+  /// The wait for the first byte of the response ended, for whatever reason.
   void onWaitEnded(base::TimePoint now, base::Duration work = {});
-  /// Bytes came from the replica.
+  /// Data arrived from the replica.
   void onBytesReceived(base::TimePoint now);
-  /// A whole answer that was no failure.
+  /// A complete response that was not a failure.
   void onSuccess(base::TimePoint now);
-  /// The replica answered with a failure of its own, broke off or did not answer.
-  /// `serviceRate` is the failure rate of the service's other replicas.
+  /// The replica responded with an error of its own, broke off, or did not respond. `serviceRate`
+  /// is the failure rate of the service's other replicas.
   void onFailure(base::TimePoint now, double serviceRate);
-  /// No connection could be had.
+  /// No connection could be established.
   void onUnreachable(base::TimePoint now);
 
-  /// The replica gets a request only each `interval`, by its rate limit; zero without one. One that
-  /// waits long tells less then, and little can be lost meanwhile: it counts as silent later.
+  /// Because of its rate limit the replica receives one request per `interval`; zero without a
+  /// limit. A single waiting request is then weaker evidence and little can be lost in the
+  /// meantime, so the replica counts as unresponsive later.
   void setInterval(base::Duration interval) { interval_ = interval; }
 
-  /// May be chosen now: neither ejected nor silent; on probation with nothing else under way.
+  /// Whether the replica may be selected now: neither ejected nor unresponsive, and if on probation
+  /// with no other request waiting.
   bool available(base::TimePoint now) const;
   bool ejected(base::TimePoint now) const { return now < ejectedUntil_; }
   bool unresponsive(base::TimePoint now) const;
   double failureRate() const { return failureRate_; }
-  /// How long the replica has been quiet while requests wait for their answers to begin.
+  /// How long the replica has sent nothing while requests wait for their responses to start.
   base::Duration currentWait(base::TimePoint now) const {
     return waiting_ > 0 ? now - inactiveSince_ : base::Duration::zero();
   }
@@ -69,10 +73,10 @@
 
   ReplicaHealthOptions options_;
   std::uint32_t waiting_ = 0;
-  /// Work of the requests that wait.
+  /// Expected work of the waiting requests.
   base::Duration waitingWork_{};
   base::Duration interval_{};
-  /// When something was last heard, or the first of the waiting requests was sent.
+  /// When data last arrived, or the first of the waiting requests was sent.
   base::TimePoint inactiveSince_{};
   std::uint32_t consecutiveFailures_ = 0;
   std::uint32_t outcomes_ = 0;
--- a/src/routing/replica_homes.h
+++ b/src/routing/replica_homes.h
@@ -1,9 +1,9 @@
 /// \file
-/// Which node is the home of a replica: the one that knows the work of all nodes there
+/// Determines which node is the home of a replica: the node that tracks the work of all nodes there
 /// (routing/placement.h) and watches the replica's cache.
 ///
-/// Rendezvous hashing over the live members of the replica's zone, or over all where the zone has
-/// none, so that nodes with the same view agree without a message.
+/// Uses rendezvous hashing over the live members of the replica's zone, or over all live members if
+/// the zone has none, so that nodes with the same membership view agree without messages.
 #pragma once
 
 #include <cstddef>
@@ -19,13 +19,14 @@
  public:
   explicit ReplicaHomes(const membership::MemberDirectory& members) : members_(members) {}
 
-  /// The home of the replica; this node itself where no other member takes roles.
+  /// The home of the replica; this node if no other member takes roles.
   const membership::Member& homeOf(base::EngineId replica, std::string_view zone) const;
-  /// Whether this node is the home, or one of the `count` nodes next in line.
+  /// Whether this node is among the `count` highest-ranked nodes for the replica, the first of
+  /// which is the home.
   bool isAmongFirst(base::EngineId replica, std::string_view zone, std::size_t count) const;
 
  private:
-  /// Whether some member of the zone takes roles.
+  /// Whether any member of the zone takes roles.
   bool hasMembers(std::string_view zone) const;
 
   const membership::MemberDirectory& members_;
--- a/src/routing/replica_ledger.cc
+++ b/src/routing/replica_ledger.cc
@@ -34,8 +34,9 @@
 }
 
 void ReplicaLedger::recordConcurrentPrefill(std::uint64_t prefilled) {
-  // Some 30 changes, a few seconds of traffic: 785 of 10,228 streams paused for longer than their
-  // bound at half of the room, 1,021 with a weight of 0.1 (load test, 12 seeds).
+  // A weight of 0.03 averages over some 30 changes, which is a few seconds of traffic: 785 of
+  // 10,228 streams paused for longer than their bound at half of the capacity, against 1,021 with a
+  // weight of 0.1 (load test, 12 seeds).
   constexpr double kSmoothing = 0.03;
   StreamLoad current;
   for (const auto& [id, grant] : grants_) {
@@ -62,7 +63,8 @@
   const auto entry = grants_.find(id);
   if (entry == grants_.end() || entry->second.started) return std::nullopt;
   prefillSpeed_.learn(entry->second.work.prefillTokens, now - entry->second.givenAt);
-  // Those that ran before had this prompt read beside them; the new stream had not.
+  // This prompt was prefilled during the streams that were already running, but not during the new
+  // one.
   recordConcurrentPrefill(entry->second.work.prefillTokens);
   markStarted(entry->second, now);
   return std::move(entry->second.prompt);
@@ -145,7 +147,8 @@
 base::Duration ReplicaLedger::pauseExcess(const PlacementDemand& work, const PlacementTerms& terms,
                                           base::TimePoint now) {
   const auto current = load(now);
-  // What waits now is read before the new stream begins; it meets what usually comes later.
+  // The current backlog is prefilled before the new stream starts; the stream will encounter the
+  // usual backlog of later requests.
   const StreamLoad ownLoad{current.requests + 1, static_cast<std::uint64_t>(usualBacklog_), 0};
   const StreamLoad loadWithRequest{current.requests + 1,
                                    current.pendingPrefillTokens + work.prefillTokens, 0};
--- a/src/routing/replica_selector.cc
+++ b/src/routing/replica_selector.cc
@@ -9,10 +9,11 @@
 
 namespace {
 
-/// A replica in another zone counts as this much more loaded, in requests.
+/// Load added to a replica in another zone, in requests.
 constexpr double kOtherZoneLoad = 0.5;
 
-/// A hash becomes a number above 0 and below 1 of as many bits as a double holds exactly.
+/// A hash is mapped to a number above 0 and below 1 with as many bits as a double can represent
+/// exactly.
 constexpr unsigned kDroppedBits = 11;
 constexpr double kUniformStep = 1.0 / (static_cast<double>(1ULL << 53U) + 2);
 
@@ -20,7 +21,8 @@
   return std::ranges::find(instances, record.facts().instance) != instances.end();
 }
 
-/// Weighted rendezvous hashing: a replica of twice the weight is home to twice as many parts.
+/// Weighted rendezvous hashing: a replica with twice the weight is the home replica of twice as
+/// many parts.
 template <class Weight>
 void sortByRendezvous(std::vector<ReplicaRecordPtr>& candidates, std::uint64_t key,
                       const Weight& weight) {
@@ -41,7 +43,7 @@
                          [](Scored& one) { return std::move(one.record); });
 }
 
-/// Median of the candidates' speeds in hundredths; 0 while too few are known.
+/// Median of the candidates' speeds in hundredths; 0 if too few are known.
 double medianSpeed(const std::vector<ReplicaRecordPtr>& candidates) {
   constexpr std::size_t kMinimumKnown = 3;
   std::vector<std::uint32_t> known;
@@ -77,7 +79,7 @@
 
 bool ReplicaSelector::startsInTime(const ReplicaQuery& query, const ReplicaRecord& record,
                                    base::TimePoint now) const {
-  // The margin of the bound covers usual waits.
+  // The margin of the deadline covers typical waits.
   const auto excess = std::max(record.expectedWait(now) - context_.targets.maximumStartDelay(),
                                base::Duration::zero());
   const auto oldest = context_.targets.oldestAllowed(query.model, now + excess);
@@ -97,7 +99,7 @@
     if (!query.model.empty() && !startsInTime(query, *record, now)) {
       reason = "no replica has the version in force";
     } else if (record->notices().backingOff(now)) {
-      // Also those that were tried: it was they who asked for it.
+      // Includes replicas that have been tried: they are the ones that asked for the back-off.
       backingOff.push_back(record);
     } else if (!contains(query.excluded, *record)) {
       allowed.push_back(record);
@@ -136,7 +138,8 @@
     const double requests = record->inFlight() + (inOwnZone ? 0 : kOtherZoneLoad);
     return (requests + record->health().failureRate()) / slots;
   };
-  // Equals in random order, so that the nodes do not all take the same one.
+  // Shuffles first, so that replicas with equal load are in random order and not all nodes select
+  // the same one.
   for (std::size_t left = candidates.size(); left > 1; --left)
     std::swap(candidates[left - 1], candidates[random_.below(left)]);
   std::ranges::stable_sort(candidates, {}, loadOf);
@@ -227,7 +230,8 @@
   const auto* store = context_.stores.choose(*query.chain->deepestShared());
   if (store == nullptr) return;
   decision.saveTo = store->endpoint;
-  // A node that does not watch the store cannot know; to ask in vain costs next to nothing.
+  // A node that does not watch the store cannot know what it holds; an unsuccessful fetch costs
+  // next to nothing.
   if (!decision.fetchFrom && !store->localAvailability)
     decision.fetchFrom = CacheSource{store->name, store->endpoint, decision.matchedTokens};
 }
@@ -330,7 +334,7 @@
     decision.reason = "every replica is loading weights";
     return;
   }
-  // Only its home knows what the other nodes send there.
+  // Only the home of a rate-limited replica knows what the other nodes send there.
   std::erase_if(candidates, rateLimited);
   decision.candidates = candidates.size();
   if (candidates.empty()) {
@@ -393,7 +397,7 @@
   candidate.scope = cacheScope(saltOf(query, *replica), query.model);
   const auto matched = context_.holders.matchedTokens(id, candidate.scope, *query.chain);
   candidate.work.tokens = query.tokens - std::min(query.tokens, matched);
-  // What is held elsewhere is fetched, which takes far less time than reading.
+  // Parts held elsewhere are fetched, which takes far less time than prefilling them.
   candidate.work.prefillTokens =
       promptTokens - std::min(promptTokens, std::max(matched, heldTokens));
   candidate.work.memory = static_cast<std::uint32_t>(
--- a/src/routing/replica_selector.h
+++ b/src/routing/replica_selector.h
@@ -1,17 +1,18 @@
 /// \file
-/// Choice of a replica for one relayed request.
+/// Selects a replica for one relayed request.
 ///
-/// A prompt's deepest shared part has a home among the replicas by rendezvous hashing, so that all
-/// nodes agree without talking and shared parts are read once. A request goes to its home unless
-/// the home is loaded beyond a bound, then to the next in the same order. Where replicas serve
-/// several versions of the weights, all of them are homes, so that the replicas of the newest are
-/// read into while they come; the newest counts more, since requests that begin on older weights
-/// are worth less. What is cached under one version is of no use under another.
+/// The deepest shared part of a prompt has a home replica, chosen by rendezvous hashing, so that
+/// all nodes agree without communication and shared parts are prefilled only once. A request goes
+/// to this replica unless its load exceeds a bound, then to the next one in the same order. If
+/// replicas serve several versions of the weights, all of them can be home replicas, so that the
+/// caches of replicas with the newest version fill while the rollout is in progress. Replicas of
+/// the newest version have a higher weight, since requests that start on older weights are worth
+/// less. A cache entry made under one version is useless under another.
 ///
-/// A replica that does not hold the shared parts is told to fetch them from one that does, or from
-/// a store of kept cache, which is far cheaper than reading them again; what nobody holds it is
-/// told to save to the store. Requests without a prompt go to the least loaded replica, near ones
-/// first.
+/// A replica that does not hold the shared parts is instructed to fetch them from a replica that
+/// does, or from a store of kept KV cache, which is much cheaper than prefilling them again. Parts
+/// that no one holds are to be saved to the store by the replica. Requests without a prompt go to
+/// the least loaded replica, with those of the own zone preferred.
 #pragma once
 
 #include <cstdint>
@@ -36,20 +37,21 @@
 struct ReplicaQuery {
   std::string service;
   const config::EngineProfile* engine = nullptr;
-  /// Empty for services without models.
+  /// Name of the model; empty for services without models.
   std::string model;
   const prefix::PartChain* chain = nullptr;
-  /// Tokens of the prompt and the longest answer.
+  /// Tokens of the prompt and the longest possible output.
   std::uint32_t tokens = 0;
-  /// Name of the tenant where its cache is its own, else empty.
+  /// Name of the tenant if its cache is isolated, else empty.
   std::string isolatedTenant;
-  /// The request is expected to run long; the replicas that take such requests come first.
+  /// The request is expected to be long-running; the replicas preferred for such requests come
+  /// first.
   bool longRun = false;
-  /// How many replicas long runs fill.
+  /// Number of replicas preferred for long-running requests.
   std::size_t longRunReplicas = 1;
-  /// Reading prompts ahead of this one may take so long without another replica being sought.
+  /// Maximum time to prefill the prompts ahead of this one before another replica is considered.
   base::Duration acceptableWait = std::chrono::milliseconds(250);
-  /// Instances that were tried for this request.
+  /// Instances that have been tried for this request.
   std::vector<std::string> excluded;
 
   /// Whether the request has a prompt with shared parts that a replica may have cached.
@@ -58,49 +60,49 @@
   }
 };
 
-/// Where a replica can fetch cached parts.
+/// A source from which a replica can fetch cached parts.
 struct CacheSource {
   /// Instance of a replica, or name of a store.
   std::string name;
   base::Endpoint endpoint;
-  /// Leading shared tokens believed to be there.
+  /// Number of leading shared tokens presumed to be cached there.
   std::uint32_t tokens = 0;
 };
 
 struct ReplicaDecision {
-  /// Null when no replica may be chosen; `reason` says why.
+  /// Null if no replica can be selected; `reason` explains why.
   ReplicaRecordPtr replica;
-  /// Version of the model's weights that the choice rests on; 0 where the query names no model.
+  /// Version of the model's weights on which the selection is based; 0 if the query names no model.
   base::WeightsVersion version = 0;
-  /// Text under which the replica keeps the request's parts; empty without a model.
+  /// Salt under which the replica caches the request's parts; empty without a model.
   std::string cacheSalt;
   CacheScope scope = 0;
   std::optional<CacheSource> fetchFrom;
-  /// Store to save what is read to.
+  /// Store to which prefilled parts are to be saved.
   std::optional<base::Endpoint> saveTo;
-  /// The request must begin before this, or not on this version.
+  /// Deadline for the request to start on this version; empty if there is none.
   std::optional<base::TimePoint> startDeadline;
-  /// Leading shared tokens believed cached at the replica.
+  /// Number of leading shared tokens presumed to be cached at the replica.
   std::uint32_t matchedTokens = 0;
-  /// The first of the replicas that could be chosen, in the order of preference; their homes may be
-  /// asked (routing/placement.h).
+  /// The first candidates in order of preference; their homes may be queried (routing/placement.h).
   std::vector<ReplicaRecordPtr> preferenceOrder;
-  /// Replicas that could be chosen, and the chosen one's place in the order of preference.
+  /// Number of candidates, and the index of the selected one in the order of preference.
   std::size_t candidates = 0;
   std::size_t rank = 0;
-  /// Homes that were asked, and the wait that the chosen replica's home expected; 0 where this node
-  /// decided alone.
+  /// Number of homes queried, and the wait that the home of the selected replica expected; 0 if
+  /// this node decided alone.
   std::size_t homesAsked = 0;
   base::Duration expectedWait{};
   std::string_view reason;
-  /// Where all replicas that the request could go to have asked this node for rest: the first end.
+  /// Set if all candidate replicas have asked this node to back off: the earliest end of a
+  /// back-off.
   std::optional<base::TimePoint> backOffEnds;
 
-  /// Leading shared tokens that the replica has or can fetch.
+  /// Number of leading shared tokens that the replica holds or can fetch.
   std::uint32_t heldTokens() const { return fetchFrom ? fetchFrom->tokens : matchedTokens; }
 };
 
-/// What the choice rests on; all must outlive it.
+/// Data that the selection is based on; all must outlive the selector.
 struct ReplicaSelectorContext {
   const ReplicaDirectory& replicas;
   const PrefixHolders& holders;
@@ -111,24 +113,29 @@
 };
 
 struct ReplicaSelectorOptions {
-  /// Least bound on the requests of this node at a home, however many nodes share it.
+  /// Minimum for the limit on this node's requests at a replica, however many nodes share the
+  /// replica.
   std::uint32_t minimumRequests = 2;
-  /// Part of a replica's cache memory that all nodes together may fill with running requests,
-  /// where each takes an even share, and where they know of each other's.
+  /// Share of a replica's cache memory that running requests of all nodes together may use:
+  /// `memoryShare` if each node gets an equal part, `knownMemoryShare` if the nodes know each
+  /// other's load.
   double memoryShare = 0.6;
   double knownMemoryShare = 0.9;
-  /// This part of the other nodes must be heard for their load to count as known.
+  /// Minimum share of the other nodes whose load reports must be available for the fleet load to
+  /// count as known.
   double minimumReportingShare = 0.5;
-  /// Tokens that a source must have beyond the chosen replica to be fetched from.
+  /// Minimum number of tokens that a source must hold beyond those of the selected replica to be
+  /// fetched from.
   std::uint32_t minimumFetchTokens = 32;
-  /// Weight of replicas of the newest version that is served, against 1 of the others.
+  /// Weight of replicas with the newest version that is served, relative to 1 for the others.
   double newestWeight = 2;
-  /// Replicas whose homes may be asked for one request; each question is a round trip.
+  /// Maximum number of replicas whose homes are queried for one request; each query is a round
+  /// trip.
   std::size_t maximumPreferred = 6;
-  /// Prompts that share fewer tokens go to replicas of this node's zone first: to read them again
-  /// in each zone costs less than the bytes between zones.
+  /// Prompts with fewer shared tokens prefer replicas of this node's zone: prefilling them again in
+  /// each zone costs less than the traffic between zones.
   std::uint32_t ownZoneBelowTokens = 512;
-  /// Long runs are kept together where there are at least so many replicas.
+  /// Minimum number of replicas from which some of them are preferred for long-running requests.
   std::size_t minimumForLongRuns = 4;
 };
 
@@ -140,68 +147,73 @@
 
   /// `nodes` is the number of nodes that share the replicas.
   ReplicaDecision choose(const ReplicaQuery& query, std::size_t nodes, base::TimePoint now);
-  /// Some replicas may take the request, and all of them name a rate limit.
+  /// Whether there are candidates for the request and all of them report a rate limit.
   bool allRateLimited(const ReplicaQuery& query, base::TimePoint now);
-  /// The decision for this replica; empty when it may not be chosen now. `matchedTokens` is what
-  /// its home believes cached there.
+  /// Returns the decision for the given replica; empty if it cannot be selected now.
+  /// `matchedTokens` is the number of tokens that its home considers cached there.
   std::optional<ReplicaDecision> decide(const ReplicaQuery& query, const ReplicaRecordPtr& replica,
                                         std::uint32_t matchedTokens, base::TimePoint now);
-  /// Until when a request may begin on the version of the model; empty while no newer one is named.
+  /// Until when a request may start on this version of the model; empty if there is no newer
+  /// version.
   std::optional<base::TimePoint> startDeadline(std::string_view model,
                                                base::WeightsVersion version) const {
     return context_.targets.startDeadline(model, version);
   }
-  /// What the request takes of the replica, for its home. `heldTokens` of its shared parts are
-  /// known to be cached somewhere, from where they can be fetched.
+  /// Describes the resources that the request needs at the replica, for the query to its home.
+  /// `heldTokens` is the number of its shared tokens that are known to be cached somewhere from
+  /// where they can be fetched.
   PlacementCandidate candidateOf(const ReplicaQuery& query, const ReplicaRecordPtr& replica,
                                  std::uint32_t promptTokens, std::uint32_t heldTokens) const;
 
  private:
   using Candidates = std::vector<ReplicaRecordPtr>;
 
-  /// Whether a request that is sent to the replica now is expected to begin before its version is
-  /// out of date.
+  /// Whether a request that is sent to the replica now is expected to start before the replica's
+  /// version is out of date.
   bool startsInTime(const ReplicaQuery& query, const ReplicaRecord& record,
                     base::TimePoint now) const;
-  /// The replicas that the request may go to, those among them that change their weights included:
-  /// homes know these at once, other nodes by gossip, late. Where there are none, the decision is
-  /// told why.
+  /// The replicas that the request may be sent to, including those that are changing their weights:
+  /// only the homes are informed of that at once, other nodes receive it later by gossip. If there
+  /// are none, the decision states the reason.
   Candidates eligible(const ReplicaQuery& query, base::TimePoint now, ReplicaDecision& decision);
-  /// Chooses among the candidates by what this node knows.
+  /// Selects among the candidates using only this node's own data.
   void chooseLocally(ReplicaDecision& decision, Candidates candidates, const ReplicaQuery& query,
                      std::size_t nodes, base::TimePoint now);
-  /// Orders the candidates by load, near ones first.
+  /// Sorts the candidates by load, with a preference for the own zone.
   void sortByLoad(Candidates& candidates);
-  /// Orders the candidates by rendezvous hashing of the deepest shared part, near ones first where
-  /// little is shared.
+  /// Sorts the candidates by rendezvous hashing of the deepest shared part; prompts with little
+  /// shared text prefer the own zone.
   void sortByHome(Candidates& candidates, const ReplicaQuery& query) const;
-  /// Moves the replicas of this node's zone to the front, but keeps one of another zone among the
-  /// first.
+  /// Moves the replicas of this node's zone to the front, but keeps one replica of another zone
+  /// among the first.
   void moveOwnZoneFirst(Candidates& candidates) const;
-  /// Of the replicas with a rate limit all but the first go behind those without: a request asks
-  /// one home that may have none of its rate left before one that has room.
+  /// Moves all replicas with a rate limit except the first one behind those without: a request then
+  /// queries at most one home that may have used up its rate before it queries one with free
+  /// capacity.
   static void keepOneRateLimitedInFront(Candidates& candidates);
   std::string saltOf(const ReplicaQuery& query, const ReplicaRecord& record) const;
-  /// Fills in what follows from the chosen replica.
+  /// Fills in the fields that depend on the selected replica.
   void complete(ReplicaDecision& decision, const ReplicaQuery& query, base::TimePoint now);
-  /// Moves the replicas that take long runs to the front, in the order that they have.
+  /// Moves the replicas preferred for long-running requests to the front, without changing their
+  /// relative order.
   void moveLongRunReplicasFirst(Candidates& candidates, const ReplicaQuery& query) const;
-  /// What the requests of all nodes may take of a replica, as far as this node counts them.
+  /// Limits on the requests of all nodes at a replica, as far as this node counts them.
   struct Bounds {
     std::size_t requests = 0;
     double tokens = 0;
   };
-  /// Whether enough of the nodes tell their load.
+  /// Whether load reports of enough nodes are available.
   bool isLoadKnown(std::size_t nodes, base::TimePoint now) const;
   Bounds boundsOf(const ReplicaRecord& record, const ReplicaQuery& query, std::size_t nodes,
                   bool known) const;
-  /// The first candidate within the bounds whose queue is short, else the one of them with the
-  /// shortest queue; the number of candidates when there is none.
+  /// Index of the first candidate within the limits whose prefill queue is short, else of the one
+  /// with the shortest queue among those within the limits; the number of candidates if there is
+  /// none.
   std::size_t firstWithCapacity(const Candidates& ordered, const ReplicaQuery& query,
                                 std::size_t nodes, base::TimePoint now) const;
   void addCacheTransfers(ReplicaDecision& decision, const ReplicaQuery& query, base::TimePoint now);
-  /// The best source of the prompt's shared parts under the scope, other than `except`; a random
-  /// one of equals, since a replica sends one move after another.
+  /// The best source of the prompt's shared parts under the scope, other than `except`. Ties are
+  /// broken at random, since a replica serves one transfer after another.
   std::optional<CacheSource> bestSource(const ReplicaQuery& query, CacheScope scope,
                                         const ReplicaRecord* except, base::TimePoint now);
 
@@ -210,15 +222,15 @@
   base::RandomSource& random_;
 };
 
-/// Of the replicas of one version, those with the lowest rank take the long runs. Equal on all
-/// nodes.
+/// Replicas of the same version with the lowest rank are preferred for long-running requests. The
+/// rank is equal on all nodes.
 std::uint64_t longRunRank(std::string_view instance);
-/// Order in which a model's replicas take long runs: the newest version first, of one version the
-/// lowest rank.
+/// Order in which a model's replicas are preferred for long-running requests: newest version first,
+/// within a version the lowest rank first.
 bool takesLongRunsBefore(std::string_view model, const ReplicaRecord& left,
                          const ReplicaRecord& right);
-/// Text under which replicas keep parts: parts made under other weights, or by an isolated tenant,
-/// are never found.
+/// Salt under which replicas cache parts, so that parts made under other weights or for an isolated
+/// tenant are never matched.
 std::string cacheSalt(base::WeightsVersion version, std::string_view isolatedTenant);
 CacheScope cacheScope(std::string_view salt, std::string_view model);
 
--- a/src/routing/replica_speed_model.cc
+++ b/src/routing/replica_speed_model.cc
@@ -7,43 +7,47 @@
 
 namespace {
 
-/// No caller waits longer for a stream or a piece of it; larger figures are faults.
+/// No caller waits longer than this for a stream or a chunk of it; larger values are measurement
+/// faults.
 constexpr base::Duration kMaximumStreamTime = std::chrono::minutes(2);
-/// A node whose timers were later than this times other things than the replica.
+/// Timers that are later than this show that the node measures its own delays instead of the
+/// replica's.
 constexpr base::Duration kMaximumLateness = std::chrono::milliseconds(50);
 constexpr std::uint32_t kMinimumPauses = 2;
-/// Streams seen until a replica's pace counts as known.
+/// Number of observed streams from which a replica's speed counts as known.
 constexpr std::uint32_t kMinimumStreams = 4;
-/// Each stream takes this part of the weight of those before it: some 30 streams count, that is 5
-/// to 10 seconds of usual traffic.
+/// Each stream reduces the weight of the earlier ones to this share: some 30 streams count, which
+/// is 5 to 10 seconds of typical traffic.
 constexpr double kDecay = 0.97;
-/// Pauses at which a stream has half of the greatest weight.
+/// Number of pauses at which a stream has half of the maximum weight.
 constexpr double kHalfWeightPauses = 10;
-/// Reading a thousand tokens takes about this (us; replicas read 30 to 50 tokens a ms) until
-/// streams beside readings tell more; the prior counts like a few such streams.
+/// Prior for the time to prefill a thousand tokens (us; replicas prefill 30 to 50 tokens per ms),
+/// used until streams that ran during prefills provide better data. The prior has the weight of a
+/// few such streams.
 constexpr double kUsualPrefillTime = 30'000;
 constexpr double kPriorWeight = 0.05;
-/// Influence of one stream on the mean is bounded by this factor to what was expected.
+/// The influence of one stream on the mean is limited to this factor of the expected value.
 constexpr double kMaximumRatio = 4;
 
-/// Most tokens to be read of each class of excess, but for the last.
+/// Upper bound of the prefill backlog in tokens for each class of excess except the last.
 constexpr std::array<std::uint64_t, 5> kClassBounds{256, 1024, 2048, 4096, 8192};
-/// One stream in five may pause for longer than expected.
+/// Quantile of the longest pauses: one stream in five may pause for longer than expected.
 constexpr double kQuantile = 0.8;
 constexpr double kInitialExcessStep = 0.4;
 constexpr double kMinimumExcessStep = 0.08;
 constexpr double kMinimumExcess = -1.2;
 constexpr double kMaximumExcess = 1.6;
 
-/// The speed told changes when it differs by this factor from the one told before.
+/// The reported speed changes only if it differs by this factor from the one reported before.
 constexpr double kSpeedStep = 1.15;
 
-/// A replica is slow from the first factor on until it falls below the second; what was seen fades
-/// by half in the time, so that a stream is sent there now and then.
+/// A replica counts as slow from the first factor on until the factor falls below the second. The
+/// observed slowness decays by half in the given time, so that a stream is sent there from time to
+/// time.
 constexpr double kSlowFrom = 2.3;
 constexpr double kSlowUntil = 1.6;
 constexpr double kSlownessWeight = 0.4;
-/// Streams seen while the replica is slow count less for its usual pace.
+/// Weight of streams observed while the replica is slow in the estimate of its usual speed.
 constexpr double kSlowStreamWeight = 0.25;
 constexpr base::Duration kSlownessHalfLife = std::chrono::milliseconds(1500);
 
@@ -105,7 +109,7 @@
       sums_.pausePrefilled - meanPrefilled * sums_.pause + kPriorWeight * kUsualPrefillTime;
   prefillTime_ = std::clamp(covariance / variance, kUsualPrefillTime / kMaximumRatio,
                             kUsualPrefillTime * kMaximumRatio);
-  // Not all of a pause can be reading.
+  // A pause cannot consist of prefill alone.
   stepTime_ = std::max(meanPause - prefillTime_ * meanPrefilled, meanPause / kMaximumRatio);
 }
 
@@ -126,7 +130,7 @@
 
 void ReplicaSpeedModel::updateSlowness(double ratio, base::NodeId node, base::TimePoint now) {
   const double bounded = std::clamp(ratio, 1 / kMaximumRatio, kMaximumRatio);
-  // One node alone may see its own slowness, or that of its link.
+  // A single node may be observing its own slowness, or that of its link.
   if (bounded > kSlowFrom && slowSeenBy_ == std::optional(node)) return;
   slowSeenBy_ = bounded > kSlowFrom ? std::optional(node) : std::nullopt;
   const double before = slowdown(now);
--- a/src/routing/request_durations.cc
+++ b/src/routing/request_durations.cc
@@ -26,7 +26,8 @@
 void RequestDurations::onEnd(std::string_view service, std::uint32_t tokens, base::Duration took) {
   auto& facts = services_.try_emplace(std::string{service}).first->second;
   ++facts.requests;
-  // The first runs count alike, so that the means do not hang on the very first one.
+  // The first requests have equal weights, so that the means do not depend mainly on the very first
+  // one.
   const double weight = std::max(options_.smoothing, 1.0 / facts.requests);
   facts.meanTokens += weight * (tokens - facts.meanTokens);
   facts.meanSeconds += weight * (base::toSeconds(took) - facts.meanSeconds);
--- a/src/routing/request_durations.h
+++ b/src/routing/request_durations.h
@@ -1,9 +1,10 @@
 /// \file
-/// How long a service's replicas run a request for each token that it is expected to make, as this
-/// node has seen it, and how many long runs this node has under way on average.
+/// Estimates how long the replicas of a service run a request per expected output token, from this
+/// node's own requests, and how many long-running requests this node has in flight on average.
 ///
-/// New weights are loaded when a replica's runs have ended, so one long run keeps a whole replica
-/// away. Long runs are therefore kept together on few replicas (ReplicaSelector).
+/// New weights are loaded when the requests of a replica have ended, so a single long-running
+/// request keeps a whole replica out of service. Long-running requests are therefore kept together
+/// on few replicas (ReplicaSelector).
 #pragma once
 
 #include <cstddef>
@@ -17,15 +18,16 @@
 namespace covewing::routing {
 
 struct RequestDurationOptions {
-  /// Expected time from the first byte to the end from which a run counts as long.
+  /// Expected time from the first byte to the end from which a request counts as long-running.
   base::Duration longRequestTime = std::chrono::milliseconds(1000);
-  /// Weight of the latest run in the means.
+  /// Weight of the latest request in the means.
   double smoothing = 0.05;
-  /// Runs before the means count.
+  /// Minimum number of requests for the means to count.
   std::uint32_t minimumRequests = 5;
-  /// Time constant of the number of long runs under way.
+  /// Time constant of the number of long-running requests in flight.
   base::Duration timeConstant = std::chrono::seconds(4);
-  /// Part of a replica's slots that long runs are to fill before another replica takes them too.
+  /// Share of a replica's slots that long-running requests are to fill before another replica is
+  /// preferred for them.
   double slotShare = 0.4;
 };
 
@@ -33,14 +35,17 @@
  public:
   explicit RequestDurations(RequestDurationOptions options = {}) : options_(options) {}
 
-  /// A long run began that is expected to make so many tokens.
+  /// A long-running request with this expected number of output tokens started.
   void onLongRun(std::string_view service, std::uint32_t tokens, base::TimePoint now);
-  /// A whole run of such a request took so long from its first byte.
+  /// A request with this expected number of output tokens completed; `took` is the time from its
+  /// first byte.
   void onEnd(std::string_view service, std::uint32_t tokens, base::Duration took);
 
-  /// Whether a request that is expected to make so many tokens runs long; false while unknown.
+  /// Whether a request with this expected number of output tokens is long-running; false while
+  /// unknown.
   bool isLong(std::string_view service, std::uint32_t tokens) const;
-  /// Replicas of so many slots that long runs of all nodes fill; at least 1.
+  /// Number of replicas with this many slots that the long-running requests of all nodes fill; at
+  /// least 1.
   std::size_t replicasForLongRuns(std::string_view service, std::uint32_t slots, std::size_t nodes,
                                   base::TimePoint now) const;
 
@@ -49,12 +54,13 @@
     double meanTokens = 0;
     double meanSeconds = 0;
     std::uint32_t requests = 0;
-    /// Expected seconds of the long runs begun, decaying with the memory.
+    /// Sum of the expected durations of the long-running requests started, in seconds, decaying
+    /// with the time constant `timeConstant`.
     double longRequestSeconds = 0;
     base::TimePoint longRequestSecondsAt{};
   };
 
-  /// Zero while unknown.
+  /// Expected duration in seconds; zero while unknown.
   double expectedSeconds(const Service& service, std::uint32_t tokens) const;
   double decayedLongRequestSeconds(const Service& service, base::TimePoint now) const;
 
--- a/src/routing/service_model.h
+++ b/src/routing/service_model.h
@@ -1,6 +1,6 @@
 /// \file
-/// Expected time to first token of a prompt at an engine: the queue ahead of it, the transfer from
-/// the store of kept KV cache where that pays, and the tokens still to compute.
+/// Estimates the time to first token of a prompt at an engine: the queue ahead of it, the transfer
+/// from the store of kept KV cache if that pays off, and the tokens that remain to be computed.
 #pragma once
 
 #include <cstdint>
@@ -12,21 +12,23 @@
 /// Assumed speeds of engines and store.
 struct ServiceModel {
   double prefillTokensPerSecond = 6500;
-  /// Transfer from the store of kept KV cache.
+  /// Transfer from the store of kept KV cache: latency, and rate in tokens per second.
   base::Duration importLatency = std::chrono::milliseconds(10);
   double importTokensPerSecond = 60'000;
-  /// Longest wait for the store that an import may have; beyond it the engine computes instead.
+  /// Maximum time that an import may wait for the store; beyond it the engine computes the tokens
+  /// instead.
   base::Duration importWaitLimit = std::chrono::milliseconds(300);
-  /// Weight, beside the expected time itself, of the time to compute all tokens that the prompt
-  /// adds to the engine's cache, imported ones too: computing delays those who come after, and what
-  /// is added pushes as much out, which is computed again elsewhere.
+  /// Weight, relative to the expected time itself, of the time to compute all tokens that the
+  /// prompt adds to the engine's cache, including imported ones. The computation delays the
+  /// requests that follow, and each added token evicts another one that has to be computed again
+  /// elsewhere.
   double insertionWeight = 1.0;
-  /// Delay by each request that runs or waits at the engine: its share of every step, and memory
-  /// that it holds until its answer is complete.
+  /// Delay caused by each request that runs or waits at the engine: its share of every step, and
+  /// the memory that it occupies until its response is complete.
   base::Duration perRequest = std::chrono::milliseconds(20);
-  /// Share of a doubtful match that is counted on.
+  /// Share of an uncertain match that is assumed to be cached.
   double doubtfulMatchWeight = 0.5;
-  /// One round trip to another zone, and to another region.
+  /// Round-trip times to another zone and to another region.
   base::Duration otherZone = std::chrono::milliseconds(3);
   base::Duration otherRegion = std::chrono::milliseconds(60);
 };
@@ -36,9 +38,9 @@
   std::uint32_t promptTokens = 0;
   std::uint32_t cachedTokens = 0;
   bool doubtful = false;
-  /// Leading tokens in the store of kept KV cache.
+  /// Number of leading tokens in the store of kept KV cache.
   std::uint32_t storedTokens = 0;
-  /// Wait until the store starts a transfer.
+  /// Time until the store starts a transfer.
   base::Duration importWait{};
   std::uint64_t tokensAhead = 0;
   /// Requests running or waiting at the engine.
@@ -48,10 +50,10 @@
 
 struct ServiceEstimate {
   base::Duration timeToFirstToken{};
-  /// First token plus the weight of insertion; engines are ranked by it.
+  /// Time to first token plus the weighted cost of insertion; engines are ranked by it.
   base::Duration cost{};
   std::uint32_t uncachedTokens = 0;
-  /// Tokens to import, where that beats recomputing.
+  /// Tokens to import, if that is faster than recomputing them.
   std::uint32_t importedTokens = 0;
 };
 
--- a/src/routing/staged_lookup.h
+++ b/src/routing/staged_lookup.h
@@ -1,12 +1,12 @@
 /// \file
-/// Spares lookups in large fleets: the first candidate of the own region is asked about alone, and
-/// the others only where its answer does not settle the choice. Most requests follow a prefix that
-/// this engine has cached, as all nodes of the region prefer it for that prefix, so most need one
-/// message and one answer, whatever the number of candidates. The others wait for a second round
-/// trip.
+/// Saves lookups in large fleets: the first candidate of the own region is queried alone, and the
+/// others only if its reply does not settle the selection. Most requests continue a prefix that
+/// this engine has cached, since all nodes of the region prefer it for that prefix. Most requests
+/// therefore need one query and one reply, whatever the number of candidates; the rest need a
+/// second round trip.
 ///
-/// In small fleets all candidates are asked at once: there the bytes do not matter, and the answers
-/// balance the load better.
+/// In small fleets all candidates are queried at once: the traffic does not matter there, and the
+/// replies improve load balancing.
 #pragma once
 
 #include <memory>
@@ -19,15 +19,15 @@
 namespace covewing::routing {
 
 struct StagedLookupOptions {
-  /// Fleets of fewer live nodes ask about all candidates at once.
+  /// Fleets with fewer live nodes query all candidates at once.
   std::size_t minimumNodes = 32;
-  /// The answer settles the choice with this share of the prompt cached, and at most so many tokens
-  /// to be computed before.
+  /// The reply settles the selection if at least this share of the prompt is cached, and at most
+  /// this many tokens are to be computed first.
   double conclusiveShare = 0.5;
   std::uint64_t conclusiveTokensAhead = 512;
 };
 
-/// Wraps a lookup; all references must outlive it.
+/// Wraps a lookup; all referenced objects must outlive it.
 class StagedLookup final : public CacheLookup {
  public:
   StagedLookup(StagedLookupOptions options, const membership::MemberDirectory& members,
@@ -49,7 +49,7 @@
   const membership::MemberDirectory& members_;
   const FleetView& fleet_;
   CacheLookup& lookup_;
-  /// Outlived by callbacks that must no longer reach this object.
+  /// Allows callbacks that run after the destruction of this object to detect it.
   std::shared_ptr<bool> lifetime_ = std::make_shared<bool>(true);
 };
 
--- a/src/routing/weights_targets.cc
+++ b/src/routing/weights_targets.cc
@@ -18,7 +18,7 @@
 bool WeightsTargets::add(const std::string& model, WeightsTarget target, base::TimePoint now) {
   if (target.version <= newest(model)) return false;
   auto& targets = targets_[model];
-  // Of the versions that are in force already, only the newest matters.
+  // Of the versions that are already required, only the newest is relevant.
   const auto pending = std::ranges::find_if(
       targets, [now](const auto& one) { return one.olderForbiddenFrom > now; });
   if (pending - targets.begin() > 1) targets.erase(targets.begin(), pending - 1);
