--- a/tests/routing/instance_rate_limit_test.cc
+++ b/tests/routing/instance_rate_limit_test.cc
@@ -1,4 +1,4 @@
-// What a node believes of a replica's rate limit, from answers that overtake each other.
+// Rate limit of a replica as derived from responses that overtake each other.
 #include "routing/instance_rate_limit.h"
 
 #include <boost/test/unit_test.hpp>
@@ -14,7 +14,7 @@
 constexpr base::TimePoint kStart{std::chrono::seconds(100)};
 
 struct LimitFixture {
-  /// The answer to a request that was sent and read so long after the start.
+  /// A response whose request was sent, and which was read, at these times after the start.
   bool respond(const RateLimitNotice& notice, milliseconds sent, milliseconds read) {
     return limit.update({notice, kStart + sent, kStart + read});
   }
@@ -37,7 +37,7 @@
   respond(RateLimitNotice::of(2), milliseconds(50), milliseconds(60));
   BOOST_TEST(!respond(RateLimitNotice::unlimited(), milliseconds(0), milliseconds(100)));
   BOOST_TEST(limit.perSecond().value() == 2.0);
-  // It was sent behind the latest answer that named the limit.
+  // This request was sent after the latest response that reported the limit had been read.
   respond(RateLimitNotice::of(2), milliseconds(70), milliseconds(200));
   BOOST_TEST(!respond(RateLimitNotice::unlimited(), milliseconds(150), milliseconds(300)));
   BOOST_TEST(respond(RateLimitNotice::unlimited(), milliseconds(210), milliseconds(310)));
@@ -66,7 +66,7 @@
   BOOST_TEST(!limit.update(evidenceOf({RateLimitNotice::of(1), milliseconds(4500)}, now)));
   BOOST_TEST(!limit.perSecond().has_value());
   BOOST_TEST(limit.update(evidenceOf({RateLimitNotice::of(1), milliseconds(3000)}, now)));
-  // The message may have been under way for some time.
+  // The message may have been in transit for some time.
   BOOST_TEST(!limit.update(evidenceOf({RateLimitNotice::unlimited(), milliseconds(2950)}, now)));
   BOOST_TEST(limit.update(evidenceOf({RateLimitNotice::unlimited(), milliseconds(2000)}, now)));
 }
--- a/tests/routing/pace_load_test.cc
+++ b/tests/routing/pace_load_test.cc
@@ -1,5 +1,6 @@
-// Replicas of uneven speed under load, without a network: streams with a bound on their pauses
-// beside long readings. Compares how a replica is chosen by the pauses that callers see.
+// Load test with replicas of different speeds, without a network: streams with a bound on their
+// pauses run concurrently with long prefills. Compares rules for selecting a replica by the pauses
+// that callers experience.
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
 #include <cmath>
@@ -44,20 +45,20 @@
     case Rule::kSpeedAlone:
       return "speed alone";
     case Rule::kSpeedModel:
-      return "pace";
+      return "speed model";
   }
   return "";
 }
 
 struct Load {
   std::vector<double> speeds{0.6, 1.0, 1.6};
-  /// Of what the replicas can take: readings fill most of it.
+  /// Load as a fraction of the replicas' capacity; prefills make up most of it.
   double ofCapacity = 0.5;
-  /// Part of the time that a replica is slower by 2.5, in moments of 600 ms.
+  /// Fraction of the time for which a replica is slower by a factor of 2.5, in intervals of 600 ms.
   double slowTimeShare = 0.15;
-  /// This replica is slower by 3.5 from 8 to 14 s.
+  /// This replica is slower by a factor of 3.5 from 8 to 14 s.
   std::optional<std::size_t> slowed{};
-  /// So many replicas know nothing and are new at 8 s.
+  /// Number of replicas whose ledgers are empty again at 8 s.
   std::size_t resetCount = 0;
 };
 
@@ -83,15 +84,15 @@
 };
 
 struct Outcome {
-  /// Streams that came after all rules had seen some, those that ended, and of these those that
-  /// paused for longer than the bound.
+  /// Streams that arrived after all rules had observed some, those of them that ended, and those of
+  /// these that paused for longer than the bound.
   int arrived = 0;
   int streams = 0;
   int late = 0;
-  /// Begun while one of the replicas was slow, and there.
+  /// Streams that were sent to the slowed replica while it was slow.
   int atSlowed = 0;
-  /// Of those that came, the part that did not end with all pauses within the bound: where much is
-  /// left undone, few of those that ended say little.
+  /// Share of the arrived streams that did not end with all pauses within the bound. Streams that
+  /// did not end are included, since the ended ones alone say little if much work is left undone.
   double failedShare() const {
     return 1 - static_cast<double>(streams - late) / std::max(arrived, 1);
   }
@@ -110,7 +111,7 @@
   }
 
   Outcome run() {
-    // A third of the requests reads 5,000 tokens and answers shortly, the others 600.
+    // A third of the requests prefill 5,000 tokens and have short outputs, the others prefill 600.
     constexpr double kTokensPerRequest = (2 * 600 + 5000) / 3.0;
     constexpr double kSlowdown = 1.5;
     constexpr double kTimePerToken = kPrefillTime + kStepTime / kTokensPerStep;
@@ -190,7 +191,7 @@
     return *best;
   }
 
-  /// As rendezvous hashing of many parts: at random, by shares.
+  /// Random order weighted by shares, like rendezvous hashing over many parts.
   std::vector<Replica*> ordered(bool bySpeed) {
     std::vector<std::uint32_t> speeds;
     for (const auto& replica : replicas_) speeds.push_back(replica.ledger.speedPercent());
@@ -269,7 +270,7 @@
 
   Rule rule_;
   Load load_;
-  /// Apart, so that each rule is given the same requests.
+  /// Separate generators, so that each rule receives the same requests.
   base::SeededRandom arrivalRandom_;
   base::SeededRandom choiceRandom_;
   base::SeededRandom slowdownRandom_;
@@ -294,7 +295,7 @@
   return sum;
 }
 
-/// The share of streams with a pause over the bound, by rule.
+/// Results by rule.
 std::vector<Outcome> compareRules(const std::string& label, const Load& load) {
   std::vector<Outcome> all;
   for (const auto rule : kRules) {
@@ -302,7 +303,7 @@
     BOOST_TEST_MESSAGE(label << ", " << nameOf(rule) << ": " << all.back().late << " of "
                              << all.back().streams << " ended of " << all.back().arrived
                              << " paused too long, " << all.back().atSlowed
-                             << " begun at the slowed replica");
+                             << " started at the slowed replica");
   }
   return all;
 }
@@ -315,27 +316,27 @@
 BOOST_AUTO_TEST_SUITE(PaceLoadTest)
 
 BOOST_AUTO_TEST_CASE(ThreeSpeedsAtHalfCapacity) {
-  const auto outcomes = compareRules("three speeds, 0.5 of the room", {});
+  const auto outcomes = compareRules("three speeds, 0.5 of capacity", {});
   BOOST_TEST(outcomes[kSpeedModelRule].failedShare() < outcomes[kBaseline].failedShare() * 0.8);
 }
 
 BOOST_AUTO_TEST_CASE(ThreeSpeedsNearCapacity) {
-  const auto outcomes = compareRules("three speeds, 0.8 of the room", {.ofCapacity = 0.8});
+  const auto outcomes = compareRules("three speeds, 0.8 of capacity", {.ofCapacity = 0.8});
   BOOST_TEST(outcomes[kSpeedModelRule].failedShare() <= outcomes[kBaseline].failedShare());
 }
 
 BOOST_AUTO_TEST_CASE(ThreeSpeedsAboveCapacity) {
-  const auto outcomes = compareRules("three speeds, 1.1 of the room", {.ofCapacity = 1.1});
+  const auto outcomes = compareRules("three speeds, 1.1 of capacity", {.ofCapacity = 1.1});
   BOOST_TEST(outcomes[kSpeedModelRule].failedShare() <= outcomes[kBaseline].failedShare() * 1.05);
 }
 
 BOOST_AUTO_TEST_CASE(EqualSpeedsCauseNoRegression) {
-  // Without slow moments nobody pauses for too long; with them some do.
+  // Without slow intervals no stream pauses for too long; with them some do.
   for (const double slowTimeShare : {0.0, 0.15}) {
     for (const double ofCapacity : {0.3, 0.5, 0.8}) {
       const auto outcomes =
-          compareRules("equal speeds, slow moments " + std::to_string(slowTimeShare) + ", " +
-                           std::to_string(ofCapacity) + " of the room",
+          compareRules("equal speeds, slow time share " + std::to_string(slowTimeShare) + ", " +
+                           std::to_string(ofCapacity) + " of capacity",
                        {.speeds = {1.0}, .ofCapacity = ofCapacity, .slowTimeShare = slowTimeShare});
       BOOST_TEST(outcomes[kSpeedModelRule].failedShare() <=
                  outcomes[kBaseline].failedShare() + 0.01);
@@ -345,14 +346,14 @@
 
 BOOST_AUTO_TEST_CASE(SlowedReplicaReceivesFewerStreams) {
   const auto outcomes =
-      compareRules("one slows by 3.5 for 6 s",
+      compareRules("one replica slower by a factor of 3.5 for 6 s",
                    {.speeds = {1.0}, .ofCapacity = 0.3, .slowTimeShare = 0, .slowed = 4});
   BOOST_TEST(outcomes[kSpeedModelRule].atSlowed < outcomes[kBaseline].atSlowed);
   BOOST_TEST(outcomes[kSpeedModelRule].failedShare() <= outcomes[kBaseline].failedShare());
 }
 
 BOOST_AUTO_TEST_CASE(TwoOfNineLedgersAreReset) {
-  const auto outcomes = compareRules("two of nine relearn at 8 s", {.resetCount = 2});
+  const auto outcomes = compareRules("two of nine ledgers reset at 8 s", {.resetCount = 2});
   BOOST_TEST(outcomes[kSpeedModelRule].failedShare() < outcomes[kBaseline].failedShare());
 }
 
--- a/tests/routing/part_lookup_test.cc
+++ b/tests/routing/part_lookup_test.cc
@@ -1,5 +1,5 @@
-// The home of a prompt's deepest shared part: what it learns and answers, and what becomes of
-// losses, deaths and restarts.
+// The home of a prompt's deepest shared part: what it records and replies, and how lookups behave
+// on message loss, node death and restarts.
 #include "routing/part_lookup.h"
 
 #include <boost/test/unit_test.hpp>
@@ -53,7 +53,7 @@
     for (std::size_t number = 0; number < kNodes; ++number) start(number);
   }
 
-  /// Starts the node, or starts it again with nothing remembered.
+  /// Starts the node, or restarts it with empty state.
   void start(std::size_t number) {
     auto ownFirst = all;
     std::swap(ownFirst.front(), ownFirst[number]);
@@ -64,7 +64,7 @@
     nodes.erase(number);
   }
 
-  /// The answer that the node gets, and after which time.
+  /// Returns the result that the node receives and stores the time that it took.
   std::vector<PartHolder> lookup(std::size_t number, std::uint64_t part, CacheScope scope = 77) {
     std::optional<std::vector<PartHolder>> result;
     const auto startedAt = time.now();
@@ -78,7 +78,7 @@
     return *result;
   }
 
-  /// The number of the node that the part has its home at, which learns the holder.
+  /// Reports the holder, and returns the number of the node that is the home of the part.
   std::size_t homeOf(std::uint64_t part) {
     nodes.begin()->second->lookup.announce(part, holder);
     time.advance(milliseconds(5));
@@ -131,7 +131,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(HoldersUnderOneScopeDoNotDisplaceThoseUnderAnother) {
-  // A part that all tenants share, held for each isolated tenant under a scope of its own.
+  // A part that all tenants share is held under a separate scope for each isolated tenant.
   constexpr std::uint64_t kScopes = 12;
   constexpr std::uint64_t kReplicas = 9;
   for (std::uint64_t replica = 0; replica < kReplicas; ++replica) {
@@ -174,7 +174,7 @@
   BOOST_TEST((elapsed == milliseconds(15)));
   BOOST_TEST(lookup(queryingNode, 9).empty());
   BOOST_TEST((elapsed == milliseconds(0)));
-  // Once its death is known another one is home, and learns from what is told next.
+  // Once its death is known another node becomes the home and is filled by the next reports.
   auto left = all;
   left.erase(left.begin() + static_cast<std::ptrdiff_t>(home));
   for (auto& [number, node] : nodes) {
@@ -204,8 +204,8 @@
   BOOST_TEST(log.count(base::Event::kMessageRejected) == 1U);
 }
 
-// A history of random notices under loss, checked: no answer names a holder that was never told for
-// this part, and every call is answered once, in time.
+// Random reports and lookups under message loss: no result names a holder that was never reported
+// for the part, and every lookup ends exactly once, in time.
 BOOST_AUTO_TEST_CASE(RepliesUnderLossAreCorrectAndInTime) {
   network.loss = 0.3;
   base::SeededRandom random{5};
--- a/tests/routing/placement_fixture.h
+++ b/tests/routing/placement_fixture.h
@@ -1,5 +1,6 @@
 /// \file
-/// Nodes that place requests at replicas, each the home of some, with a network between them.
+/// Nodes that place requests at replicas, each being the home of some of them, connected by a
+/// simulated network.
 #pragma once
 
 #include <algorithm>
@@ -54,7 +55,7 @@
     for (std::size_t number = 0; number < kNodes; ++number) start(number);
   }
 
-  /// Starts the node, or starts it again with nothing remembered.
+  /// Starts the node, or restarts it with empty state.
   void start(std::size_t number) {
     auto ownFirst = all;
     std::swap(ownFirst.front(), ownFirst[number]);
@@ -125,8 +126,8 @@
     return placed;
   }
 
-  /// Gives the replica as many requests as it takes, all from node 0; whether their answers have
-  /// begun.
+  /// Fills the replica with as many requests as it accepts, all from node 0; `responsesStarted`
+  /// states whether their responses have started.
   std::vector<PlacementGrant> fill(std::size_t replica, bool responsesStarted = true) {
     std::vector<PlacementGrant> grants;
     for (std::size_t count = 0; count < kSlots + 1; ++count) {
--- a/tests/routing/placement_queue_test.cc
+++ b/tests/routing/placement_queue_test.cc
@@ -1,5 +1,5 @@
-// Requests that wait at the homes of replicas: each is granted once, refused truly, or waits
-// elsewhere soon when its home, a node, the replica or a message is lost.
+// Requests queued at the homes of replicas: each is granted at most once, refused only if it cannot
+// be served, or soon queued elsewhere when its home, a node, the replica or a message is lost.
 #include <boost/test/unit_test.hpp>
 
 #include "routing/placement_fixture.h"
@@ -24,7 +24,7 @@
   }
 
   std::size_t home() { return homeOf(3); }
-  /// A node that is home to neither replica, nor the one whose requests fill them.
+  /// A node that is neither the home of one of the replicas nor the node whose requests fill them.
   std::size_t queryingNode() {
     for (std::size_t node = kNodes - 1; node > 0; --node)
       if (node != homeOf(3) && node != homeOf(5)) return node;
@@ -46,7 +46,7 @@
     time.advance(milliseconds(5));
   }
   std::size_t queuedAt(std::size_t node) { return nodes.at(node)->placement.counters().queuedHere; }
-  /// Requests that the replica's home counts there.
+  /// Number of requests that have been granted.
   std::size_t granted(const std::vector<Placed>& placed) {
     return static_cast<std::size_t>(
         std::ranges::count_if(placed, [](const auto& one) { return one->granted(); }));
@@ -69,7 +69,7 @@
   endOneRequest(first);
   BOOST_REQUIRE(placed->granted());
   BOOST_TEST(queuedAt(home()) == 0U);
-  // The end, and the grant.
+  // The message about the end, and the grant.
   BOOST_TEST(network.sent - sent <= 2U);
 }
 
@@ -137,7 +137,7 @@
   BOOST_TEST(queuedAt(home()) == 0U);
   endOneRequest(second);
   BOOST_TEST(placed->granted());
-  // Without another candidate the request is told that there is none.
+  // A request without another candidate gets a result without a grant.
   BOOST_REQUIRE(waiting[1]->result.has_value());
   BOOST_TEST(!waiting[1]->granted());
   BOOST_TEST(waiting[2]->granted());
@@ -155,7 +155,7 @@
   const auto before = queuedAt(home());
   BOOST_TEST(before > 50U);
   network.cut.insert(all[home()].endpoint.address);
-  // The promise, its margin, and a question with its time-out.
+  // The update interval, its margin, and a query with its time-out.
   time.advance(milliseconds(400 + 50 + 60));
   const auto open = static_cast<std::size_t>(
       std::ranges::count_if(waiting, [](const auto& one) { return !one->result; }));
@@ -176,7 +176,7 @@
   endOneRequest(first);
   BOOST_TEST(!placed->result.has_value());
   network.filter = {};
-  // Within its promise the request waits elsewhere, or is granted again.
+  // Within the update interval the request is queued elsewhere, or granted again.
   time.advance(milliseconds(500));
   const auto other = queueAt(queryingNode(), {3});
   BOOST_TEST((placed->granted() || other->granted()));
@@ -232,7 +232,8 @@
   BOOST_TEST(other->granted());
 }
 
-// The node that was home takes another one for it: what waits there asks the new home.
+// The node that was the home considers another node the home: the requests queued at the old home
+// query the new one.
 BOOST_AUTO_TEST_CASE(HomeReleasesItsQueueWhenAnotherNodeBecomesHome) {
   const auto placed = queueAt(queryingNode(), {3, 5});
   const auto old = home();
@@ -249,8 +250,8 @@
   BOOST_TEST(placed->granted());
 }
 
-// Two nodes take themselves for the home of one replica: each grants what it counts, and no request
-// is granted by both.
+// Two nodes consider themselves the home of one replica: each grants what it counts itself, and no
+// request is granted by both.
 BOOST_AUTO_TEST_CASE(TwoConcurrentHomesGrantEachRequestOnce) {
   const auto other = queryingNode();
   auto members = nodes.at(other)->members.liveMembers();
@@ -291,8 +292,8 @@
   BOOST_TEST(granted(placing) >= 1U);
 }
 
-// More is asked than two replicas serve: each request is asked for a few times in all, however long
-// it waits.
+// The load exceeds the capacity of two replicas: each request causes only a few messages in total,
+// however long it waits.
 BOOST_AUTO_TEST_CASE(ShortageCostsAtMostEightMessagesPerDispatch) {
   std::vector<std::pair<base::TimePoint, std::pair<std::size_t, PlacementGrant>>> running;
   for (auto* grants : {&first, &second})
@@ -301,7 +302,7 @@
   std::size_t dispatched = 0;
   const auto before = network.sent;
   for (int step = 0; step < 1000; ++step) {
-    // A run takes 400 ms, ten places: 25 requests a second are served, 33 asked for.
+    // A request runs for 400 ms in one of ten slots: 25 requests per second are served, 33 arrive.
     if (step % 3 == 0) {
       const auto node = network.random.below(kNodes);
       auto request = requestOf(node, {3, 5});
@@ -328,7 +329,7 @@
     });
   }
   const double each = static_cast<double>(network.sent - before) / static_cast<double>(dispatched);
-  BOOST_TEST_MESSAGE("messages a dispatch: " << each << ", dispatched " << dispatched);
+  BOOST_TEST_MESSAGE("messages per dispatch: " << each << ", dispatched " << dispatched);
   BOOST_TEST(dispatched > 200U);
   BOOST_TEST(each <= 8.0);
 }
--- a/tests/routing/placement_rate_limit_test.cc
+++ b/tests/routing/placement_rate_limit_test.cc
@@ -1,4 +1,4 @@
-// What the home of a replica with a rate limit grants, and to whom.
+// What the home of a replica with a rate limit grants, and to which requests.
 #include <boost/test/unit_test.hpp>
 
 #include "routing/placement_fixture.h"
@@ -30,7 +30,7 @@
     time.advance(milliseconds(6));
     return placed;
   }
-  /// Whether a request that does not wait is granted.
+  /// Whether a request is granted without waiting.
   bool isGrantedNow() {
     const auto placed = startPlacing(queryingNode(), requestOf(queryingNode(), {3}));
     time.advance(milliseconds(10));
@@ -68,7 +68,7 @@
   BOOST_TEST(record(homeOf(3), 3)->notices().rateLimit().perSecond().value() == 4.0);
 }
 
-// The answer of a request that was granted before the limit was heard of ends nothing.
+// The response of a request that was granted before the limit was known does not end the limit.
 BOOST_AUTO_TEST_CASE(OnlyAResponseToALaterGrantEndsTheLimitAtTheHome) {
   const auto early = place(queryingNode(), {3});
   setLimitAt(homeOf(3), 4);
@@ -130,7 +130,8 @@
 
 BOOST_AUTO_TEST_CASE(OnlyANodeThatConsidersItselfTheHomeGrants) {
   setLimitAt(homeOf(3), 5);
-  // The home knows of one more node, which would be the home, and the asker does not.
+  // The home knows one more node, which would be the home in its view; the node that sends the
+  // query does not know it.
   for (int number = 0; number < 100; ++number) {
     auto more = all;
     more.push_back(testing::makeMember("late-" + std::to_string(number), "z1"));
@@ -144,7 +145,8 @@
   BOOST_TEST(!place(queryingNode(), {3}).grant.has_value());
 }
 
-// A node that stood still reads it late: what was granted meanwhile must not arrive with it.
+// A node that was paused reads its grant late: requests granted in the meantime must not arrive
+// together with it.
 BOOST_AUTO_TEST_CASE(GrantReadTooLateIsInvalidForTheRateLimit) {
   setLimitAt(homeOf(3), 2);
   const auto given = place(queryingNode(), {3});
--- a/tests/routing/placement_test.cc
+++ b/tests/routing/placement_test.cc
@@ -1,5 +1,5 @@
-// Homes of replicas: what they grant, how a request finds a replica with room, and what becomes of
-// lost messages, dead homes and views that differ.
+// Homes of replicas: what they grant, how a request finds a replica with capacity, and the effects
+// of lost messages, dead homes and differing membership views.
 #include "routing/placement.h"
 
 #include <boost/test/unit_test.hpp>
@@ -34,8 +34,8 @@
 }
 
 BOOST_AUTO_TEST_CASE(WorkOfAllNodesIsCounted) {
-  // Each node sends one request or two; together they are as many as the replicas run, and one
-  // more that begins there as soon as another ends.
+  // Each node sends one or two requests. Together they use all slots of the replicas, plus one
+  // request per replica that starts there as soon as another one ends.
   constexpr std::size_t kMaximum = 2 * (kSlots + 1);
   std::map<std::size_t, std::size_t> placed;
   std::vector<std::pair<std::size_t, PlacementGrant>> grants;
@@ -77,7 +77,7 @@
   const auto result = place(2, {3, 5});
   BOOST_TEST(result.candidate.value() == 1U);
   BOOST_TEST((result.wait > milliseconds(40)));
-  // It is counted at its home, too.
+  // The home counts the request, too.
   BOOST_TEST((place(2, {5}).wait > result.wait));
 }
 
@@ -130,7 +130,7 @@
   time.advance(milliseconds(5));
   for (std::size_t node = 0; node < 3; ++node)
     BOOST_TEST(place(node, {3, 5 + node}).candidate.value_or(9) == 1U);
-  // Then one request at a time tries it for the whole fleet.
+  // Afterwards one request at a time probes it for the whole fleet.
   time.advance(seconds(1));
   const auto probe = place(1, {3});
   BOOST_TEST(probe.candidate.has_value());
@@ -168,8 +168,8 @@
   BOOST_TEST(place(1, {3}).candidate.has_value());
 }
 
-// A history of random requests under loss: none stays without an answer, no two answers come, and
-// when all have ended and losses have lapsed, every replica is free again.
+// Random requests under message loss: each gets exactly one result, and when all have ended and
+// lost grants have expired, every replica is free again.
 BOOST_AUTO_TEST_CASE(EveryQueryEndsOnceUnderLossAndNoGrantRemains) {
   network.loss = 0.2;
   std::size_t started = 0;
@@ -237,7 +237,7 @@
   BOOST_TEST((again.acceptableWait == query.acceptableWait));
   BOOST_TEST((again.terms == query.terms));
   BOOST_TEST(!decodePlacementMessage("").has_value());
-  // An end without its outcome, and one with an outcome that is none.
+  // An end message without its outcome, and one with an invalid outcome.
   BOOST_TEST(!decodePlacementMessage("\x94\x08\x01\x02\x09").has_value());
   BOOST_TEST(!decodePlacementMessage("\x98\x08\x01\x02\x09\x00\x00\x00\x00").has_value());
   nodes[0]->placement.onPeerMessage({}, "nonsense");
@@ -270,7 +270,8 @@
   BOOST_TEST((std::get<PlacementEnded>(*decodedEnded).observed == ended.observed));
 }
 
-// The table service is silent: one node alone has heard the replica say that it leaves.
+// The table service is unresponsive: only one node has received the replica's notice that it is
+// leaving.
 BOOST_AUTO_TEST_CASE(HomeInformsAllQueryingNodesThatAReplicaIsLeaving) {
   constexpr std::size_t kReplica = 3;
   const auto home = homeOf(kReplica);
--- a/tests/routing/rate_pacer_test.cc
+++ b/tests/routing/rate_pacer_test.cc
@@ -1,4 +1,4 @@
-// How many requests a replica's home lets pass by the rate that the replica names.
+// Number of requests that a replica's home lets pass for the rate that the replica reports.
 #include "routing/rate_pacer.h"
 
 #include <algorithm>
@@ -15,7 +15,7 @@
 namespace {
 
 struct PacerFixture {
-  /// Requests come each few milliseconds, and go where they may.
+  /// Requests arrive every few milliseconds and pass when they may.
   std::size_t pass(base::Duration span) {
     std::size_t count = 0;
     for (const auto end = now + span; now < end; now += milliseconds(5)) {
@@ -69,7 +69,7 @@
   pacer.setRate(20, now);
   pass(seconds(1));
   now += seconds(10);
-  // A quarter of a second of the rate, one request, and one for the time that passes.
+  // A quarter of a second's worth of the rate, one request, and one for the time that passes.
   BOOST_TEST(pass(milliseconds(50)) <= 7U);
 }
 
--- a/tests/routing/replica_crash_detector_test.cc
+++ b/tests/routing/replica_crash_detector_test.cc
@@ -1,4 +1,4 @@
-// Whether runs broke off because their replica ended.
+// Detection of requests that were lost because their replica ended.
 #include "routing/replica_crash_detector.h"
 
 #include <boost/test/unit_test.hpp>
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// Answers with what the test says, the last answer over and over.
+/// Reports the scripted results in order, repeating the last one.
 class ScriptedReachability final : public clients::ReachabilityClient {
  public:
   explicit ScriptedReachability(base::TimerService& timers) : timers_(timers) {}
@@ -84,8 +84,8 @@
   BOOST_TEST(log.count(base::Event::kReplicaOutlivedRuns) == 1U);
 }
 
-// A replica that starts again at once accepts connections, and its entry shows the restart up to a
-// second later. The runs that it took with it counted as outlived.
+// A replica that restarts at once accepts connections, and its entry shows the restart up to a
+// second later. Guards against treating the requests that were lost with it as outlived.
 BOOST_AUTO_TEST_CASE(ReplicaThatRestartsAtOnceHasEnded) {
   interrupt(1);
   time.advance(seconds(1));
@@ -102,7 +102,8 @@
   BOOST_TEST(reachability.connections == 0);
 }
 
-// An entry of the former run that was stored late names it once more; the next one is listed again.
+// An entry of the former instance that was stored late names that instance once more, so that the
+// current one appears to have ended; then the current one is listed again.
 BOOST_AUTO_TEST_CASE(InstanceThatIsListedAgainHasNotEnded) {
   detector.onRestarted("replica");
   detector.onListed("replica");
--- a/tests/routing/replica_health_test.cc
+++ b/tests/routing/replica_health_test.cc
@@ -94,8 +94,8 @@
   BOOST_TEST(!health.available(kStart + milliseconds(5600)));
 }
 
-// It got one request each half second, and was passed over for a second whenever one of them
-// waited.
+// A replica that received one request per half second must not be skipped for a second whenever one
+// of its requests waits.
 BOOST_AUTO_TEST_CASE(RateLimitedReplicaCountsAsUnresponsiveLater) {
   ReplicaHealth health;
   health.setInterval(milliseconds(500));
--- a/tests/routing/replica_ledger_test.cc
+++ b/tests/routing/replica_ledger_test.cc
@@ -1,4 +1,4 @@
-// What the home of a replica expects of its pauses from the work and the streams that it counted.
+// Pauses that the home of a replica expects from the work and the streams that it has recorded.
 #include "routing/replica_ledger.h"
 
 #include <boost/test/unit_test.hpp>
@@ -34,7 +34,7 @@
     ledger.end({id, {}, PlacementOutcome::kServed, {kPauses, pause * kPauses, pause, {}}},
                base::nodeIdOf(from), 0, now);
   }
-  /// Streams of such pauses ran there, one after the other.
+  /// Runs streams with this pause at the replica, one after the other.
   void observeStreams(base::Duration pause) {
     for (int count = 0; count < 20; ++count) {
       const auto id = begin(kShortPrompt, bounded());
@@ -89,7 +89,7 @@
   const auto speed = ledger.speedPercent();
   for (int count = 0; count < 50; ++count) end(1'000'000 + count, seconds(2));
   BOOST_TEST(ledger.speedPercent() == speed);
-  // Ends never came: the grants lapse, and new streams are measured as before.
+  // The end messages never arrived: the grants expire, and new streams are measured as before.
   for (int count = 0; count < 10; ++count) begin(kShortPrompt, bounded());
   now += seconds(20);
   BOOST_TEST((ledger.load(now).requests == 0));
--- a/tests/routing/replica_selector_test.cc
+++ b/tests/routing/replica_selector_test.cc
@@ -1,4 +1,5 @@
-// Where a request goes: its home, who may not be chosen, and what is fetched from whom.
+// Selection of the replica for a request: its home replica, replicas that are ruled out, and the
+// source of cached parts.
 #include "routing/replica_selector.h"
 
 #include <boost/test/unit_test.hpp>
@@ -48,7 +49,7 @@
     holders.addChain(base::engineIdOf(name), cacheScope(cacheSalt(version, ""), "m"), chain);
   }
 
-  /// The other one of two nodes has this under way at the replica, and nothing else.
+  /// Reports that the other of two nodes has this load at the replica and none elsewhere.
   void reportLoad(const std::string& name, ReplicaLoad load) {
     fleet.onUpdate(base::nodeIdOf("other"), 1, ++updateNumber, {{base::engineIdOf(name), load}},
                    now);
@@ -78,13 +79,14 @@
   BOOST_TEST((choose().replica == home));
 }
 
-// An order that is carried out late may bring a replica back to an older version. A node that had
-// seen the newer one expected it for good, and all its requests there were refused.
+// An order that is carried out late may bring a replica back to an older version. Guards against
+// nodes that have seen the newer version expecting it for good, so that the replica refuses all
+// their requests.
 BOOST_AUTO_TEST_CASE(VersionRevokedByTheListIsAccepted) {
   const auto replica = choose().replica;
   const auto name = replica->facts().instance;
   replica->recordVersion("m", 3);
-  // The list lags behind answers: what it never said it does not take back.
+  // The list lags behind responses: it does not revoke a version that it has never reported.
   add(name, 2);
   BOOST_TEST(replica->versionOf("m") == 3U);
   add(name, 3);
@@ -129,8 +131,9 @@
 }
 
 BOOST_AUTO_TEST_CASE(ReplicasOfAllVersionsShareThePartsAndTheNewestGetsMore) {
-  // What is cached under an older version draws nothing there: that would leave the replicas of the
-  // newer one idle and cold until the older is forbidden.
+  // Parts cached under an older version must not attract requests to its replicas: the replicas
+  // with the newer version would then stay idle and their caches cold until the older version is
+  // forbidden.
   add("r5", 2);
   constexpr int kParts = 400;
   std::map<base::WeightsVersion, int> homes;
@@ -141,7 +144,7 @@
     BOOST_TEST(decision.rank == 0U);
     ++homes[decision.version];
   }
-  // One replica in five, of twice the weight: a third of the parts.
+  // One replica in five, with twice the weight: a third of the parts.
   BOOST_TEST(homes[2] > kParts / 4);
   BOOST_TEST(homes[2] < kParts * 2 / 5);
   BOOST_TEST(homes[1] + homes[2] == kParts);
@@ -168,7 +171,7 @@
   auto homesOfShortPrompts = homes("300");
   BOOST_TEST(homesOfShortPrompts["r1"] > kParts / 6);
   BOOST_TEST(homesOfShortPrompts["r4"] < kParts / 3);
-  // Speeds that hardly differ move no part, nor do those of too few replicas.
+  // Speeds that hardly differ do not move any part, nor do the speeds of too few replicas.
   replicas.find("r1")->recordSpeed(95);
   replicas.find("r4")->recordSpeed(120);
   BOOST_TEST((homes("900") == homesWithUnknownSpeeds));
@@ -267,7 +270,7 @@
   now += milliseconds(200);
   BOOST_TEST((choose().replica != first));
   BOOST_TEST((choose().replica != nullptr));
-  // Shorter waits are believed slowly.
+  // The estimate follows shorter waits slowly.
   for (int count = 0; count < 40; ++count) first->recordWait(milliseconds(20));
   BOOST_TEST((choose().replica == first));
 }
@@ -333,7 +336,7 @@
 
 BOOST_AUTO_TEST_CASE(QueueTimeIsEstimatedFromTheFastestResponses) {
   const auto first = choose().replica;
-  // Answers that came late say more of the queue than of the reading.
+  // Late responses depend more on the queue than on the prefill.
   for (int count = 0; count < 20; ++count) first->prefillSpeed().learn(1000, milliseconds(900));
   first->prefillSpeed().learn(1000, milliseconds(20));
   first->prefillSpeed().learn(1000, milliseconds(900));
@@ -390,7 +393,7 @@
   BOOST_TEST((decision.fetchFrom->endpoint == base::Endpoint{9, 9}));
   BOOST_TEST((decision.saveTo == base::Endpoint{9, 9}));
   BOOST_TEST(decision.fetchFrom->tokens == 0U);
-  // A holder that is known goes first.
+  // A known holder is preferred.
   const auto home = decision.replica->facts().instance;
   addHolder(home == "r1" ? "r2" : "r1", 1);
   decision = choose();
--- a/tests/routing/replica_speed_model_test.cc
+++ b/tests/routing/replica_speed_model_test.cc
@@ -1,4 +1,4 @@
-// What is learned of a replica's speed from the streams that nodes saw, and what is not believed.
+// What the model derives from the streams that nodes observed, and which observations it ignores.
 #include "routing/replica_speed_model.h"
 
 #include <boost/test/unit_test.hpp>
@@ -18,7 +18,7 @@
 constexpr StreamLoad kNoPrefill{1, 0, 0};
 
 struct SpeedModelFixture {
-  /// A stream whose pauses are all alike, seen by the next of ten nodes.
+  /// Adds a stream whose pauses are all equal, observed by the next of ten nodes.
   void addStream(base::Duration pause, const StreamLoad& load = kNoPrefill) {
     addStreamFrom(number++ % 10, pause, load);
   }
@@ -51,7 +51,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(SpeedIsIndependentOfConcurrentPrefill) {
-  // 50 ms for the steps of a piece, 40 us for each token that is read beside it.
+  // 50 ms for the decoding steps of a chunk, 40 us for each token that is prefilled concurrently.
   for (int count = 0; count < 60; ++count) {
     const auto tokens = static_cast<std::uint64_t>(count % 5) * 200;
     addStream(milliseconds(50) + std::chrono::microseconds(40) * tokens,
@@ -107,7 +107,8 @@
       model.addObservation(observation, kNoPrefill, base::nodeIdOf(std::to_string(count)), now);
   BOOST_TEST((expected() == before));
   BOOST_TEST(model.speed().value() == speed);
-  // Counts that cannot be, in a stream that could: bounded, not refused.
+  // Impossible counts in an otherwise plausible stream: their influence is bounded, but the stream
+  // is not ignored.
   model.addObservation({maximum, seconds(60), milliseconds(30), {}}, kNoPrefill,
                        base::nodeIdOf("a"), now);
   model.addObservation({kPauses, seconds(1), milliseconds(30), {}},
@@ -138,7 +139,8 @@
   addStream(milliseconds(105));
   BOOST_TEST(model.slow(now));
   BOOST_TEST((expected() > usual * 2));
-  // Nothing is sent there: it counts as well again after a while, so that one stream goes there.
+  // No requests are sent to the slow replica: after a while it no longer counts as slow, so that
+  // one stream is sent there.
   now += seconds(4);
   BOOST_TEST(!model.slow(now));
   addStream(milliseconds(105));
@@ -151,7 +153,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(ShortSlowIntervalsDoNotToggleTheState) {
-  // One stream in seven is slower by 2.5; the state may not change with each.
+  // One stream in seven is slower by a factor of 2.5; the state must not change with each of them.
   int changes = 0;
   bool before = false;
   for (int count = 0; count < 700; ++count) {
--- a/tests/routing/request_durations_test.cc
+++ b/tests/routing/request_durations_test.cc
@@ -1,4 +1,4 @@
-// Which requests are expected to run long, and how many replicas they fill.
+// Which requests are expected to be long-running, and how many replicas they fill.
 #include "routing/request_durations.h"
 
 #include <boost/test/unit_test.hpp>
@@ -12,7 +12,7 @@
 
 constexpr base::TimePoint kStart{seconds(100)};
 
-/// Runs of 5 ms a token.
+/// Requests that take 5 ms per token.
 RequestDurations trainedDurations() {
   RequestDurations times;
   for (const std::uint32_t tokens : {10U, 400U, 40U, 100U, 300U, 20U})
@@ -43,13 +43,13 @@
 BOOST_AUTO_TEST_CASE(ReplicaCountFollowsFromLoadOfAllNodesAndSlots) {
   auto times = trainedDurations();
   BOOST_TEST(times.replicasForLongRuns("llm", 10, 5, kStart) == 1U);
-  // For 20 s, ten runs of 2 s begin each second: twenty are under way.
+  // For 20 s, ten requests of 2 s each start per second: twenty are in flight.
   auto now = kStart;
   for (int run = 0; run < 200; ++run) {
     now += milliseconds(100);
     times.onLongRun("llm", 400, now);
   }
-  // On 5 nodes 100, at 0.4 of 10 slots each.
+  // On 5 nodes 100 are in flight, at 0.4 of 10 slots per replica.
   const auto replicas = times.replicasForLongRuns("llm", 10, 5, now);
   BOOST_TEST(replicas >= 22U);
   BOOST_TEST(replicas <= 27U);
--- a/tests/routing/service_model_test.cc
+++ b/tests/routing/service_model_test.cc
@@ -64,7 +64,7 @@
   BOOST_TEST(queue.tokensAhead(PriorityClass::kBackground, kStart + 300ms) == 200U);
   BOOST_TEST(queue.tokensAhead(PriorityClass::kInteractive, kStart + 300ms) == 0U);
   queue.onDispatched(PriorityClass::kInteractive, 300, kStart + 600ms);
-  // The first 500 tokens were done after 500 ms; then the engine was idle for 100 ms.
+  // The first 500 tokens were finished after 500 ms; then the engine was idle for 100 ms.
   BOOST_TEST(queue.tokensAhead(PriorityClass::kInteractive, kStart + 700ms) == 200U);
   BOOST_TEST(queue.tokensAhead(PriorityClass::kUrgent, kStart + 700ms) == 0U);
   BOOST_TEST(queue.requests() == 2U);
@@ -86,7 +86,7 @@
   load.queuedPrefillTokens = {900, 0, 0, 0};
   queue.onReport(load, kStart + 600ms);
   BOOST_TEST(queue.tokensAhead(PriorityClass::kUrgent, kStart + 600ms) == 900U);
-  // All is replayed, but three requests still wait, for memory.
+  // The replay is complete, but three requests still wait for memory.
   load.queuedPrefillTokens = {30'000, 0, 0, 0};
   queue.onReport(load, kStart + 5s);
   BOOST_TEST(queue.tokensAhead(PriorityClass::kUrgent, kStart + 5s) == 1200U);
--- a/tests/routing/staged_lookup_test.cc
+++ b/tests/routing/staged_lookup_test.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Answers from a script and remembers what it was asked.
+/// Returns scripted results and records the queries.
 class FakeLookup final : public CacheLookup {
  public:
   void lookup(base::PriorityClass /*priority*/, const std::vector<base::EngineId>& engines,
@@ -33,7 +33,7 @@
   std::uint64_t announced = 0;
 };
 
-/// Engines 1, 2, 3 of regions "west", "east", "east".
+/// Engines 1, 2, 3 in the regions "west", "east", "east".
 class FakeFleet final : public FleetView {
  public:
   FakeFleet() {
