--- a/src/routing/instance_rate_limit.cc
+++ b/src/routing/instance_rate_limit.cc
@@ -7,13 +7,13 @@
 
 namespace {
 
-/// A message between nodes is taken to be under way for at most this.
-constexpr base::Duration kLongestDelivery = std::chrono::milliseconds(200);
+/// Assumed maximum delivery time of a message between nodes.
+constexpr base::Duration kMaximumDelivery = std::chrono::milliseconds(200);
 
 }  // namespace
 
 RateLimitEvidence evidenceOf(const KnownRateLimit& known, base::TimePoint now) {
-  return {known.notice, now - known.age - kLongestDelivery, now - known.age};
+  return {known.notice, now - known.age - kMaximumDelivery, now - known.age};
 }
 
 KnownRateLimit InstanceRateLimit::known(base::TimePoint now) const {
@@ -23,7 +23,7 @@
   return {notice, now - asOf_};
 }
 
-bool InstanceRateLimit::isBelow(const clients::RateLimitNotice& notice) const {
+bool InstanceRateLimit::isLowerThan(const clients::RateLimitNotice& notice) const {
   return perSecond_ && (!notice.limited() || *perSecond_ < notice.perSecond);
 }
 
@@ -35,8 +35,8 @@
   const auto& notice = evidence.notice;
   if (notice.kind == clients::RateLimitNotice::Kind::kNothing) return false;
   const bool same = equals(notice);
-  // What ends or raises a limit must be younger than all that named it.
-  if (!same && (isBelow(notice) ? evidence.from : evidence.to) <= asOf_) return false;
+  // Evidence that ends or raises a limit must be more recent than all evidence that confirmed it.
+  if (!same && (isLowerThan(notice) ? evidence.from : evidence.to) <= asOf_) return false;
   asOf_ = std::max(asOf_, notice.limited() ? evidence.to : evidence.from);
   if (same) return false;
   everLimited_ = true;
@@ -44,6 +44,6 @@
   return true;
 }
 
-bool InstanceRateLimit::noteUnreadable() { return !std::exchange(unreadableNoted_, true); }
+bool InstanceRateLimit::recordUnreadable() { return !std::exchange(unreadableRecorded_, true); }
 
 }  // namespace covewing::routing
