--- a/src/node/explain_json.cc
+++ b/src/node/explain_json.cc
@@ -59,7 +59,7 @@
                {"chosen", decision.chosen},
                {"matched_blocks", decision.matchedBlocks},
                {"import_blocks", decision.importBlocks},
-               {"expected_first_token_ms", base::toMilliseconds(decision.expectedFirstToken)},
+               {"expected_first_token_ms", base::toMilliseconds(decision.expectedTimeToFirstToken)},
                {"candidates", Json::array()}};
   for (const routing::RouteCandidate& candidate : decision.candidates) {
     json["candidates"].push_back(candidateJson(candidate));
--- a/src/request/completion_flow.cc
+++ b/src/request/completion_flow.cc
@@ -319,7 +319,7 @@
   routed.policy = dependencies().policy.name();
   routed.matchedBlocks = decision.matchedBlocks;
   routed.importBlocks = decision.importBlocks;
-  routed.expectedFirstToken = decision.expectedTimeToFirstToken;
+  routed.expectedTimeToFirstToken = decision.expectedTimeToFirstToken;
   const std::size_t kept = std::min(decision.candidates.size(), RequestTrace::kMaximumCandidates);
   routed.candidates.assign(decision.candidates.begin(),
                            decision.candidates.begin() + static_cast<std::ptrdiff_t>(kept));
--- a/src/request/relay_flow.cc
+++ b/src/request/relay_flow.cc
@@ -38,7 +38,7 @@
   dependencies_.timers.cancel(startDeadlineTimer_);
   dependencies_.placement.cancel(placementTicket_);
   if (attempt_) endAttempt();
-  allowance_.end(runs_);
+  allowance_.end(executions_);
 }
 
 void RelayFlow::start() {
@@ -137,7 +137,7 @@
   auto refusal = quarantineRefusal();
   if (!refusal) refusal = hooks_.check(incoming_);
   const bool promises = refusal && promisesNotRun(refusal->status);
-  if (!promises || runs_ == 0) return refusal;
+  if (!promises || executions_ == 0) return refusal;
   // An attempt may have been executed. If the refusal promised otherwise, the caller could conclude
   // that a change was not made.
   constexpr auto kCode = base::ResultCode::kBackEndLost;
@@ -169,7 +169,7 @@
 void RelayFlow::choose() {
   if (ended_ || !verifyDispatchAllowed()) return;
   const auto now = dependencies_.clock.now();
-  auto decision = dependencies_.choice.choose(query(), hooks_.nodes(), now);
+  auto decision = dependencies_.replicaSelector.choose(query(), hooks_.nodes(), now);
   if (shouldLookUpHolders(decision)) {
     lookUpHolders(decision.scope);
   } else if (!decision.preferenceOrder.empty() && now >= nextPlacementAt_) {
@@ -190,8 +190,8 @@
     hold(decision.reason, skipped ? options_.placementRetryInterval : options_.holdRetryInterval);
     return;
   }
-  const auto candidate = dependencies_.choice.candidateOf(query(), decision.replica, promptTokens(),
-                                                          decision.heldTokens());
+  const auto candidate = dependencies_.replicaSelector.candidateOf(
+      query(), decision.replica, promptTokens(), decision.heldTokens());
   const auto grant =
       dependencies_.placement.dispatchUngranted(candidate, assignment_.route->gapTarget);
   dispatch(std::move(decision), grant);
@@ -235,7 +235,7 @@
 void RelayFlow::refuseUnplaced(std::string_view why, base::Duration retryAfter) {
   if (headDelivered_) {
     abortStream(why);
-  } else if (runs_ > 0) {
+  } else if (executions_ > 0) {
     refuse(base::ResultCode::kBackEndLost, std::string{why}, {});
   } else {
     refuse(base::ResultCode::kNoBackEnd, std::string{why}, retryAfter);
--- a/src/request/relay_flow.h
+++ b/src/request/relay_flow.h
@@ -127,8 +127,8 @@
   clients::RelayClient& client;
   routing::ReplicaDirectory& replicas;
   routing::PrefixHolders& holders;
-  routing::ReplicaSelector& choice;
-  routing::ReplicaCrashDetector& replicaEnds;
+  routing::ReplicaSelector& replicaSelector;
+  routing::ReplicaCrashDetector& replicaCrashDetector;
   routing::PartLookup& parts;
   routing::Placement& placement;
   admission::RetryWindows& retries;
@@ -379,7 +379,7 @@
   std::vector<std::string> excluded_;
   std::uint32_t dispatches_ = 0;
   /// Number of attempts that may have been executed by a replica.
-  std::uint32_t runs_ = 0;
+  std::uint32_t executions_ = 0;
   std::uint32_t refusals_ = 0;
   /// Holders have been looked up for this request.
   bool holdersLookedUp_ = false;
--- a/src/request/relay_flow_answer.cc
+++ b/src/request/relay_flow_answer.cc
@@ -55,7 +55,7 @@
   // At the time of the dispatch the deadline may have been unknown, or later than it is now.
   auto& decision = attempt_->decision;
   decision.startDeadline =
-      dependencies_.choice.startDeadline(incoming_.prompt->model, decision.version);
+      dependencies_.replicaSelector.startDeadline(incoming_.prompt->model, decision.version);
   // If the deadline has passed already, the timer fires in the next turn of the event loop. So
   // responses that have arrived in the meantime are processed first, and no request is retried
   // inside the call that changed the deadline.
@@ -103,7 +103,7 @@
   recordNotices(response);
   endProbe(!wasNotRun(response));
   if (!wasNotRun(response)) {
-    ++runs_;
+    ++executions_;
     dependencies_.placement.reportStarted(attempt_->grant, response.rateLimit);
   }
   if (!headDelivered_) bufferedBody_.clear();
@@ -147,7 +147,7 @@
   if (resumable() && headDelivered_ && !stream) return;
   if (stream && !attempt.bodyReceived) {
     recordReplicaAsHolder();
-    attempt.decision.replica->prefillSpeed().learn(attempt.prefillTokens, now - attempt.sentAt);
+    attempt.decision.replica->prefillSpeed().record(attempt.prefillTokens, now - attempt.sentAt);
     attempt.decision.replica->recordWait(now - attempt.sentAt);
   }
   if (stream) attempt.watch.onChunk(now);
@@ -216,7 +216,8 @@
     return;
   }
   if (events_.hasIncomplete()) {
-    dependencies_.replicaEnds.onRequestInterrupted(attempt_->decision.replica, fingerprint_);
+    dependencies_.replicaCrashDetector.onRequestInterrupted(attempt_->decision.replica,
+                                                            fingerprint_);
     onAttemptLost(RetryCause::kLost, "the stream ended inside an event");
     return;
   }
@@ -268,7 +269,7 @@
     onNotRun(*attempt_->response);
     return;
   }
-  dependencies_.replicaEnds.onRequestInterrupted(attempt_->decision.replica, fingerprint_);
+  dependencies_.replicaCrashDetector.onRequestInterrupted(attempt_->decision.replica, fingerprint_);
   onAttemptLost(RetryCause::kLost, error.reason.detail);
 }
 
--- a/src/request/relay_flow_dispatch.cc
+++ b/src/request/relay_flow_dispatch.cc
@@ -76,7 +76,7 @@
   heldFor_ = now - incoming_.arrivedAt;
   lastReplica_ = record.facts().instance;
   lastStream_ = {};
-  allowance_.onDispatch(runs_);
+  allowance_.onDispatch(executions_);
   countTokens(decision);
   logDispatch(decision, grant, terms);
   const auto endpoint = record.facts().endpoint;
--- a/src/request/relay_flow_end.cc
+++ b/src/request/relay_flow_end.cc
@@ -24,7 +24,7 @@
   const auto self = shared_from_this();
   if (headDelivered_) {
     abortStream("the time of the request is up");
-  } else if (attempt_ || runs_ > 0) {
+  } else if (attempt_ || executions_ > 0) {
     refuse(base::ResultCode::kBackEndTimeout, "the time of the request is up", {});
   } else {
     refuse(base::ResultCode::kDeadlineUnreachable, "no replica in time",
@@ -51,7 +51,7 @@
        {"code", std::to_string(static_cast<unsigned>(refusal.reason.code))},
        {"status", std::to_string(refusal.status)},
        {"why", refusal.reason.detail},
-       {"runs", std::to_string(runs_)},
+       {"runs", std::to_string(executions_)},
        {"dispatches", std::to_string(dispatches_)},
        {"tenant", tenantName()},
        {"urgency", std::to_string(urgency())},
@@ -67,7 +67,7 @@
   dependencies_.log.write(base::Event::kStreamBroken, {{"request", incoming_.request->id},
                                                        {"route", assignment_.route->name},
                                                        {"why", std::string{why}},
-                                                       {"runs", std::to_string(runs_)},
+                                                       {"runs", std::to_string(executions_)},
                                                        {"tenant", tenantName()},
                                                        {"urgency", std::to_string(urgency())},
                                                        {"replica", lastReplica_},
@@ -103,7 +103,7 @@
   const bool running = attempt_ && !(attempt_->response && wasNotRun(*attempt_->response));
   dependencies_.placement.cancel(placementTicket_);
   endAttempt();
-  allowance_.end(runs_ + (running ? 1 : 0));
+  allowance_.end(executions_ + (running ? 1 : 0));
   dependencies_.timers.cancel(deadlineTimer_);
   dependencies_.timers.cancel(holdTimer_);
   const auto outcome = outcomeOf(status, code, callerDisconnected);
--- a/src/request/relay_flow_parts.cc
+++ b/src/request/relay_flow_parts.cc
@@ -97,7 +97,7 @@
   }
   request.constraints = placementConstraints();
   for (const auto& replica : decision.preferenceOrder) {
-    request.candidates.push_back(dependencies_.choice.candidateOf(
+    request.candidates.push_back(dependencies_.replicaSelector.candidateOf(
         replicaQuery, replica, request.promptTokens, decision.heldTokens()));
     auto& candidate = request.candidates.back();
     candidate.prefillTime = replica->prefillSpeed().time(candidate.work.prefillTokens);
@@ -130,7 +130,7 @@
   constraints.arrivedAt = incoming_.arrivedAt;
   constraints.softStartDeadline = incoming_.arrivedAt + route.targetLatency;
   constraints.hardStartDeadline = hardStartDeadline_;
-  constraints.longestPause = route.gapTarget;
+  constraints.maximumPause = route.gapTarget;
   constraints.outputTokens = expectedOutputTokens();
   if (headDelivered_) {
     // A resumed stream is late already, because its caller is waiting for the next event.
@@ -178,8 +178,8 @@
     release();
     return;
   }
-  auto decision = dependencies_.choice.decide(query(), candidates[*result.candidate],
-                                              result.matchedTokens, now);
+  auto decision = dependencies_.replicaSelector.decide(query(), candidates[*result.candidate],
+                                                       result.matchedTokens, now);
   if (!decision) {
     // The replica began to leave or to change its weights while its home node was queried.
     release();
--- a/src/request/relay_flow_retries.cc
+++ b/src/request/relay_flow_retries.cc
@@ -15,10 +15,10 @@
   if (ended_ || !attempt_ || othersAreRateLimited()) return;
   const auto self = shared_from_this();
   const bool counted = attempt_->response.has_value();
-  if (!counted) ++runs_;
+  if (!counted) ++executions_;
   if (!reserveRetry(FailureKind::kMayHaveRun).empty()) {
     // Without a possible retry it is better to keep waiting than to end the request.
-    if (!counted) --runs_;
+    if (!counted) --executions_;
     return;
   }
   auto& record = *attempt_->decision.replica;
@@ -32,7 +32,7 @@
 bool RelayFlow::othersAreRateLimited() {
   auto others = query();
   others.excluded.push_back(attempt_->decision.replica->facts().instance);
-  return dependencies_.choice.allRateLimited(others, dependencies_.clock.now());
+  return dependencies_.replicaSelector.allRateLimited(others, dependencies_.clock.now());
 }
 
 void RelayFlow::onStartDeadline() {
@@ -97,7 +97,7 @@
   }
   if (headDelivered_) {
     abortStream("no replica resumed the stream");
-  } else if (runs_ > 0) {
+  } else if (executions_ > 0) {
     refuse(base::ResultCode::kBackEndLost, "the replicas refused another attempt", {});
   } else {
     refuse(base::ResultCode::kBackEndRefused,
@@ -107,7 +107,7 @@
 
 void RelayFlow::onAttemptLost(RetryCause cause, std::string_view why) {
   const auto self = shared_from_this();
-  if (!attempt_->response) ++runs_;
+  if (!attempt_->response) ++executions_;
   if (retryOnAnotherReplica(cause, why, FailureKind::kMayHaveRun)) return;
   if (headDelivered_) {
     abortStream(why);
@@ -121,7 +121,7 @@
   const bool plainResponseStarted = headDelivered_ && !resumable();
   if (plainResponseStarted || (kind == FailureKind::kMayHaveRun && !route.repeatable()))
     return "not repeatable";
-  const bool mayRunAgain = runs_ == 0 || (route.repeatable() && runs_ < route.attempts);
+  const bool mayRunAgain = executions_ == 0 || (route.repeatable() && executions_ < route.attempts);
   if (!mayRunAgain || refusals_ > options_.maximumRefusals) return "attempts used up";
   if (timeLeft() < kMinimumAttemptTime) return "no time left";
   if (kind == FailureKind::kNeverArrived) {
@@ -159,7 +159,7 @@
        {"retries_sent", std::to_string(use.sent)},
        {"retries_reserved", std::to_string(use.reserved)},
        {"retries_allowed", std::to_string(static_cast<std::uint32_t>(use.allowed))},
-       {"runs", std::to_string(runs_)},
+       {"runs", std::to_string(executions_)},
        {"last_event", events_.lastEventId()},
        {"left_ms", millisecondsText(timeLeft())},
        {"not_retried", std::string{notRetried}}});
--- a/src/request/request_trace.h
+++ b/src/request/request_trace.h
@@ -44,7 +44,7 @@
   std::string chosen;
   std::uint32_t matchedBlocks = 0;
   std::uint32_t importBlocks = 0;
-  base::Duration expectedFirstToken{};
+  base::Duration expectedTimeToFirstToken{};
   /// The best candidates, at most RequestTrace::kMaximumCandidates.
   std::vector<routing::RouteCandidate> candidates;
   base::Reason reason;
--- a/src/request/tenant_allowance.cc
+++ b/src/request/tenant_allowance.cc
@@ -39,17 +39,17 @@
   });
 }
 
-void TenantAllowance::onDispatch(std::uint32_t runs) {
-  if (state_ != State::kGranted || runs < chargedAttempts_) return;
+void TenantAllowance::onDispatch(std::uint32_t executions) {
+  if (state_ != State::kGranted || executions < chargedAttempts_) return;
   ++chargedAttempts_;
   quotas_.charge(demand_->tenant, demand_->tokens);
 }
 
-void TenantAllowance::end(std::uint32_t runs) {
+void TenantAllowance::end(std::uint32_t executions) {
   const State before = std::exchange(state_, State::kEnded);
   if (before == State::kPending) quotas_.cancel(waitId_, demand_->tenant);
   if (before != State::kGranted) return;
-  const auto unused = chargedAttempts_ - std::min(chargedAttempts_, runs);
+  const auto unused = chargedAttempts_ - std::min(chargedAttempts_, executions);
   quotas_.release(demand_->tenant, unused * demand_->tokens);
 }
 
--- a/src/request/tenant_allowance.h
+++ b/src/request/tenant_allowance.h
@@ -23,12 +23,12 @@
 
   /// Acquires the quota. Calls `onVerdict` once, immediately or later, but not after `end`.
   void acquire(admission::TenantQuotas::Callback onVerdict);
-  /// Called when the request is sent to a replica. `runs` is the number of earlier attempts that
-  /// may have been executed.
-  void onDispatch(std::uint32_t runs);
-  /// Called when the request has ended. `runs` is the number of attempts that may have been
+  /// Called when the request is sent to a replica. `executions` is the number of earlier attempts
+  /// that may have been executed.
+  void onDispatch(std::uint32_t executions);
+  /// Called when the request has ended. `executions` is the number of attempts that may have been
   /// executed.
-  void end(std::uint32_t runs);
+  void end(std::uint32_t executions);
 
  private:
   enum class State : std::uint8_t { kNew, kPending, kGranted, kEnded };
--- a/src/routing/fleet_load.h
+++ b/src/routing/fleet_load.h
@@ -17,7 +17,7 @@
 
 /// Load updates at longer intervals than this are out of date on arrival, since requests run for a
 /// few hundred milliseconds.
-inline constexpr base::Duration kLongestUsefulLoadInterval = std::chrono::milliseconds(250);
+inline constexpr base::Duration kMaximumUsefulLoadInterval = std::chrono::milliseconds(250);
 
 /// Load in progress at one replica.
 struct ReplicaLoad {
--- a/src/routing/load_exchange.cc
+++ b/src/routing/load_exchange.cc
@@ -18,7 +18,7 @@
 void LoadExchange::tick() {
   const auto delay = interval();
   environment_.fleet.setInterval(delay);
-  if (delay <= kLongestUsefulLoadInterval) sendIfDue();
+  if (delay <= kMaximumUsefulLoadInterval) sendIfDue();
   // If there are too many nodes to send updates, their number is still checked again periodically.
   timer_ =
       environment_.timers.schedule(std::min(delay, options_.repeatInterval), [this] { tick(); });
--- a/src/routing/load_exchange.h
+++ b/src/routing/load_exchange.h
@@ -4,7 +4,7 @@
 ///
 /// The number of messages that a node sends per second is limited, so the updates become older as
 /// the number of nodes grows. If there are so many nodes that updates would be out of date on
-/// arrival (kLongestUsefulLoadInterval), no node relies on them and none are sent; each node then
+/// arrival (kMaximumUsefulLoadInterval), no node relies on them and none are sent; each node then
 /// uses an even share of each replica (ReplicaSelector).
 #pragma once
 
--- a/src/routing/placement.cc
+++ b/src/routing/placement.cc
@@ -85,7 +85,7 @@
   query.terms.age = now - constraints.arrivedAt;
   query.terms.softStartWithin = constraints.softStartDeadline - candidate.prefillTime - now;
   query.terms.hardStartWithin = constraints.hardStartDeadline - candidate.prefillTime - now;
-  query.terms.longestPause = constraints.longestPause;
+  query.terms.maximumPause = constraints.maximumPause;
   query.terms.outputTokens = constraints.outputTokens;
   query.rateLimit = candidate.record->notices().rateLimit().known(now);
   return query;
@@ -200,12 +200,12 @@
 // --- progress of placed requests
 
 PlacementGrant Placement::dispatchUngranted(const PlacementCandidate& candidate,
-                                            base::Duration longestPause) {
+                                            base::Duration maximumPause) {
   const auto& facts = candidate.record->facts();
   const auto replica = base::engineIdOf(facts.instance);
   const auto& home = homes_.homeOf(replica, facts.zone);
   const UngrantedDispatch dispatch{environment_.random.next(), replica, candidate.work,
-                                   longestPause};
+                                   maximumPause};
   if (isSelf(home.id)) {
     home_.onUngrantedDispatch(dispatch);
   } else {
--- a/src/routing/placement.h
+++ b/src/routing/placement.h
@@ -98,7 +98,7 @@
   /// A response that starts later is of no use to the caller.
   base::TimePoint hardStartDeadline{};
   /// Same meaning as in PlacementTerms.
-  base::Duration longestPause{};
+  base::Duration maximumPause{};
   std::uint32_t outputTokens = 0;
 };
 
@@ -192,7 +192,7 @@
   void cancel(Ticket ticket);
   /// Reports a request that is sent without a grant to the home of its replica.
   PlacementGrant dispatchUngranted(const PlacementCandidate& candidate,
-                                   base::Duration longestPause = {});
+                                   base::Duration maximumPause = {});
   /// Reports a control call, which is not an inference request, to the home of a rate-limited
   /// replica, so that the call counts against the limit.
   void countControlCall(const ReplicaRecord& replica);
--- a/src/routing/placement_home.cc
+++ b/src/routing/placement_home.cc
@@ -173,7 +173,7 @@
 
 void PlacementHome::onUngrantedDispatch(const UngrantedDispatch& dispatch) {
   PlacementTerms terms;
-  terms.longestPause = dispatch.longestPause;
+  terms.maximumPause = dispatch.maximumPause;
   auto& state = stateOf(dispatch.replica);
   applyRateLimit(dispatch.replica, state);
   if (dispatch.controlCall) {
--- a/src/routing/placement_messages.cc
+++ b/src/routing/placement_messages.cc
@@ -41,7 +41,7 @@
 void write(base::Writer& writer, const PlacementTerms& terms) {
   writer.boolean(terms.mayQueue).unsignedInteger(terms.urgency).unsignedInteger(terms.tenant);
   writer.signedInteger(terms.age.count()).signedInteger(terms.softStartWithin.count());
-  writer.signedInteger(terms.hardStartWithin.count()).signedInteger(terms.longestPause.count());
+  writer.signedInteger(terms.hardStartWithin.count()).signedInteger(terms.maximumPause.count());
   writer.unsignedInteger(terms.outputTokens);
 }
 
@@ -107,7 +107,7 @@
       .unsignedInteger(dispatch.id);
   writer.unsignedInteger(dispatch.replica.value);
   write(writer, dispatch.work);
-  writer.signedInteger(dispatch.longestPause.count()).boolean(dispatch.controlCall);
+  writer.signedInteger(dispatch.maximumPause.count()).boolean(dispatch.controlCall);
 }
 
 void write(base::Writer& writer, const PlacementStarted& started) {
@@ -173,7 +173,7 @@
   terms.age = base::Duration{reader.signedInteger()};
   terms.softStartWithin = base::Duration{reader.signedInteger()};
   terms.hardStartWithin = base::Duration{reader.signedInteger()};
-  terms.longestPause = base::Duration{reader.signedInteger()};
+  terms.maximumPause = base::Duration{reader.signedInteger()};
   terms.outputTokens = readCount(reader);
   return terms;
 }
@@ -241,7 +241,7 @@
   dispatch.id = reader.unsignedInteger();
   dispatch.replica = readReplica(reader);
   dispatch.work = readWork(reader);
-  dispatch.longestPause = base::Duration{reader.signedInteger()};
+  dispatch.maximumPause = base::Duration{reader.signedInteger()};
   dispatch.controlCall = readFlag(reader);
   return dispatch;
 }
--- a/src/routing/placement_messages.h
+++ b/src/routing/placement_messages.h
@@ -63,7 +63,7 @@
   base::Duration hardStartWithin{};
   /// Maximum pause between two chunks of the response for the stream to count as in time; zero if
   /// the route sets none.
-  base::Duration longestPause{};
+  base::Duration maximumPause{};
   /// Expected number of output tokens.
   std::uint32_t outputTokens = 0;
 
@@ -150,7 +150,7 @@
   base::EngineId replica;
   PlacementDemand work;
   /// Same meaning as in PlacementTerms.
-  base::Duration longestPause{};
+  base::Duration maximumPause{};
   /// The call is not an inference request: it counts against the replica's rate limit but uses no
   /// capacity.
   bool controlCall = false;
--- a/src/routing/prefill_speed.cc
+++ b/src/routing/prefill_speed.cc
@@ -4,7 +4,7 @@
 
 namespace covewing::routing {
 
-void PrefillSpeed::learn(std::uint32_t tokens, base::Duration took) {
+void PrefillSpeed::record(std::uint32_t tokens, base::Duration took) {
   constexpr std::uint32_t kMinimumTokens = 500;
   constexpr double kSmoothing = 0.2;
   constexpr double kUpwardSmoothing = 0.01;
--- a/src/routing/prefill_speed.h
+++ b/src/routing/prefill_speed.h
@@ -13,7 +13,7 @@
   /// Records the time from the dispatch of a request until its response started, and the number of
   /// tokens that were to prefill. Short prompts are ignored: their times depend more on the queue
   /// than on the prefill.
-  void learn(std::uint32_t tokens, base::Duration took);
+  void record(std::uint32_t tokens, base::Duration took);
 
   /// Expected time to prefill this many tokens, including typical queueing.
   base::Duration time(std::uint64_t tokens) const { return scaled(perToken_, tokens); }
--- a/src/routing/replica_ledger.cc
+++ b/src/routing/replica_ledger.cc
@@ -13,7 +13,7 @@
                                                             std::move(prompt),
                                                             now,
                                                             prefillTime,
-                                                            terms.longestPause,
+                                                            terms.maximumPause,
                                                             false,
                                                             pacer_.limited(),
                                                             {}});
@@ -62,7 +62,7 @@
 std::optional<GrantedPrompt> ReplicaLedger::begin(std::uint64_t id, base::TimePoint now) {
   const auto entry = grants_.find(id);
   if (entry == grants_.end() || entry->second.started) return std::nullopt;
-  prefillSpeed_.learn(entry->second.work.prefillTokens, now - entry->second.givenAt);
+  prefillSpeed_.record(entry->second.work.prefillTokens, now - entry->second.givenAt);
   // This prompt was prefilled during the streams that were already running, but not during the new
   // one.
   recordConcurrentPrefill(entry->second.work.prefillTokens);
@@ -161,10 +161,10 @@
     const bool hasBound = bound > base::Duration::zero();
     return hasBound ? std::max(pause - bound, base::Duration::zero()) : base::Duration::zero();
   };
-  auto excess = excessOver(*own, terms.longestPause);
+  auto excess = excessOver(*own, terms.maximumPause);
   for (const auto& [id, grant] : grants_)
-    if (grant.started && *before <= grant.longestPause)
-      excess += excessOver(*others, grant.longestPause);
+    if (grant.started && *before <= grant.maximumPause)
+      excess += excessOver(*others, grant.maximumPause);
   return excess;
 }
 
--- a/src/routing/replica_ledger.h
+++ b/src/routing/replica_ledger.h
@@ -98,7 +98,7 @@
     base::TimePoint givenAt{};
     base::Duration prefillTime{};
     /// Maximum allowed pause of the stream; zero if unlimited.
-    base::Duration longestPause{};
+    base::Duration maximumPause{};
     bool started = false;
     /// Whether the grant is counted against the rate limit.
     bool paced = false;
--- a/src/routing/replica_selector.cc
+++ b/src/routing/replica_selector.cc
@@ -146,7 +146,7 @@
 }
 
 bool ReplicaSelector::isLoadKnown(std::size_t nodes, base::TimePoint now) const {
-  if (context_.fleet.interval() > kLongestUsefulLoadInterval) return false;
+  if (context_.fleet.interval() > kMaximumUsefulLoadInterval) return false;
   const auto others = static_cast<double>(std::max<std::size_t>(nodes, 1) - 1);
   return static_cast<double>(context_.fleet.reportingNodes(now)) >=
          others * options_.minimumReportingShare;
--- a/tests/request/limited_fleet.h
+++ b/tests/request/limited_fleet.h
@@ -119,7 +119,7 @@
         random(place + 1),
         link(network, {members.self().id, 1, members.self().endpoint}),
         table(time, time, members.self().name),
-        replicaEnds({}, {time, time, log, reachability}),
+        replicaCrashDetector({}, {time, time, log, reachability}),
         parts({}, {time, time, random, log, link, members}),
         placement({}, {time, time, random, log, link, members, replicas, holders}),
         quotas({}, {time, time, random, members, link, [this] { return nodes(); }}),
@@ -127,8 +127,8 @@
                         [this] { return table.serviceTime(); }}),
         reachability(time),
         service(options(),
-                {time, time, log, *this, replicas, holders, choice, replicaEnds, parts, placement,
-                 retries, quotas, quarantine, requestDurations, *this},
+                {time, time, log, *this, replicas, holders, replicaSelector, replicaCrashDetector,
+                 parts, placement, retries, quotas, quarantine, requestDurations, *this},
                 tables, [this] { return nodes(); }) {
     network.attach(members.self().endpoint.address,
                    [this](const base::PeerIdentity& sender, std::string_view payload) {
@@ -160,10 +160,11 @@
   routing::WeightsTargets targets;
   routing::CacheStores stores;
   routing::FleetLoad fleet;
-  routing::ReplicaSelector choice{{replicas, holders, targets, stores, fleet, "zone"}, {}, random};
+  routing::ReplicaSelector replicaSelector{
+      {replicas, holders, targets, stores, fleet, "zone"}, {}, random};
   test_support::SharedRecords records;
   test_support::MemoryTableService table;
-  routing::ReplicaCrashDetector replicaEnds;
+  routing::ReplicaCrashDetector replicaCrashDetector;
   routing::PartLookup parts;
   routing::Placement placement;
   admission::TenantQuotas quotas;
--- a/tests/request/relay_fixture.h
+++ b/tests/request/relay_fixture.h
@@ -316,9 +316,10 @@
   routing::WeightsTargets targets;
   routing::CacheStores stores;
   routing::FleetLoad fleet;
-  routing::ReplicaSelector choice{{replicas, holders, targets, stores, fleet, "zone"}, {}, random};
+  routing::ReplicaSelector replicaSelector{
+      {replicas, holders, targets, stores, fleet, "zone"}, {}, random};
   FakeReachability reachability{time};
-  routing::ReplicaCrashDetector replicaEnds{{}, {time, time, log, reachability}};
+  routing::ReplicaCrashDetector replicaCrashDetector{{}, {time, time, log, reachability}};
   FakeMembers members{"self"};
   FakePeers peers;
   routing::PartLookup parts{{}, {time, time, random, log, peers, members}};
@@ -340,11 +341,12 @@
   /// Prompt parts of the requests, each with its identifier and number of tokens.
   std::string promptText = "aa:1000,bb:200";
   std::weak_ptr<RelayFlow> flow;
-  RelayService service{options(),
-                       {time, time, log, client, replicas, holders, choice, replicaEnds, parts,
-                        placement, retries, quotas, quarantine, requestDurations, *this},
-                       tables,
-                       oneNode};
+  RelayService service{
+      options(),
+      {time, time, log, client, replicas, holders, replicaSelector, replicaCrashDetector, parts,
+       placement, retries, quotas, quarantine, requestDurations, *this},
+      tables,
+      oneNode};
 };
 
 }  // namespace covewing::request
--- a/tests/request/relay_flow_test.cc
+++ b/tests/request/relay_flow_test.cc
@@ -110,7 +110,7 @@
 BOOST_AUTO_TEST_CASE(ReceiveTimeoutIncludesThePrefillOfThePrompt) {
   for (const char* name : {"m1", "m2", "m3"}) {
     for (int count = 0; count < 60; ++count)
-      replicas.find(name)->prefillSpeed().learn(1000, milliseconds(500));
+      replicas.find(name)->prefillSpeed().record(1000, milliseconds(500));
   }
   request("resumable");
   time.advance(milliseconds(1400));
@@ -698,7 +698,8 @@
 
 BOOST_AUTO_TEST_CASE(OnlyRunsThatEndWithTheirReplicaAreReported) {
   std::vector<routing::LostRequests> ended;
-  replicaEnds.setListener([&](const routing::LostRequests& runs) { ended.push_back(runs); });
+  replicaCrashDetector.setListener(
+      [&](const routing::LostRequests& lost) { ended.push_back(lost); });
   request("unsafe", "key", "one");
   reachability.ended.insert(client.last().replica);
   client.last().breakConnection();
--- a/tests/routing/load_exchange_test.cc
+++ b/tests/routing/load_exchange_test.cc
@@ -183,7 +183,7 @@
     time.advance(milliseconds(50));
   }
   BOOST_TEST(network.sent == 0U);
-  BOOST_TEST((node(0).fleet.interval() > kLongestUsefulLoadInterval));
+  BOOST_TEST((node(0).fleet.interval() > kMaximumUsefulLoadInterval));
 }
 
 BOOST_AUTO_TEST_CASE(MalformedUpdatesAreDropped) {
--- a/tests/routing/pace_load_test.cc
+++ b/tests/routing/pace_load_test.cc
@@ -154,7 +154,7 @@
     stream.work = {stream.prefillTokens + 100, stream.prefillTokens, 32, 0};
     stream.chunksLeft = longPrompt ? 9 : 49;
     PlacementTerms terms;
-    terms.longestPause = kPauseBound;
+    terms.maximumPause = kPauseBound;
     auto& replica = choose(stream.work, terms, longPrompt);
     if (slowedNow(replica)) ++outcome_.atSlowed;
     replica.ledger.grant(stream.id, stream.work, terms, {}, now_);
--- a/tests/routing/replica_crash_detector_test.cc
+++ b/tests/routing/replica_crash_detector_test.cc
@@ -36,7 +36,7 @@
 
 struct ReplicaEndFixture {
   ReplicaEndFixture() {
-    detector.setListener([this](const LostRequests& runs) { ended.push_back(runs); });
+    detector.setListener([this](const LostRequests& lost) { ended.push_back(lost); });
   }
   void interrupt(std::uint64_t request) {
     detector.onRequestInterrupted(replica, base::RequestFingerprint{request});
--- a/tests/routing/replica_ledger_test.cc
+++ b/tests/routing/replica_ledger_test.cc
@@ -17,7 +17,7 @@
 
 PlacementTerms bounded() {
   PlacementTerms terms;
-  terms.longestPause = milliseconds(300);
+  terms.maximumPause = milliseconds(300);
   return terms;
 }
 
--- a/tests/routing/replica_selector_test.cc
+++ b/tests/routing/replica_selector_test.cc
@@ -43,7 +43,7 @@
     return query;
   }
 
-  ReplicaDecision choose() { return choice.choose(query(), 1, now); }
+  ReplicaDecision choose() { return selector.choose(query(), 1, now); }
 
   void addHolder(const std::string& name, base::WeightsVersion version) {
     holders.addChain(base::engineIdOf(name), cacheScope(cacheSalt(version, ""), "m"), chain);
@@ -65,7 +65,7 @@
   WeightsTargets targets{{seconds(8), seconds(1)}};
   CacheStores stores;
   FleetLoad fleet;
-  ReplicaSelector choice{{replicas, holders, targets, stores, fleet, "z"}, {}, random};
+  ReplicaSelector selector{{replicas, holders, targets, stores, fleet, "z"}, {}, random};
 };
 
 }  // namespace
@@ -124,7 +124,7 @@
   for (const char* name : {"r1", "r2", "r3", "r4"}) addHolder(name, 1);
   auto isolated = query();
   isolated.isolatedTenant = "t";
-  const auto decision = choice.choose(isolated, 1, now);
+  const auto decision = selector.choose(isolated, 1, now);
   BOOST_TEST(decision.matchedTokens == 0U);
   BOOST_TEST(!decision.fetchFrom.has_value());
   BOOST_TEST(decision.cacheSalt != choose().cacheSalt);
@@ -225,7 +225,7 @@
       auto longRequest = query();
       longRequest.longRun = true;
       longRequest.longRunReplicas = wanted;
-      taken.insert(choice.choose(longRequest, 1, now).replica->facts().instance);
+      taken.insert(selector.choose(longRequest, 1, now).replica->facts().instance);
     }
     BOOST_TEST(taken.size() == wanted);
   }
@@ -237,16 +237,16 @@
     chain = *prefix::PartChain::parse(std::to_string(part) + "a:50,cc:200");
     auto longRequest = query();
     longRequest.longRun = true;
-    BOOST_TEST(choice.choose(longRequest, 1, now).version == 2U);
+    BOOST_TEST(selector.choose(longRequest, 1, now).version == 2U);
   }
 }
 
 BOOST_AUTO_TEST_CASE(LongRunningRequestsOverflowToOtherReplicas) {
   auto longRequest = query();
   longRequest.longRun = true;
-  const auto first = choice.choose(longRequest, 1, now).replica;
+  const auto first = selector.choose(longRequest, 1, now).replica;
   for (int count = 0; count < 8; ++count) first->onDispatched(10);
-  const auto next = choice.choose(longRequest, 1, now).replica;
+  const auto next = selector.choose(longRequest, 1, now).replica;
   BOOST_REQUIRE(next != nullptr);
   BOOST_TEST((next != first));
 }
@@ -292,34 +292,34 @@
   BOOST_TEST(choose().replica->facts().instance == "r4");
   auto tried = query();
   tried.excluded = {"r4"};
-  BOOST_TEST((choice.choose(tried, 1, now).replica == nullptr));
+  BOOST_TEST((selector.choose(tried, 1, now).replica == nullptr));
 }
 
 BOOST_AUTO_TEST_CASE(LoadOfOtherNodesCountsForThisNode) {
   const auto first = choose().replica;
   reportLoad(first->facts().instance, {8, 800, {}});
-  const auto second = choice.choose(query(), 2, now).replica;
+  const auto second = selector.choose(query(), 2, now).replica;
   BOOST_TEST((second != first));
   reportLoad(first->facts().instance, {1, 99'000, {}});
-  BOOST_TEST((choice.choose(query(), 2, now).replica == second));
+  BOOST_TEST((selector.choose(query(), 2, now).replica == second));
 }
 
 BOOST_AUTO_TEST_CASE(KnownIdleReplicaIsFullyAvailableToOneNode) {
   const auto first = choose().replica;
   for (int sent = 0; sent < 5; ++sent) first->onDispatched(10'000);
   // An even share among eight nodes is 7,500 tokens.
-  BOOST_TEST((choice.choose(query(), 8, now).replica != first));
+  BOOST_TEST((selector.choose(query(), 8, now).replica != first));
   for (int other = 0; other < 7; ++other) fleet.onUpdate(base::NodeId{100U + other}, 1, 1, {}, now);
-  BOOST_TEST((choice.choose(query(), 8, now).replica == first));
+  BOOST_TEST((selector.choose(query(), 8, now).replica == first));
 }
 
 BOOST_AUTO_TEST_CASE(LoadUpdatesWithALongIntervalAreIgnored) {
   const auto first = choose().replica;
   reportLoad(first->facts().instance, {8, 800, 0});
   fleet.setInterval(milliseconds(250));
-  BOOST_TEST((choice.choose(query(), 2, now).replica != first));
+  BOOST_TEST((selector.choose(query(), 2, now).replica != first));
   fleet.setInterval(milliseconds(251));
-  BOOST_TEST((choice.choose(query(), 2, now).replica == first));
+  BOOST_TEST((selector.choose(query(), 2, now).replica == first));
 }
 
 BOOST_AUTO_TEST_CASE(ReplicaWithTheShortestQueueIsSelectedIfAllAreLong) {
@@ -328,20 +328,20 @@
   LoadByReplica load;
   for (const auto& [name, wait] : queues) load[base::engineIdOf(name)] = {1, 100, 20U * wait};
   fleet.onUpdate(base::nodeIdOf("other"), 1, 1, load, now);
-  BOOST_TEST((choice.choose(query(), 2, now).replica == replicas.find("r2")));
+  BOOST_TEST((selector.choose(query(), 2, now).replica == replicas.find("r2")));
   load[base::engineIdOf("r4")].pendingPrefillTokens = 2000;
   fleet.onUpdate(base::nodeIdOf("other"), 1, 2, load, now);
-  BOOST_TEST((choice.choose(query(), 2, now).replica == replicas.find("r4")));
+  BOOST_TEST((selector.choose(query(), 2, now).replica == replicas.find("r4")));
 }
 
 BOOST_AUTO_TEST_CASE(QueueTimeIsEstimatedFromTheFastestResponses) {
   const auto first = choose().replica;
   // Late responses depend more on the queue than on the prefill.
-  for (int count = 0; count < 20; ++count) first->prefillSpeed().learn(1000, milliseconds(900));
-  first->prefillSpeed().learn(1000, milliseconds(20));
-  first->prefillSpeed().learn(1000, milliseconds(900));
+  for (int count = 0; count < 20; ++count) first->prefillSpeed().record(1000, milliseconds(900));
+  first->prefillSpeed().record(1000, milliseconds(20));
+  first->prefillSpeed().record(1000, milliseconds(900));
   reportLoad(first->facts().instance, {1, 100, 8000});
-  BOOST_TEST((choice.choose(query(), 2, now).replica == first));
+  BOOST_TEST((selector.choose(query(), 2, now).replica == first));
   BOOST_TEST((first->prefillSpeed().minimumTime(1000) < milliseconds(40)));
 }
 
@@ -407,7 +407,7 @@
   plain.model.clear();
   plain.chain = nullptr;
   for (const char* name : {"r1", "r2", "r3"}) replicas.find(name)->onDispatched(0);
-  BOOST_TEST(choice.choose(plain, 1, now).replica->facts().instance == "r4");
+  BOOST_TEST(selector.choose(plain, 1, now).replica->facts().instance == "r4");
 }
 
 BOOST_AUTO_TEST_SUITE_END()
