--- a/src/request/relay_flow.h
+++ b/src/request/relay_flow.h
@@ -60,9 +60,9 @@
   /// Acceptable wait of a request at one candidate replica, as a share of the target latency. After
   /// this wait the home node of the next candidate is queried as well. Requests with long shared
   /// parts wait longer, because each additional replica that caches a long part evicts another
-  /// part. A tenth for all prompts gave 0.644 and a quarter 0.656 (salish-reach, 15 runs); 1,706
-  /// short prompts were late with a tenth and 2,310 with a quarter (bcth-covewing-large,
-  /// trouble-1).
+  /// part: with one share for all prompts, the mean score was 0.644 with a tenth and 0.656 with a
+  /// quarter. Short prompts wait less, since 1,706 of them were late with a tenth and 2,310 with a
+  /// quarter.
   double acceptableWaitShare = 0.1;
   double longPromptAcceptableWaitShare = 0.25;
   /// Time before home nodes are queried again for a request, after none of them replied or none had
