--- a/src/live/relay_daemon.cc
+++ b/src/live/relay_daemon.cc
@@ -21,15 +21,15 @@
 #include "live/relay_metrics.h"
 #include "live/relay_part_options.h"
 #include "membership/gossip_membership.h"
-#include "node/cache_store_news.h"
-#include "node/counted_weights_client.h"
-#include "node/fleet_knowledge.h"
+#include "node/announcement_time_resolver.h"
+#include "node/announcement_time_store.h"
+#include "node/cache_store_gossip.h"
+#include "node/call_counting_weights_client.h"
+#include "node/configuration_gossip.h"
 #include "node/node_count.h"
 #include "node/pause_detector.h"
-#include "node/version_dating.h"
 #include "node/wake_gate.h"
 #include "node/weights_coordinator.h"
-#include "node/weights_dates.h"
 #include "routing/cache_watch.h"
 #include "routing/load_exchange.h"
 
@@ -78,8 +78,8 @@
         ownTable(deployment.table, storeEras),
         configuration(deployment.configurationRows, clock, log, targets, storeEras),
         replicaList(deployment.replicaRows, clock, log, replicas, holders, replicaEnds, storeEras),
-        knowledge({membership, storeEras, configuration,
-                   [this] { return configurationWatch.serviceTime(); }}),
+        configurationGossip({membership, storeEras, configuration,
+                             [this] { return configurationWatch.serviceTime(); }}),
         feeds(feedOptions(settings),
               {clock, timers, random, log, peers, membership, deployment.feeds, storeEras}),
         configurationWatch({deployment.configurationTable, config::holdFor(settings.revocation)},
@@ -92,11 +92,11 @@
              holders, targets, [this](const std::string& name) { return longRunReplicas(name); },
              [this](const std::string& name) { return replicasInUse(name); },
              [this](const std::string& name) { return hasService(name); }}),
-        weightsDates(
+        announcementTimeStore(
             ownTable, clock, timers, [this] { return configurationWatch.serviceTime(); },
             [this](bool lastCheck) { return writesDates(lastCheck); }),
-        versionDating(clock, log, targets, weightsDates),
-        cacheStoreNews(membership, membership, stores),
+        announcementTimeResolver(clock, log, targets, announcementTimeStore),
+        cacheStoreGossip(membership, membership, stores),
         cacheWatch({},
                    {clock, timers, random, log, deployment.cacheFeeds, replicas, stores, membership,
                     holders},
@@ -138,16 +138,17 @@
     replicaEnds.setListener([this](const routing::LostRequests& ended) {
       quarantine.onReplicaCrash(base::engineIdOf(ended.instance), ended.requests);
     });
-    configuration.onTable([this](const config::RouteTable& table) {
+    configuration.setTableListener([this](const config::RouteTable& table) {
       applyLimits(table.limits());
       stores.update(table);
-      knowledge.tellTable(table.version());
-    });
-    configuration.onCopied([this] { onConfigurationCopied(); });
-    configuration.onWeights([this](const node::NamedWeights& named, const node::VersionNews& news) {
-      versionDating.onWeights(named, news);
-      knowledge.tellWeights(named);
+      configurationGossip.publishTableVersion(table.version());
     });
+    configuration.setFeedCurrentListener([this] { onConfigurationCopied(); });
+    configuration.setWeightsListener(
+        [this](const node::AnnouncedWeights& named, const node::AnnouncementTime& news) {
+          announcementTimeResolver.onVersionAnnounced(named, news);
+          configurationGossip.publishWeightsVersion(named);
+        });
   }
 
   /// What a replica says of itself in an answer to an order or a report.
@@ -198,7 +199,7 @@
   }
 
   bool writesDates(bool lastCheck) {
-    if (coordinator.competes()) return true;
+    if (coordinator.isLeaseCandidate()) return true;
     return lastCheck && random.below(std::max<std::size_t>(nodes(), 1)) < kLastDateWriters;
   }
 
@@ -238,7 +239,7 @@
   }
 
   bool ready() const {
-    return !draining && configuration.table() != nullptr && replicaList.known() &&
+    return !draining && configuration.table() != nullptr && replicaList.loaded() &&
            service.confirmed();
   }
 
@@ -262,9 +263,9 @@
                         std::size_t bytes) { traffic.onSent(destination, channel, bytes); });
     reportTraffic();
     membership.start();
-    knowledge.start();
+    configurationGossip.start();
     coordinator.start();
-    cacheStoreNews.start();
+    cacheStoreGossip.start();
     cacheWatch.start();
     loadExchange.start();
     quarantine.start();
@@ -280,7 +281,7 @@
     if (!wakeGate.closed()) return gateway.handle(exchange);
     const auto gone = std::make_shared<bool>(false);
     exchange->onDisconnect([gone] { *gone = true; });
-    wakeGate.pass([this, exchange, gone] {
+    wakeGate.runWhenOpen([this, exchange, gone] {
       if (!*gone) gateway.handle(exchange);
     });
   }
@@ -304,18 +305,18 @@
   void onStoreReturned() {
     configurationWatch.onStoreReturned();
     replicaWatch.onStoreReturned();
-    knowledge.onStoreReturned();
+    configurationGossip.onStoreReturned();
     configuration.onStoreReturned();
     coordinator.onStoreReturned();
   }
 
   /// The configuration was read, or proved current.
   void onConfigurationCopied() {
-    knowledge.onCopied();
+    configurationGossip.onFeedCurrent();
     const auto era = storeEras.current();
     // Before that the service's clock of the new era is not known.
     if (std::exchange(rowsWrittenIn, era) == era) return;
-    versionDating.onStoreReturned();
+    announcementTimeResolver.onStoreReturned();
     quarantine.onStoreReturned();
   }
 
@@ -433,20 +434,20 @@
   routing::ReplicaSelector choice;
   routing::PartLookup parts;
   routing::Placement placement;
-  node::CountedWeightsClient weights;
+  node::CallCountingWeightsClient weights;
   routing::LoadExchange loadExchange;
   config::StoreEras storeEras;
   config::EraCheckedTable ownTable;
   node::RouteConfiguration configuration;
   node::ReplicaList replicaList;
-  node::FleetKnowledge knowledge;
+  node::ConfigurationGossip configurationGossip;
   config::SharedFeed feeds;
   config::TableWatch configurationWatch;
   config::TableWatch replicaWatch;
   node::WeightsCoordinator coordinator;
-  node::WeightsDates weightsDates;
-  node::VersionDating versionDating;
-  node::CacheStoreNews cacheStoreNews;
+  node::AnnouncementTimeStore announcementTimeStore;
+  node::AnnouncementTimeResolver announcementTimeResolver;
+  node::CacheStoreGossip cacheStoreGossip;
   routing::CacheWatch cacheWatch;
   admission::RetryWindows retries;
   admission::TenantQuotas quotas;
--- a/src/live/relay_part_options.cc
+++ b/src/live/relay_part_options.cc
@@ -80,7 +80,7 @@
   options.requestRetries = kQuotaRequestRetries;
   options.unresponsiveHomeBackoff = kSilentHomePassedOver;
   options.initialBucketShare = kFreshShare;
-  options.clusterFormationTime = node::NodeCountOptions{}.forming;
+  options.clusterFormationTime = node::NodeCountOptions{}.clusterFormationTime;
   options.joinPeriod = kJoining;
   options.assumedNodesWhileJoining = kNodesWhileJoining;
   options.partialViewTolerance = kUnseenTolerance;
@@ -92,7 +92,7 @@
   constexpr base::Duration kMemory = std::chrono::minutes(10);
   node::NodeCountOptions options;
   options.memory = kMemory;
-  options.trustsBeingAlone = false;
+  options.trustsSingleNodeView = false;
   return options;
 }
 
--- a/src/node/version_dating.cc
+++ b/src/node/announcement_time_resolver.cc
@@ -1,4 +1,4 @@
-#include "node/version_dating.h"
+#include "node/announcement_time_resolver.h"
 
 #include <algorithm>
 
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-void VersionDating::onStoreReturned() {
+void AnnouncementTimeResolver::onStoreReturned() {
   const auto now = clock_.now();
   for (const auto& [model, versions] : kept_) {
     for (const auto& [version, namedAt] : versions)
@@ -19,8 +19,8 @@
   }
 }
 
-void VersionDating::keep(const std::string& model, base::WeightsVersion version,
-                         base::TimePoint namedAt) {
+void AnnouncementTimeResolver::keep(const std::string& model, base::WeightsVersion version,
+                                    base::TimePoint namedAt) {
   auto& versions = kept_[model];
   const auto [known, added] = versions.try_emplace(version, namedAt);
   // The earlier date is that of who knew more.
@@ -28,10 +28,11 @@
   if (versions.size() > kMostKept) versions.erase(versions.begin());
 }
 
-void VersionDating::onWeights(const NamedWeights& named, const VersionNews& news) {
-  if (news.namedAfter) {
-    if (!news.provisional) keep(named.model, named.version, *news.namedAfter);
-    dates_.writeWhenResponsible(named.model, named.version, clock_.now() - *news.namedAfter);
+void AnnouncementTimeResolver::onVersionAnnounced(const AnnouncedWeights& named,
+                                                  const AnnouncementTime& news) {
+  if (news.announcedAfter) {
+    if (!news.provisional) keep(named.model, named.version, *news.announcedAfter);
+    dates_.writeWhenResponsible(named.model, named.version, clock_.now() - *news.announcedAfter);
     // The service may have turned this node away and served others, who saw the version come: dated
     // by the own failed calls alone, requests were sent to the older version up to 2.9 s too long.
     if (!news.provisional) return;
@@ -41,15 +42,15 @@
       [this, named, news](const std::vector<VersionAge>& ages) { onDates(named, news, ages); });
 }
 
-void VersionDating::onDates(const NamedWeights& named, const VersionNews& news,
-                            const std::vector<VersionAge>& ages) {
+void AnnouncementTimeResolver::onDates(const AnnouncedWeights& named, const AnnouncementTime& news,
+                                       const std::vector<VersionAge>& ages) {
   const bool nobodyWrote = ages.empty();
   if (nobodyWrote && news.unreachableAt) {
     // It was named while nodes could not learn of it, and its time counts from when they could:
     // forbidden at once, the older version left a fleet that restarted in an outage without
     // replicas (some 800 requests refused).
     const auto countsFrom =
-        std::max(*news.unreachableAt, news.namedAfter.value_or(*news.unreachableAt));
+        std::max(*news.unreachableAt, news.announcedAfter.value_or(*news.unreachableAt));
     const auto age = clock_.now() - countsFrom;
     date(named.model, named.version, age);
     dates_.writeWhenResponsible(named.model, named.version, age);
@@ -58,8 +59,8 @@
   for (const auto& dated : ages) date(named.model, dated.version, dated.age);
 }
 
-void VersionDating::date(const std::string& model, base::WeightsVersion version,
-                         base::Duration age) {
+void AnnouncementTimeResolver::date(const std::string& model, base::WeightsVersion version,
+                                    base::Duration age) {
   targets_.onDated(model, version, clock_.now() - age);
   keep(model, version, clock_.now() - age);
   log_.write(base::Event::kWeightsDated, {{"model", model},
--- a/src/node/version_dating.h
+++ b/src/node/announcement_time_resolver.h
@@ -8,27 +8,27 @@
 #include <string>
 
 #include "base/event_log.h"
+#include "node/announcement_time_store.h"
 #include "node/route_configuration.h"
-#include "node/weights_dates.h"
 #include "routing/weights_targets.h"
 
 namespace covewing::node {
 
-class VersionDating {
+class AnnouncementTimeResolver {
  public:
   /// All must outlive the dating and share its thread.
-  VersionDating(base::Clock& clock, base::EventLog& log, routing::WeightsTargets& targets,
-                WeightsDates& dates)
+  AnnouncementTimeResolver(base::Clock& clock, base::EventLog& log,
+                           routing::WeightsTargets& targets, AnnouncementTimeStore& dates)
       : clock_(clock), log_(log), targets_(targets), dates_(dates) {}
 
-  /// A newer version was named (RouteConfiguration::onWeights).
-  void onWeights(const NamedWeights& named, const VersionNews& news);
+  /// A newer version was named (RouteConfiguration::setWeightsListener).
+  void onVersionAnnounced(const AnnouncedWeights& named, const AnnouncementTime& news);
   /// The table service came back from a copy, which may lack dates: writes those again that this
   /// node knows.
   void onStoreReturned();
 
  private:
-  void onDates(const NamedWeights& named, const VersionNews& news,
+  void onDates(const AnnouncedWeights& named, const AnnouncementTime& news,
                const std::vector<VersionAge>& ages);
   void date(const std::string& model, base::WeightsVersion version, base::Duration age);
   /// Keeps the date for as long as somebody may ask for it.
@@ -37,7 +37,7 @@
   base::Clock& clock_;
   base::EventLog& log_;
   routing::WeightsTargets& targets_;
-  WeightsDates& dates_;
+  AnnouncementTimeStore& dates_;
   /// From when the time of the latest versions counts, by model and version.
   std::map<std::string, std::map<base::WeightsVersion, base::TimePoint>> kept_;
 };
--- a/src/node/weights_dates.cc
+++ b/src/node/announcement_time_store.cc
@@ -1,4 +1,4 @@
-#include "node/weights_dates.h"
+#include "node/announcement_time_store.h"
 
 #include <algorithm>
 #include <utility>
@@ -77,7 +77,7 @@
 
 }  // namespace
 
-struct WeightsDates::Write {
+struct AnnouncementTimeStore::Write {
   std::string model;
   NamedVersion named;
   /// What the row holds besides, and its revision.
@@ -86,7 +86,7 @@
   int attempts = 0;
 };
 
-struct WeightsDates::LookUp {
+struct AnnouncementTimeStore::LookUp {
   std::string model;
   base::WeightsVersion version = 0;
   Found found;
@@ -95,19 +95,18 @@
   bool absenceTold = false;
 };
 
-void WeightsDates::write(const std::string& model, base::WeightsVersion version,
-                         base::Duration age) {
+void AnnouncementTimeStore::write(const std::string& model, base::WeightsVersion version,
+                                  base::Duration age) {
   if (const auto prepared = prepare(model, version, age)) step(prepared);
 }
 
-void WeightsDates::writeWhenResponsible(const std::string& model, base::WeightsVersion version,
-                                        base::Duration age) {
+void AnnouncementTimeStore::writeWhenResponsible(const std::string& model,
+                                                 base::WeightsVersion version, base::Duration age) {
   if (const auto prepared = prepare(model, version, age)) check(prepared, kResponsibilityChecks);
 }
 
-std::shared_ptr<WeightsDates::Write> WeightsDates::prepare(const std::string& model,
-                                                           base::WeightsVersion version,
-                                                           base::Duration age) const {
+std::shared_ptr<AnnouncementTimeStore::Write> AnnouncementTimeStore::prepare(
+    const std::string& model, base::WeightsVersion version, base::Duration age) const {
   const auto now = serviceClock_();
   if (!now) return nullptr;
   auto write = std::make_shared<Write>();
@@ -116,7 +115,7 @@
   return write;
 }
 
-void WeightsDates::check(const std::shared_ptr<Write>& write, int checksLeft) {
+void AnnouncementTimeStore::check(const std::shared_ptr<Write>& write, int checksLeft) {
   if (responsible_(checksLeft == 0)) return step(write);
   if (checksLeft == 0) return;
   timers_.schedule(kResponsibilityInterval,
@@ -125,7 +124,7 @@
                    });
 }
 
-void WeightsDates::step(const std::shared_ptr<Write>& write) {
+void AnnouncementTimeStore::step(const std::shared_ptr<Write>& write) {
   if (++write->attempts > kAttempts) return;
   DateRow row = write->before;
   row.insert(std::ranges::lower_bound(row, write->named.version, {}, &NamedVersion::version),
@@ -140,8 +139,8 @@
                 });
 }
 
-void WeightsDates::onWritten(const std::shared_ptr<Write>& write,
-                             const clients::TableReply& reply) {
+void AnnouncementTimeStore::onWritten(const std::shared_ptr<Write>& write,
+                                      const clients::TableReply& reply) {
   if (reply.status == clients::TableStatus::kOk) return;
   if (reply.status != clients::TableStatus::kConflict) {
     timers_.schedule(kRetry, [this, write, alive = std::weak_ptr(lifetime_)] {
@@ -160,11 +159,12 @@
   step(write);
 }
 
-void WeightsDates::lookUp(const std::string& model, base::WeightsVersion version, Found found) {
+void AnnouncementTimeStore::lookUp(const std::string& model, base::WeightsVersion version,
+                                   Found found) {
   step(std::make_shared<LookUp>(LookUp{model, version, std::move(found)}));
 }
 
-void WeightsDates::step(const std::shared_ptr<LookUp>& lookUp) {
+void AnnouncementTimeStore::step(const std::shared_ptr<LookUp>& lookUp) {
   if (++lookUp->attempts > kReads) return;
   lookUp->sentAt = clock_.now();
   table_.read({keyOf(lookUp->model)},
@@ -173,15 +173,16 @@
               });
 }
 
-std::optional<base::Duration> WeightsDates::latestServiceTime(const clients::TableReply& reply,
-                                                              base::TimePoint sentAt) const {
+std::optional<base::Duration> AnnouncementTimeStore::latestServiceTime(
+    const clients::TableReply& reply, base::TimePoint sentAt) const {
   // What the node makes of the service's clock is late by the time that an answer was under way: an
   // age reckoned with it was up to 0.8 s too small. The reply was made after its call was sent.
   if (reply.serviceTime) return *reply.serviceTime + (clock_.now() - sentAt);
   return serviceClock_();
 }
 
-void WeightsDates::onRead(const std::shared_ptr<LookUp>& lookUp, const clients::TableReply& reply) {
+void AnnouncementTimeStore::onRead(const std::shared_ptr<LookUp>& lookUp,
+                                   const clients::TableReply& reply) {
   const auto ages = agesIn(reply, latestServiceTime(reply, lookUp->sentAt));
   if (!ages.empty() && ages.back().version >= lookUp->version) {
     lookUp->found(ages);
--- a/src/node/weights_dates.h
+++ b/src/node/announcement_time_store.h
@@ -27,7 +27,7 @@
   base::Duration age{};
 };
 
-class WeightsDates {
+class AnnouncementTimeStore {
  public:
   /// The service's clock as this node knows it; empty before the first answer.
   using ServiceClock = std::function<std::optional<base::Duration>()>;
@@ -39,7 +39,7 @@
   using Found = std::function<void(const std::vector<VersionAge>&)>;
 
   /// All must outlive the dates.
-  WeightsDates(
+  AnnouncementTimeStore(
       clients::TableClient& table, base::Clock& clock, base::TimerService& timers,
       ServiceClock serviceClock, Responsible responsible = [](bool) { return true; })
       : table_(table),
--- a/src/node/cache_store_news.cc
+++ b/src/node/cache_store_gossip.cc
@@ -1,4 +1,4 @@
-#include "node/cache_store_news.h"
+#include "node/cache_store_gossip.h"
 
 #include <string_view>
 
@@ -16,20 +16,20 @@
 
 }  // namespace
 
-CacheStoreNews::CacheStoreNews(const membership::MemberDirectory& members,
-                               membership::RecordDissemination& records,
-                               routing::CacheStores& stores)
+CacheStoreGossip::CacheStoreGossip(const membership::MemberDirectory& members,
+                                   membership::RecordDissemination& records,
+                                   routing::CacheStores& stores)
     : members_(members), records_(records), stores_(stores) {
   stores_.onLocalAvailabilityChanged(
       [this](const std::string& store, bool answered) { publish(store, answered); });
 }
 
-void CacheStoreNews::start() {
+void CacheStoreGossip::start() {
   records_.subscribe(std::string{kRecordPrefix},
                      [this](const membership::GossipRecord& record) { onRecord(record); });
 }
 
-void CacheStoreNews::publish(const std::string& store, bool answered) {
+void CacheStoreGossip::publish(const std::string& store, bool answered) {
   const auto& self = members_.self();
   std::string key{kRecordPrefix};
   key.append(store).append(1, kSeparator).append(self.name);
@@ -37,7 +37,7 @@
   records_.publish({std::move(key), version, std::string{answered ? kAnswered : kSilent}});
 }
 
-void CacheStoreNews::onRecord(const membership::GossipRecord& record) {
+void CacheStoreGossip::onRecord(const membership::GossipRecord& record) {
   const auto rest = std::string_view{record.key}.substr(kRecordPrefix.size());
   const auto separator = rest.rfind(kSeparator);
   if (separator == std::string_view::npos) return;
--- a/src/node/cache_store_news.h
+++ b/src/node/cache_store_gossip.h
@@ -11,11 +11,11 @@
 
 namespace covewing::node {
 
-class CacheStoreNews {
+class CacheStoreGossip {
  public:
   /// All must outlive the news.
-  CacheStoreNews(const membership::MemberDirectory& members,
-                 membership::RecordDissemination& records, routing::CacheStores& stores);
+  CacheStoreGossip(const membership::MemberDirectory& members,
+                   membership::RecordDissemination& records, routing::CacheStores& stores);
 
   /// Begins to hear other nodes; call once.
   void start();
--- a/src/node/counted_weights_client.cc
+++ b/src/node/call_counting_weights_client.cc
@@ -1,26 +1,26 @@
-#include "node/counted_weights_client.h"
+#include "node/call_counting_weights_client.h"
 
 #include <utility>
 
 namespace covewing::node {
 
-void CountedWeightsClient::count(const std::string& instance) {
+void CallCountingWeightsClient::count(const std::string& instance) {
   const auto replica = replicas_.find(instance);
   if (replica && replica->notices().rateLimit().perSecond()) placement_.countControlCall(*replica);
 }
 
-void CountedWeightsClient::onNotices(NoticeListener listener) {
+void CallCountingWeightsClient::onNotices(NoticeListener listener) {
   client_.onNotices(std::move(listener));
 }
 
-void CountedWeightsClient::order(const base::Endpoint& replica, const std::string& instance,
-                                 clients::WeightsOrder order,
-                                 std::function<void(clients::WeightsOrderStatus)> callback) {
+void CallCountingWeightsClient::order(const base::Endpoint& replica, const std::string& instance,
+                                      clients::WeightsOrder order,
+                                      std::function<void(clients::WeightsOrderStatus)> callback) {
   count(instance);
   client_.order(replica, instance, std::move(order), std::move(callback));
 }
 
-void CountedWeightsClient::report(
+void CallCountingWeightsClient::report(
     const base::Endpoint& replica, const std::string& instance, const std::string& model,
     std::function<void(std::optional<clients::WeightsReport>)> callback) {
   count(instance);
--- a/src/node/counted_weights_client.h
+++ b/src/node/call_counting_weights_client.h
@@ -13,11 +13,12 @@
 
 namespace covewing::node {
 
-class CountedWeightsClient final : public clients::WeightsClient {
+class CallCountingWeightsClient final : public clients::WeightsClient {
  public:
   /// All must outlive the client.
-  CountedWeightsClient(clients::WeightsClient& client, const routing::ReplicaDirectory& replicas,
-                       routing::Placement& placement)
+  CallCountingWeightsClient(clients::WeightsClient& client,
+                            const routing::ReplicaDirectory& replicas,
+                            routing::Placement& placement)
       : client_(client), replicas_(replicas), placement_(placement) {}
 
   void onNotices(NoticeListener listener) override;
--- a/src/node/fleet_knowledge.cc
+++ b/src/node/configuration_gossip.cc
@@ -1,4 +1,4 @@
-#include "node/fleet_knowledge.h"
+#include "node/configuration_gossip.h"
 
 #include <charconv>
 #include <string_view>
@@ -32,7 +32,7 @@
 
 }  // namespace
 
-void FleetKnowledge::start() {
+void ConfigurationGossip::start() {
   auto& records = environment_.records;
   records.subscribe(std::string{kEraKey},
                     [this](const membership::GossipRecord& record) { onEraRecord(record); });
@@ -43,39 +43,39 @@
                     [this](const membership::GossipRecord& record) { onWeightsRecord(record); });
 }
 
-void FleetKnowledge::tellTable(std::uint64_t version) {
+void ConfigurationGossip::publishTableVersion(std::uint64_t version) {
   environment_.records.publish({std::string{kTableKey}, version, {}});
 }
 
-void FleetKnowledge::tellWeights(const NamedWeights& named) {
+void ConfigurationGossip::publishWeightsVersion(const AnnouncedWeights& named) {
   environment_.records.publish({std::string{kWeightsPrefix} + named.model, named.version, {}});
 }
 
-void FleetKnowledge::onWeightsRecord(const membership::GossipRecord& record) {
+void ConfigurationGossip::onWeightsRecord(const membership::GossipRecord& record) {
   environment_.configuration.onWeightsKnown(
       {record.key.substr(kWeightsPrefix.size()), record.version});
 }
 
-void FleetKnowledge::onEraRecord(const membership::GossipRecord& record) {
+void ConfigurationGossip::onEraRecord(const membership::GossipRecord& record) {
   const auto era = eraOfRecord(record.version);
   if (!era || !environment_.eras.note(*era, "gossip")) return;
   toldReturnedAt_ = parseDuration(record.value);
   takeReturnTime();
 }
 
-void FleetKnowledge::takeReturnTime() {
+void ConfigurationGossip::takeReturnTime() {
   const auto now = environment_.serviceClock();
   if (!toldReturnedAt_ || !now || !toldEra_ || *toldEra_ != environment_.eras.current()) return;
   environment_.eras.onReturnTold(*now - *toldReturnedAt_);
 }
 
-void FleetKnowledge::onStoreReturned() {
+void ConfigurationGossip::onStoreReturned() {
   toldReturnedAt_.reset();
   // The others learn of it before this node has read anything anew.
   tellEra(std::nullopt);
 }
 
-void FleetKnowledge::onCopied() {
+void ConfigurationGossip::onFeedCurrent() {
   const auto era = environment_.eras.known();
   if (!era) return;
   const bool first = toldEra_ != era;
@@ -88,7 +88,7 @@
   tellEra(*serviceNow - environment_.eras.sinceReturn());
 }
 
-void FleetKnowledge::tellEra(std::optional<base::Duration> returnedAt) {
+void ConfigurationGossip::tellEra(std::optional<base::Duration> returnedAt) {
   const auto era = environment_.eras.current();
   toldEra_ = era;
   environment_.records.publish({std::string{kEraKey}, recordVersion(era, returnedAt.has_value()),
--- a/src/node/fleet_knowledge.h
+++ b/src/node/configuration_gossip.h
@@ -20,7 +20,7 @@
 namespace covewing::node {
 
 /// All must outlive the knowledge and share its thread.
-struct FleetKnowledgeEnvironment {
+struct ConfigurationGossipEnvironment {
   membership::RecordDissemination& records;
   config::StoreEras& eras;
   RouteConfiguration& configuration;
@@ -28,20 +28,20 @@
   std::function<std::optional<base::Duration>()> serviceClock;
 };
 
-class FleetKnowledge {
+class ConfigurationGossip {
  public:
-  explicit FleetKnowledge(FleetKnowledgeEnvironment environment)
+  explicit ConfigurationGossip(ConfigurationGossipEnvironment environment)
       : environment_(std::move(environment)) {}
 
   /// Begins to hear other nodes; call once.
   void start();
   /// This node has seen a version of the route table, or of a model's weights.
-  void tellTable(std::uint64_t version);
-  void tellWeights(const NamedWeights& named);
+  void publishTableVersion(std::uint64_t version);
+  void publishWeightsVersion(const AnnouncedWeights& named);
   /// This node has noticed a return.
   void onStoreReturned();
   /// The feed was read in the era that is known: the service's clock is that era's.
-  void onCopied();
+  void onFeedCurrent();
 
  private:
   void onEraRecord(const membership::GossipRecord& record);
@@ -51,7 +51,7 @@
   /// Takes what another node says of when the service returned, once its clock is known here.
   void takeReturnTime();
 
-  FleetKnowledgeEnvironment environment_;
+  ConfigurationGossipEnvironment environment_;
   /// The service's time of the return to the era that is known, as another node said it.
   std::optional<base::Duration> toldReturnedAt_;
   /// The era whose return, or whose number at least, this node has told.
--- a/src/node/node_count.h
+++ b/src/node/node_count.h
@@ -15,10 +15,10 @@
   /// The number falls back to what is seen now only after this.
   base::Duration memory = std::chrono::seconds(30);
   /// Nodes assumed until the membership has had time to form, and how long that is.
-  std::size_t atFirst = 8;
-  base::Duration forming = std::chrono::seconds(5);
+  std::size_t assumedNodes = 8;
+  base::Duration clusterFormationTime = std::chrono::seconds(5);
   /// A node that has never seen another one goes on to assume them: it may be cut off.
-  bool trustsBeingAlone = true;
+  bool trustsSingleNodeView = true;
 };
 
 /// The most nodes seen at once lately: those that are cut off may still send.
@@ -35,9 +35,9 @@
       most_ = live;
       mostAt_ = now;
     }
-    const bool unsure = most_ <= 1 && !options_.trustsBeingAlone;
-    const bool assumes = unsure || now - startedAt_ < options_.forming;
-    return assumes ? std::max(most_, options_.atFirst) : most_;
+    const bool unsure = most_ <= 1 && !options_.trustsSingleNodeView;
+    const bool assumes = unsure || now - startedAt_ < options_.clusterFormationTime;
+    return assumes ? std::max(most_, options_.assumedNodes) : most_;
   }
 
  private:
--- a/src/node/replica_list.cc
+++ b/src/node/replica_list.cc
@@ -136,7 +136,7 @@
 }
 
 void ReplicaList::onCurrent() {
-  known_ = true;
+  loaded_ = true;
   outage_.onCurrent();
   if (missing_.empty() || mayBeWrittenAgain()) return;
   for (const auto& [key, revision] : std::exchange(missing_, {})) remove(key, revision);
--- a/src/node/replica_list.h
+++ b/src/node/replica_list.h
@@ -51,7 +51,7 @@
         eras_(eras) {}
 
   /// The list was copied at least once.
-  bool known() const { return known_; }
+  bool loaded() const { return loaded_; }
 
   void onRow(const clients::FeedRow& row, config::RowSource source) override;
   void onRemoved(const clients::FeedRow& row) override;
@@ -91,7 +91,7 @@
   std::map<std::string, base::Revision> missing_;
   /// Services whose replicas tell their starts.
   std::set<std::string, std::less<>> servicesWithStarts_;
-  bool known_ = false;
+  bool loaded_ = false;
   FeedOutage outage_{log_, "replica list feed"};
 };
 
--- a/src/node/route_configuration.cc
+++ b/src/node/route_configuration.cc
@@ -53,7 +53,7 @@
 void RouteConfiguration::onRow(const clients::FeedRow& row, config::RowSource source) {
   if (reader_.isRouteTable(row.key)) {
     takeTable(row);
-  } else if (reader_.isNamedWeights(row.key)) {
+  } else if (reader_.isAnnouncedWeights(row.key)) {
     takeWeights(row, source);
   }
 }
@@ -88,19 +88,21 @@
   }
   const auto news = newsOf(*named, row, source);
   if (!take(*named, news)) return;
-  log_.write(base::Event::kWeightsNamed,
-             {{"model", named->model},
-              {"version", std::to_string(named->version)},
-              {"from", source == config::RowSource::kCopy ? "copy" : "feed"},
-              {"age_at_most_ms",
-               news.namedAfter ? base::millisecondsText(clock_.now() - *news.namedAfter) : ""},
-              {"revision", base::revisionText(row.revision)}});
+  log_.write(
+      base::Event::kWeightsNamed,
+      {{"model", named->model},
+       {"version", std::to_string(named->version)},
+       {"from", source == config::RowSource::kCopy ? "copy" : "feed"},
+       {"age_at_most_ms",
+        news.announcedAfter ? base::millisecondsText(clock_.now() - *news.announcedAfter) : ""},
+       {"revision", base::revisionText(row.revision)}});
   if (weightsListener_) weightsListener_(*named, news);
 }
 
-VersionNews RouteConfiguration::newsOf(const NamedWeights& named, const clients::FeedRow& row,
-                                       config::RowSource source) const {
-  VersionNews news;
+AnnouncementTime RouteConfiguration::newsOf(const AnnouncedWeights& named,
+                                            const clients::FeedRow& row,
+                                            config::RowSource source) const {
+  AnnouncementTime news;
   if (watch_ != nullptr) news.unreachableAt = watch_->unreachableAt();
   // A node that has just started does not know which versions were named shortly before this one:
   // they may be in force already, and only the dates in the table service tell.
@@ -112,7 +114,7 @@
   if (justStarted || !changed) return news;
   // An outage that was over before the last proof says nothing of what was changed since.
   if (news.unreachableAt && *news.unreachableAt <= *changed) news.unreachableAt.reset();
-  news.namedAfter = std::max(*changed, news.unreachableAt.value_or(*changed));
+  news.announcedAfter = std::max(*changed, news.unreachableAt.value_or(*changed));
   const bool toldLate = clock_.now() - *changed > kToldInTime;
   news.provisional = toldLate || news.unreachableAt.has_value();
   return news;
@@ -128,7 +130,7 @@
   return byIncompleteCopy ? completeAt() : row.changedAfter;
 }
 
-void RouteConfiguration::onWeightsKnown(const NamedWeights& named) {
+void RouteConfiguration::onWeightsKnown(const AnnouncedWeights& named) {
   auto& newest = newestWeightsKnown_[named.model];
   newest = std::max(newest, named.version);
   if (eras_.writingAgain()) takeKnownWeights();
@@ -137,9 +139,9 @@
 void RouteConfiguration::takeKnownWeights() {
   for (const auto& [model, version] : newestWeightsKnown_) {
     if (version <= targets_.newest(model)) continue;
-    const NamedWeights named{model, version};
-    VersionNews news;
-    news.namedAfter = completeAt();
+    const AnnouncedWeights named{model, version};
+    AnnouncementTime news;
+    news.announcedAfter = completeAt();
     news.provisional = true;
     if (!take(named, news)) continue;
     log_.write(base::Event::kWeightsNamed,
@@ -148,18 +150,18 @@
   }
 }
 
-bool RouteConfiguration::take(const NamedWeights& named, const VersionNews& news) {
-  if (!news.namedAfter) return targets_.onFound(named.model, named.version, clock_.now());
+bool RouteConfiguration::take(const AnnouncedWeights& named, const AnnouncementTime& news) {
+  if (!news.announcedAfter) return targets_.onFound(named.model, named.version, clock_.now());
   const auto newest = targets_.newest(named.model);
   // Others may know well when this version was named and tell nothing of one before it that this
   // node never saw: that one is no older than the node's own last proof.
   if (newest != 0 && named.version > newest + 1) {
     if (const auto provedAt = completeAt()) {
       const auto unseenAfter = std::max(*provedAt, news.unreachableAt.value_or(*provedAt));
-      targets_.onNamed(named.model, newest + 1, std::min(unseenAfter, *news.namedAfter));
+      targets_.onNamed(named.model, newest + 1, std::min(unseenAfter, *news.announcedAfter));
     }
   }
-  return targets_.onNamed(named.model, named.version, *news.namedAfter, news.provisional);
+  return targets_.onNamed(named.model, named.version, *news.announcedAfter, news.provisional);
 }
 
 void RouteConfiguration::onRemoved(const clients::FeedRow& row) {
--- a/src/node/route_configuration.h
+++ b/src/node/route_configuration.h
@@ -6,8 +6,8 @@
 ///
 /// The service may come back from a copy that lacks what operators wrote last, until they have
 /// written it again. Operators' own version numbers only rise, and nodes tell each other the newest
-/// that they know (node/fleet_knowledge.h). So a copy proves the configuration when operators have
-/// had the time to write again, and it holds the newest version that any node is known to have
+/// that they know (node/configuration_gossip.h). So a copy proves the configuration when operators
+/// have had the time to write again, and it holds the newest version that any node is known to have
 /// seen. Until then the last proof before the return counts, and no keys are accepted once that is
 /// too old.
 #pragma once
@@ -31,16 +31,16 @@
 namespace covewing::node {
 
 /// A model's weights as operators name them.
-struct NamedWeights {
+struct AnnouncedWeights {
   std::string model;
   base::WeightsVersion version = 0;
 };
 
 /// What is known of when a version was named, on this node's clock.
-struct VersionNews {
+struct AnnouncementTime {
   /// Its time counts from this: it was named later, or nobody could learn of it before; empty when
   /// nobody knows.
-  std::optional<base::TimePoint> namedAfter;
+  std::optional<base::TimePoint> announcedAfter;
   /// The service could not be reached at this moment, the latest before the version became known;
   /// empty when it could be.
   std::optional<base::TimePoint> unreachableAt;
@@ -55,12 +55,12 @@
   /// Whether the row with this key holds the route table.
   virtual bool isRouteTable(std::string_view key) const = 0;
   /// Whether the row with this key names weights.
-  virtual bool isNamedWeights(std::string_view key) const = 0;
+  virtual bool isAnnouncedWeights(std::string_view key) const = 0;
   /// Empty with the reason when the row is malformed.
   virtual std::optional<config::RouteTableContents> readRouteTable(std::string_view value,
                                                                    base::Reason& reason) const = 0;
-  virtual std::optional<NamedWeights> readWeights(std::string_view value,
-                                                  base::Reason& reason) const = 0;
+  virtual std::optional<AnnouncedWeights> readWeights(std::string_view value,
+                                                      base::Reason& reason) const = 0;
 };
 
 class RouteConfiguration final : public config::TableWatchListener,
@@ -68,7 +68,7 @@
  public:
   using TableListener = std::function<void(const config::RouteTable&)>;
   /// Told of each newer version.
-  using WeightsListener = std::function<void(const NamedWeights&, const VersionNews&)>;
+  using WeightsListener = std::function<void(const AnnouncedWeights&, const AnnouncementTime&)>;
 
   /// All must outlive the configuration.
   RouteConfiguration(const ConfigurationRowReader& reader, base::Clock& clock, base::EventLog& log,
@@ -77,14 +77,16 @@
 
   /// Where the freshness is taken from; before that nothing is confirmed.
   void setWatch(const config::TableWatch& watch) { watch_ = &watch; }
-  void onTable(TableListener listener) { tableListener_ = std::move(listener); }
-  void onWeights(WeightsListener listener) { weightsListener_ = std::move(listener); }
+  void setTableListener(TableListener listener) { tableListener_ = std::move(listener); }
+  void setWeightsListener(WeightsListener listener) { weightsListener_ = std::move(listener); }
   /// Called when the feed has brought the copy up to date, before that proves anything.
-  void onCopied(std::function<void()> listener) { copiedListener_ = std::move(listener); }
+  void setFeedCurrentListener(std::function<void()> listener) {
+    copiedListener_ = std::move(listener);
+  }
   /// Another node has seen this version of the route table.
   void onTableKnown(std::uint64_t version) { newestKnown_ = std::max(newestKnown_, version); }
   /// Another node has seen this version of a model's weights.
-  void onWeightsKnown(const NamedWeights& named);
+  void onWeightsKnown(const AnnouncedWeights& named);
   /// The service came back from a copy, which may lack weights that other nodes have seen named.
   void onStoreReturned() { takeKnownWeights(); }
 
@@ -116,10 +118,10 @@
   void takeKnownWeights();
   /// The row's change was made after this moment; empty when nobody knows.
   std::optional<base::TimePoint> changedAfter(const clients::FeedRow& row) const;
-  VersionNews newsOf(const NamedWeights& named, const clients::FeedRow& row,
-                     config::RowSource source) const;
+  AnnouncementTime newsOf(const AnnouncedWeights& named, const clients::FeedRow& row,
+                          config::RowSource source) const;
   /// Takes the version into the targets; false when it is not newer.
-  bool take(const NamedWeights& named, const VersionNews& news);
+  bool take(const AnnouncedWeights& named, const AnnouncementTime& news);
 
   const ConfigurationRowReader& reader_;
   base::Clock& clock_;
--- a/src/node/wake_gate.cc
+++ b/src/node/wake_gate.cc
@@ -17,7 +17,7 @@
   look();
 }
 
-void WakeGate::pass(std::function<void()> action) {
+void WakeGate::runWhenOpen(std::function<void()> action) {
   if (closed_) {
     held_.push_back(std::move(action));
   } else {
--- a/src/node/wake_gate.h
+++ b/src/node/wake_gate.h
@@ -32,7 +32,7 @@
   /// Whether requests are held.
   bool closed() const { return closed_; }
   /// Runs the action now, or in order with others once the gate opens.
-  void pass(std::function<void()> action);
+  void runWhenOpen(std::function<void()> action);
 
  private:
   void look();
--- a/src/node/weights_coordinator.h
+++ b/src/node/weights_coordinator.h
@@ -61,7 +61,7 @@
   /// Planned stop: orders nothing more and hands the lease over; `done` is called once.
   void drain(std::function<void()> done);
   /// This node is one of the few that may hold the lease.
-  bool competes() const { return lease_.status().candidate; }
+  bool isLeaseCandidate() const { return lease_.status().candidate; }
   bool holdsLease() const { return lease_.grant().has_value(); }
   void onPeerMessage(const base::PeerIdentity& sender, std::string_view payload) override;
   /// The table service came back from a copy.
--- a/tests/live/relay_fleet.h
+++ b/tests/live/relay_fleet.h
@@ -68,7 +68,7 @@
 class OneRoute final : public node::ConfigurationRowReader {
  public:
   bool isRouteTable(std::string_view key) const override { return key == "routes"; }
-  bool isNamedWeights(std::string_view /*key*/) const override { return false; }
+  bool isAnnouncedWeights(std::string_view /*key*/) const override { return false; }
   std::optional<config::RouteTableContents> readRouteTable(
       std::string_view /*value*/, base::Reason& /*reason*/) const override {
     config::RouteTableContents contents;
@@ -87,8 +87,8 @@
     contents.tenants = {{"tenant", {"key"}, 1, false, std::nullopt}};
     return contents;
   }
-  std::optional<node::NamedWeights> readWeights(std::string_view /*value*/,
-                                                base::Reason& /*reason*/) const override {
+  std::optional<node::AnnouncedWeights> readWeights(std::string_view /*value*/,
+                                                    base::Reason& /*reason*/) const override {
     return std::nullopt;
   }
 };
--- a/tests/node/weights_dating_test.cc
+++ b/tests/node/announcement_time_resolver_test.cc
@@ -8,11 +8,12 @@
 //
 // Node 2, which had run all the time, went on sending to replicas of version 1 until 9.87 s, where
 // node 4 stopped at 8.82 s. Who learns of a version as a change did not ask when it had been named.
+#include "node/announcement_time_resolver.h"
+
 #include <boost/test/unit_test.hpp>
 #include <charconv>
 
 #include "config/feed_fleet.h"
-#include "node/version_dating.h"
 #include "request/fakes.h"
 
 namespace covewing::node {
@@ -31,14 +32,14 @@
 class WeightsReader final : public ConfigurationRowReader {
  public:
   bool isRouteTable(std::string_view /*key*/) const override { return false; }
-  bool isNamedWeights(std::string_view key) const override { return key == kWeightsRow; }
+  bool isAnnouncedWeights(std::string_view key) const override { return key == kWeightsRow; }
   std::optional<config::RouteTableContents> readRouteTable(
       std::string_view /*value*/, base::Reason& /*reason*/) const override {
     return std::nullopt;
   }
-  std::optional<NamedWeights> readWeights(std::string_view value,
-                                          base::Reason& /*reason*/) const override {
-    NamedWeights named{std::string{kModel}, 0};
+  std::optional<AnnouncedWeights> readWeights(std::string_view value,
+                                              base::Reason& /*reason*/) const override {
+    AnnouncedWeights named{std::string{kModel}, 0};
     std::from_chars(value.data(), value.data() + value.size(), named.version);
     return named;
   }
@@ -72,9 +73,10 @@
         watch({"t"}, time, time, node.random, feed, configuration) {
     node.silent = true;
     configuration.setWatch(watch);
-    configuration.onWeights([this](const NamedWeights& named, const VersionNews& news) {
-      dating.onWeights(named, news);
-    });
+    configuration.setWeightsListener(
+        [this](const AnnouncedWeights& named, const AnnouncementTime& news) {
+          dating.onVersionAnnounced(named, news);
+        });
     watch.start();
   }
 
@@ -83,8 +85,8 @@
   config::SharedFeed feed;
   WeightsReader reader;
   routing::WeightsTargets targets{{seconds(8), milliseconds(1200)}};
-  WeightsDates dates;
-  VersionDating dating;
+  AnnouncementTimeStore dates;
+  AnnouncementTimeResolver dating;
   RouteConfiguration configuration;
   config::TableWatch watch;
 };
@@ -181,9 +183,10 @@
   fleet.time.advance(seconds(1));
   Watching started(fleet, *fleet.nodes.front());
   bool dateKnown = true;
-  started.configuration.onWeights([&](const NamedWeights& /*named*/, const VersionNews& news) {
-    dateKnown = news.namedAfter.has_value();
-  });
+  started.configuration.setWeightsListener(
+      [&](const AnnouncedWeights& /*named*/, const AnnouncementTime& news) {
+        dateKnown = news.announcedAfter.has_value();
+      });
   fleet.time.advance(milliseconds(100));
   BOOST_TEST(!dateKnown);
   const auto now = fleet.time.now();
@@ -221,8 +224,8 @@
 
 BOOST_AUTO_TEST_CASE(DateThatWasWrittenBeforeTheServiceWasLostPrevails) {
   request::FakeTable table{fleet.time};
-  WeightsDates seeing{table, fleet.time, fleet.time,
-                      [this] { return nodes.back()->watch.serviceTime(); }};
+  AnnouncementTimeStore seeing{table, fleet.time, fleet.time,
+                               [this] { return nodes.back()->watch.serviceTime(); }};
   const auto due = name("2");
   seeing.write(std::string{kModel}, 2);
   fleet.time.advance(milliseconds(100));
@@ -241,8 +244,8 @@
 //     6.581 s  event=3008 name=WeightsNamed version="2" from="feed" age_at_most_ms="1658"
 BOOST_AUTO_TEST_CASE(DateOfThoseThatSawTheVersionPrevailsOverTheOwnOutage) {
   request::FakeTable table{fleet.time};
-  WeightsDates seeing{table, fleet.time, fleet.time,
-                      [this] { return nodes.back()->watch.serviceTime(); }};
+  AnnouncementTimeStore seeing{table, fleet.time, fleet.time,
+                               [this] { return nodes.back()->watch.serviceTime(); }};
   Started running(fleet, table);
   fleet.time.advance(seconds(30));
   BOOST_REQUIRE(running.targets.newest(kModel) == 1U);
@@ -261,18 +264,19 @@
 BOOST_AUTO_TEST_CASE(NodeThatIsToldLateTakesTheDateOfTheTableService) {
   request::FakeTable table{fleet.time};
   const auto serviceTime = [this] { return nodes.back()->watch.serviceTime(); };
-  WeightsDates firstBack{table, fleet.time, fleet.time, serviceTime};
+  AnnouncementTimeStore firstBack{table, fleet.time, fleet.time, serviceTime};
   PausedFeed feed;
   WeightsReader reader;
   test_support::RecordingLog log;
   routing::WeightsTargets targets{{seconds(8), milliseconds(1200)}};
-  WeightsDates dates{table, fleet.time, fleet.time, serviceTime};
-  VersionDating dating(fleet.time, log, targets, dates);
+  AnnouncementTimeStore dates{table, fleet.time, fleet.time, serviceTime};
+  AnnouncementTimeResolver dating(fleet.time, log, targets, dates);
   const config::StoreEras eras{fleet.time, log};
   RouteConfiguration configuration(reader, fleet.time, log, targets, eras);
-  configuration.onWeights([&dating](const NamedWeights& named, const VersionNews& news) {
-    dating.onWeights(named, news);
-  });
+  configuration.setWeightsListener(
+      [&dating](const AnnouncedWeights& named, const AnnouncementTime& news) {
+        dating.onVersionAnnounced(named, news);
+      });
   base::SeededRandom random{1};
   config::TableWatch watch({"t"}, fleet.time, fleet.time, random, feed, configuration);
   configuration.setWatch(watch);
@@ -298,9 +302,9 @@
   Started running(fleet, table);
   fleet.time.advance(seconds(30));
   const auto now = fleet.time.now();
-  const NamedWeights named{std::string{kModel}, 2};
+  const AnnouncedWeights named{std::string{kModel}, 2};
   running.targets.onNamed(named.model, named.version, now, true);
-  running.dating.onWeights(named, {now, now - seconds(60), true});
+  running.dating.onVersionAnnounced(named, {now, now - seconds(60), true});
   fleet.time.advance(milliseconds(100));
   BOOST_TEST(running.targets.oldestAllowed(kModel, now + seconds(6)) == 1U);
 }
--- a/tests/node/weights_dates_test.cc
+++ b/tests/node/announcement_time_store_test.cc
@@ -1,9 +1,9 @@
 // How long ago a version was named, for nodes that start later.
-#include "node/weights_dates.h"
+#include "node/announcement_time_store.h"
 
 #include <boost/test/unit_test.hpp>
 
-#include "node/version_dating.h"
+#include "node/announcement_time_resolver.h"
 #include "request/fakes.h"
 #include "routing/weights_targets.h"
 #include "support/memory_table_service.h"
@@ -37,8 +37,8 @@
   base::Duration clockLead = seconds(1000);
   VirtualTime time;
   FakeTable table{time};
-  WeightsDates seeing{table, time, time, [this] { return serviceTime(); }};
-  WeightsDates starting{table, time, time, [this] { return serviceTime(); }};
+  AnnouncementTimeStore seeing{table, time, time, [this] { return serviceTime(); }};
+  AnnouncementTimeStore starting{table, time, time, [this] { return serviceTime(); }};
 };
 
 }  // namespace
@@ -66,7 +66,7 @@
 BOOST_AUTO_TEST_CASE(FirstDateStays) {
   seeing.write("m", 4);
   time.advance(seconds(5));
-  WeightsDates late{table, time, time, [this] { return serviceTime(); }};
+  AnnouncementTimeStore late{table, time, time, [this] { return serviceTime(); }};
   late.write("m", 4);
   time.advance(seconds(1));
   BOOST_TEST((lookUp(4) >= seconds(6)));
@@ -102,8 +102,8 @@
 // the next ones knew it and did not write, so that nodes that started then found no date.
 BOOST_AUTO_TEST_CASE(NodeThatBecomesResponsibleWritesWhatItKnows) {
   bool responsible = false;
-  WeightsDates next{table, time, time, [this] { return serviceTime(); },
-                    [&](bool /*last*/) { return responsible; }};
+  AnnouncementTimeStore next{table, time, time, [this] { return serviceTime(); },
+                             [&](bool /*last*/) { return responsible; }};
   next.writeWhenResponsible("m", 4, seconds(1));
   time.advance(seconds(1));
   BOOST_TEST(table.commits.empty());
@@ -121,7 +121,8 @@
   table.clockOffset = seconds(1000);
   seeing.write("m", 4);
   time.advance(seconds(5));
-  WeightsDates late{table, time, time, [this] { return *serviceTime() - milliseconds(800); }};
+  AnnouncementTimeStore late{table, time, time,
+                             [this] { return *serviceTime() - milliseconds(800); }};
   std::optional<base::Duration> found;
   late.lookUp("m", 4, [&](const std::vector<VersionAge>& ages) { found = ages.back().age; });
   time.advance(table.latency);
@@ -134,7 +135,7 @@
 BOOST_AUTO_TEST_CASE(EarlierDateOfAVersionTakesThePlaceOfALaterOne) {
   seeing.write("m", 4, seconds(1));
   time.advance(seconds(1));
-  WeightsDates other{table, time, time, [this] { return serviceTime(); }};
+  AnnouncementTimeStore other{table, time, time, [this] { return serviceTime(); }};
   other.write("m", 4, seconds(6));
   time.advance(seconds(1));
   BOOST_TEST((lookUp(4) >= seconds(7)));
@@ -152,8 +153,8 @@
 }
 
 BOOST_AUTO_TEST_CASE(NodeThatIsNeverResponsibleWritesNothing) {
-  WeightsDates other{table, time, time, [this] { return serviceTime(); },
-                     [](bool /*last*/) { return false; }};
+  AnnouncementTimeStore other{table, time, time, [this] { return serviceTime(); },
+                              [](bool /*last*/) { return false; }};
   other.writeWhenResponsible("m", 4, seconds(1));
   time.advance(seconds(20));
   BOOST_TEST(table.commits.empty());
@@ -161,8 +162,8 @@
 
 // Those that usually write were turned away by the service; in the end others that know write.
 BOOST_AUTO_TEST_CASE(OthersWriteInTheEnd) {
-  WeightsDates other{table, time, time, [this] { return serviceTime(); },
-                     [](bool last) { return last; }};
+  AnnouncementTimeStore other{table, time, time, [this] { return serviceTime(); },
+                              [](bool last) { return last; }};
   other.writeWhenResponsible("m", 4, seconds(1));
   time.advance(seconds(5));
   const auto age = lookUp(4);
@@ -225,11 +226,11 @@
   test_support::MemoryTableService service(time, time, "own");
   test_support::RecordingLog log;
   routing::WeightsTargets targets{{seconds(8), milliseconds(1200)}};
-  WeightsDates dates(service, time, time, [&service] { return service.serviceTime(); });
-  VersionDating dating(time, log, targets, dates);
+  AnnouncementTimeStore dates(service, time, time, [&service] { return service.serviceTime(); });
+  AnnouncementTimeResolver dating(time, log, targets, dates);
   const auto copy = service.copy();
   targets.onNamed(model, 4, time.now());
-  dating.onWeights({model, 4}, {time.now(), std::nullopt});
+  dating.onVersionAnnounced({model, 4}, {time.now(), std::nullopt});
   time.advance(seconds(5));
   BOOST_TEST(service.ownRows("weights-named/").size() == 1U);
   service.returnFrom(copy);
@@ -237,7 +238,7 @@
   time.advance(seconds(1));
   BOOST_REQUIRE(service.ownRows("weights-named/").size() == 1U);
   std::optional<base::Duration> age;
-  WeightsDates later(service, time, time, [&service] { return service.serviceTime(); });
+  AnnouncementTimeStore later(service, time, time, [&service] { return service.serviceTime(); });
   later.lookUp(model, 4, [&age](const std::vector<VersionAge>& ages) {
     if (!ages.empty()) age = ages.back().age;
   });
--- a/tests/node/cache_store_news_test.cc
+++ b/tests/node/cache_store_gossip_test.cc
@@ -1,5 +1,5 @@
 // What nodes tell each other of the stores of kept cache.
-#include "node/cache_store_news.h"
+#include "node/cache_store_gossip.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -55,7 +55,7 @@
   }
   Directory directory;
   routing::CacheStores stores;
-  CacheStoreNews news;
+  CacheStoreGossip news;
 };
 
 }  // namespace
--- a/tests/node/configuration_return_test.cc
+++ b/tests/node/configuration_return_test.cc
@@ -5,7 +5,7 @@
 #include <charconv>
 
 #include "config/feed_fleet.h"
-#include "node/fleet_knowledge.h"
+#include "node/configuration_gossip.h"
 #include "node/route_configuration.h"
 #include "support/shared_records.h"
 
@@ -32,16 +32,16 @@
 class NumberReader final : public ConfigurationRowReader {
  public:
   bool isRouteTable(std::string_view key) const override { return key == kTableRow; }
-  bool isNamedWeights(std::string_view key) const override { return key == kWeightsRow; }
+  bool isAnnouncedWeights(std::string_view key) const override { return key == kWeightsRow; }
   std::optional<config::RouteTableContents> readRouteTable(
       std::string_view value, base::Reason& /*reason*/) const override {
     config::RouteTableContents contents;
     contents.version = numberOf(value);
     return contents;
   }
-  std::optional<NamedWeights> readWeights(std::string_view value,
-                                          base::Reason& /*reason*/) const override {
-    return NamedWeights{kModel, numberOf(value)};
+  std::optional<AnnouncedWeights> readWeights(std::string_view value,
+                                              base::Reason& /*reason*/) const override {
+    return AnnouncedWeights{kModel, numberOf(value)};
   }
 };
 
@@ -55,21 +55,25 @@
              {fleet.time, node.timers, node.random, log, node.wire, node.directory, service, eras}),
         configuration(reader, fleet.time, log, targets, eras),
         watch({"t"}, fleet.time, node.timers, node.random, feed, configuration),
-        knowledge({records, eras, configuration, [this] { return watch.serviceTime(); }}) {
+        configurationGossip(
+            {records, eras, configuration, [this] { return watch.serviceTime(); }}) {
     configuration.setWatch(watch);
-    configuration.onCopied([this] { knowledge.onCopied(); });
-    configuration.onTable(
-        [this](const config::RouteTable& table) { knowledge.tellTable(table.version()); });
-    configuration.onWeights(
-        [this](const NamedWeights& named, const VersionNews&) { knowledge.tellWeights(named); });
+    configuration.setFeedCurrentListener([this] { configurationGossip.onFeedCurrent(); });
+    configuration.setTableListener([this](const config::RouteTable& table) {
+      configurationGossip.publishTableVersion(table.version());
+    });
+    configuration.setWeightsListener(
+        [this](const AnnouncedWeights& named, const AnnouncementTime&) {
+          configurationGossip.publishWeightsVersion(named);
+        });
     eras.onReturn([this](const config::StoreReturn&) {
       watch.onStoreReturned();
-      knowledge.onStoreReturned();
+      configurationGossip.onStoreReturned();
       configuration.onStoreReturned();
     });
   }
   void start() {
-    knowledge.start();
+    configurationGossip.start();
     watch.start();
   }
   std::uint64_t version() const {
@@ -86,7 +90,7 @@
   RouteConfiguration configuration;
   config::TableWatch watch;
   test_support::SharedRecords records;
-  FleetKnowledge knowledge;
+  ConfigurationGossip configurationGossip;
 };
 
 /// Two nodes that reach the service themselves, and not each other but by gossip.
--- a/tests/node/node_count_test.cc
+++ b/tests/node/node_count_test.cc
@@ -50,10 +50,10 @@
   test_support::VirtualTime time;
   CountedMembers members{1};
   NodeCountOptions options;
-  options.trustsBeingAlone = false;
+  options.trustsSingleNodeView = false;
   NodeCount count{members, time, options};
   time.advance(minutes(1));
-  BOOST_TEST(count() == options.atFirst);
+  BOOST_TEST(count() == options.assumedNodes);
   members.see(3);
   BOOST_TEST(count() == 3U);
 }
--- a/tests/node/unread_configuration_test.cc
+++ b/tests/node/unread_configuration_test.cc
@@ -18,7 +18,7 @@
 class NumberReader final : public ConfigurationRowReader {
  public:
   bool isRouteTable(std::string_view key) const override { return key == "a"; }
-  bool isNamedWeights(std::string_view /*key*/) const override { return false; }
+  bool isAnnouncedWeights(std::string_view /*key*/) const override { return false; }
   std::optional<config::RouteTableContents> readRouteTable(std::string_view value,
                                                            base::Reason& reason) const override {
     reason = {base::ResultCode::kInvalidField, "not a number"};
@@ -27,8 +27,8 @@
     contents.version = std::stoull(std::string{value});
     return contents;
   }
-  std::optional<NamedWeights> readWeights(std::string_view /*value*/,
-                                          base::Reason& /*reason*/) const override {
+  std::optional<AnnouncedWeights> readWeights(std::string_view /*value*/,
+                                              base::Reason& /*reason*/) const override {
     return std::nullopt;
   }
 };
--- a/tests/node/wake_gate_test.cc
+++ b/tests/node/wake_gate_test.cc
@@ -16,7 +16,7 @@
 
 struct GateFixture {
   void arrive(char name) {
-    gate.pass([this, name] { passed += name; });
+    gate.runWhenOpen([this, name] { passed += name; });
   }
   std::string fieldOfTheEvent(std::string_view name) const {
     for (const auto& [event, fields] : log.entries) {
--- a/tests/platform/row_readers_test.cc
+++ b/tests/platform/row_readers_test.cc
@@ -128,7 +128,7 @@
   const ConfigurationReader reader;
   BOOST_TEST(reader.isRouteTable("config"));
   BOOST_TEST(!reader.isRouteTable("config2"));
-  BOOST_TEST(reader.isNamedWeights("version/daka510000"));
+  BOOST_TEST(reader.isAnnouncedWeights("version/daka510000"));
   base::Reason reason;
   const auto named = reader.readWeights(R"({"model":"daka510000","version":2})", reason);
   BOOST_TEST(named->version == 2U);
