--- a/src/live/asio_runtime.h
+++ b/src/live/asio_runtime.h
@@ -23,7 +23,7 @@
 };
 
 /// Timers on an io_context, by the boot-time clock: those that came due while the machine was
-/// suspended run in their order within BootWaitTraits::kLongestWait of the wake. Destroying the
+/// suspended run in their order within BootWaitTraits::kMaximumWait of the wake. Destroying the
 /// service forgets all timers.
 class AsioTimerService final : public base::TimerService {
  public:
--- a/src/live/boot_clock.cc
+++ b/src/live/boot_clock.cc
@@ -28,7 +28,7 @@
 
 base::Duration suspendedTime() { return sinceBoot() - read(CLOCK_MONOTONIC); }
 
-void stateSuspension(base::Duration duration) {
+void simulateSuspension(base::Duration duration) {
   statedOffset.fetch_add(duration.count(), std::memory_order_relaxed);
 }
 
--- a/src/live/boot_clock.h
+++ b/src/live/boot_clock.h
@@ -2,7 +2,7 @@
 /// The clock and the timers of live nodes. They count the time that the machine is suspended.
 ///
 /// Asio waits by CLOCK_MONOTONIC, which stands still during a suspension. A timer here is due by
-/// the boot-time clock, and the loop waits at most `kLongestWait` before it compares due times with
+/// the boot-time clock, and the loop waits at most `kMaximumWait` before it compares due times with
 /// that clock again: so much later than its time does a timer run after a wake, at most.
 #pragma once
 
@@ -30,16 +30,16 @@
 
 /// Lets the boot-time clock of this process jump ahead as if the machine had been suspended for so
 /// long. For tests: a process cannot suspend its machine. May be called on any thread.
-void stateSuspension(base::Duration duration);
+void simulateSuspension(base::Duration duration);
 
 /// How long a loop waits for a timer without a look at the boot-time clock.
 struct BootWaitTraits {
   /// A fifth of the shortest hold of a request (250 ms); 20 looks a second cost 0.08% of a core.
-  static constexpr base::Duration kLongestWait = std::chrono::milliseconds(50);
+  static constexpr base::Duration kMaximumWait = std::chrono::milliseconds(50);
 
   static base::Duration to_wait_duration(  // NOLINT(readability-identifier-naming): set by Asio
       base::Duration left) {
-    return std::min(left, kLongestWait);
+    return std::min(left, kMaximumWait);
   }
   static base::Duration to_wait_duration(  // NOLINT(readability-identifier-naming): set by Asio
       const BootClock::time_point& due) {
--- a/src/live/caller_call.cc
+++ b/src/live/caller_call.cc
@@ -29,7 +29,7 @@
   exchange_->onDisconnect([this] { onDisconnect(); });
   exchange_->onPressure([this](bool high) { onPressure(high); });
   request_ = environment_.node.requests().complete(std::move(request), *this);
-  answer_ = std::make_unique<CompletionAnswer>(kind_, request_->id(), model_, created);
+  answer_ = std::make_unique<CompletionResponse>(kind_, request_->id(), model_, created);
 }
 
 void CompletionCall::beginStream() {
--- a/src/live/caller_call.h
+++ b/src/live/caller_call.h
@@ -8,8 +8,8 @@
 #include <string>
 
 #include "live/caller_gateway.h"
-#include "live/completion_answer.h"
 #include "live/completion_body.h"
+#include "live/completion_response.h"
 #include "request/caller_request.h"
 
 namespace covewing::live {
@@ -52,7 +52,7 @@
   bool firstToken_ = false;
   bool streaming_ = false;
   std::string text_;
-  std::unique_ptr<CompletionAnswer> answer_;
+  std::unique_ptr<CompletionResponse> answer_;
   std::unique_ptr<request::ActiveRequest> request_;
 };
 
--- a/src/live/completion_answer.cc
+++ b/src/live/completion_response.cc
@@ -1,4 +1,4 @@
-#include "live/completion_answer.h"
+#include "live/completion_response.h"
 
 #include <nlohmann/json.hpp>
 
@@ -47,8 +47,8 @@
 
 }  // namespace
 
-CompletionAnswer::CompletionAnswer(CompletionKind kind, const base::RequestId& id,
-                                   std::string model, std::int64_t created)
+CompletionResponse::CompletionResponse(CompletionKind kind, const base::RequestId& id,
+                                       std::string model, std::int64_t created)
     : kind_(kind),
       id_((kind == CompletionKind::kChat ? "chatcmpl-" : "cmpl-") + id.value),
       model_(std::move(model)),
@@ -64,18 +64,18 @@
   chunkSuffix_ = text.substr(place + kPlaceholder.size() + 1);
 }
 
-std::string CompletionAnswer::firstEvent() const {
+std::string CompletionResponse::firstEvent() const {
   if (kind_ == CompletionKind::kText) return {};
   auto chunk = envelope(kind_, id_, created_, model_, true);
   chunk["choices"] = {choice("delta", {{"role", "assistant"}, {"content", ""}}, nullptr)};
   return event(chunk);
 }
 
-std::string CompletionAnswer::chunkEvent(std::string_view text) const {
+std::string CompletionResponse::chunkEvent(std::string_view text) const {
   return chunkPrefix_ + dump(Json(text)) + chunkSuffix_;
 }
 
-std::string CompletionAnswer::endEvents(const clients::StreamEnd& end) const {
+std::string CompletionResponse::endEvents(const clients::StreamEnd& end) const {
   auto chunk = envelope(kind_, id_, created_, model_, true);
   chunk["choices"] = {kind_ == CompletionKind::kChat
                           ? choice("delta", Json::object(), end.finishReason)
@@ -84,8 +84,8 @@
   return event(chunk) + std::string{kDone};
 }
 
-std::string CompletionAnswer::wholeBody(std::string_view text,
-                                        const clients::StreamEnd& end) const {
+std::string CompletionResponse::wholeBody(std::string_view text,
+                                          const clients::StreamEnd& end) const {
   auto body = envelope(kind_, id_, created_, model_, false);
   body["choices"] = {
       kind_ == CompletionKind::kChat
--- a/src/live/completion_answer.h
+++ b/src/live/completion_response.h
@@ -14,11 +14,11 @@
 namespace covewing::live {
 
 /// Writes the events of one answer.
-class CompletionAnswer {
+class CompletionResponse {
  public:
   /// `created` is in seconds since the Unix epoch.
-  CompletionAnswer(CompletionKind kind, const base::RequestId& id, std::string model,
-                   std::int64_t created);
+  CompletionResponse(CompletionKind kind, const base::RequestId& id, std::string model,
+                     std::int64_t created);
 
   /// First event of a streamed chat answer, which names the role; empty for text completions.
   std::string firstEvent() const;
--- a/src/live/operator_gateway.cc
+++ b/src/live/operator_gateway.cc
@@ -1,6 +1,6 @@
 #include "live/operator_gateway.h"
 
-#include "live/completion_answer.h"
+#include "live/completion_response.h"
 
 namespace covewing::live {
 
--- a/src/live/peer_traffic.cc
+++ b/src/live/peer_traffic.cc
@@ -41,15 +41,15 @@
   return known != inZone_.end() && known->second;
 }
 
-void PeerTraffic::onSent(const base::Endpoint& destination, base::Channel channel,
-                         std::size_t bytes) {
+void PeerTraffic::recordSent(const base::Endpoint& destination, base::Channel channel,
+                             std::size_t bytes) {
   auto& traffic = channels_.at(static_cast<std::size_t>(channel));
   ++traffic.frames;
   (inZone(destination) ? traffic.bytesInZone : traffic.bytesToOtherZones) += bytes;
 }
 
-void PeerTraffic::writeTo(base::EventLog& log) const {
-  for (std::size_t number = 1; number < kChannelNumbers; ++number) {
+void PeerTraffic::logTotals(base::EventLog& log) const {
+  for (std::size_t number = 1; number < kChannelArraySize; ++number) {
     const auto& traffic = channels_.at(number);
     if (traffic.frames == 0) continue;
     log.write(base::Event::kPeerTraffic,
--- a/src/live/peer_traffic.h
+++ b/src/live/peer_traffic.h
@@ -23,7 +23,7 @@
 };
 
 /// Channels are numbered from 1.
-inline constexpr std::size_t kChannelNumbers = static_cast<std::size_t>(base::kLastChannel) + 1;
+inline constexpr std::size_t kChannelArraySize = static_cast<std::size_t>(base::kLastChannel) + 1;
 
 /// Name of a channel in metrics and logs.
 std::string_view channelName(base::Channel channel);
@@ -32,17 +32,17 @@
  public:
   explicit PeerTraffic(const membership::MemberDirectory& members) : members_(members) {}
 
-  void onSent(const base::Endpoint& destination, base::Channel channel, std::size_t bytes);
-  const std::array<ChannelTraffic, kChannelNumbers>& channels() const { return channels_; }
+  void recordSent(const base::Endpoint& destination, base::Channel channel, std::size_t bytes);
+  const std::array<ChannelTraffic, kChannelArraySize>& channels() const { return channels_; }
   /// Writes the sums since the start to the log (event PeerTraffic).
-  void writeTo(base::EventLog& log) const;
+  void logTotals(base::EventLog& log) const;
 
  private:
   /// Unknown members count as being in another zone.
   bool inZone(const base::Endpoint& destination);
 
   const membership::MemberDirectory& members_;
-  std::array<ChannelTraffic, kChannelNumbers> channels_{};
+  std::array<ChannelTraffic, kChannelArraySize> channels_{};
   /// Whether the member at an address is in this node's zone, by the members of `version_`.
   std::unordered_map<std::uint32_t, bool> inZone_;
   std::uint64_t version_ = 0;
--- a/src/live/peer_transport.cc
+++ b/src/live/peer_transport.cc
@@ -243,7 +243,9 @@
   }
 }
 
-void AsioPeerTransport::onSent(SentObserver observer) { impl_->observer = std::move(observer); }
+void AsioPeerTransport::setSentObserver(SentObserver observer) {
+  impl_->observer = std::move(observer);
+}
 
 const PeerTransportCounters& AsioPeerTransport::counters() const { return impl_->counters; }
 
--- a/src/live/peer_transport.h
+++ b/src/live/peer_transport.h
@@ -52,7 +52,7 @@
   /// Called with each frame that is sent; bytes without IP, UDP and TCP headers.
   using SentObserver =
       std::function<void(const base::Endpoint& destination, base::Channel, std::size_t bytes)>;
-  void onSent(SentObserver observer);
+  void setSentObserver(SentObserver observer);
 
   const PeerTransportCounters& counters() const;
 
--- a/src/live/limited_event_log.cc
+++ b/src/live/rate_limited_event_log.cc
@@ -1,4 +1,4 @@
-#include "live/limited_event_log.h"
+#include "live/rate_limited_event_log.h"
 
 #include <algorithm>
 #include <utility>
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-bool LimitedEventLog::takeFromBudget(base::TimePoint now) {
+bool RateLimitedEventLog::takeFromBudget(base::TimePoint now) {
   const double refill = base::toSeconds(now - refilledAt_) * options_.linesPerSecond;
   budget_ = std::min(options_.burst, budget_ + refill);
   refilledAt_ = now;
@@ -35,7 +35,7 @@
   return true;
 }
 
-void LimitedEventLog::reportDropped(base::TimePoint now) {
+void RateLimitedEventLog::reportDropped(base::TimePoint now) {
   if (dropped_.empty() || now - reportedAt_ < options_.report) return;
   reportedAt_ = now;
   for (const auto& [event, count] : std::exchange(dropped_, {})) {
@@ -45,7 +45,7 @@
   }
 }
 
-void LimitedEventLog::write(base::Event event, std::initializer_list<base::EventField> fields) {
+void RateLimitedEventLog::write(base::Event event, std::initializer_list<base::EventField> fields) {
   const auto now = clock_.now();
   reportDropped(now);
   if (isFleetChange(event) && !takeFromBudget(now)) {
--- a/src/live/limited_event_log.h
+++ b/src/live/rate_limited_event_log.h
@@ -16,7 +16,7 @@
 
 namespace covewing::live {
 
-struct LimitedEventLogOptions {
+struct RateLimitedEventLogOptions {
   /// Lines of fleet changes at once, and sustained. A fleet of ten nodes is told of whole.
   double burst = 60;
   double linesPerSecond = 2;
@@ -24,9 +24,9 @@
   base::Duration report = std::chrono::seconds(5);
 };
 
-class LimitedEventLog final : public base::EventLog {
+class RateLimitedEventLog final : public base::EventLog {
  public:
-  LimitedEventLog(LimitedEventLogOptions options, base::Clock& clock, base::EventLog& next)
+  RateLimitedEventLog(RateLimitedEventLogOptions options, base::Clock& clock, base::EventLog& next)
       : options_(options), clock_(clock), next_(next), budget_(options.burst) {}
 
   void write(base::Event event, std::initializer_list<base::EventField> fields) override;
@@ -35,7 +35,7 @@
   bool takeFromBudget(base::TimePoint now);
   void reportDropped(base::TimePoint now);
 
-  LimitedEventLogOptions options_;
+  RateLimitedEventLogOptions options_;
   base::Clock& clock_;
   base::EventLog& next_;
   double budget_;
--- a/src/live/relay_daemon.cc
+++ b/src/live/relay_daemon.cc
@@ -14,9 +14,9 @@
 #include "live/counting_event_log.h"
 #include "live/http_relay_client.h"
 #include "live/http_server.h"
-#include "live/limited_event_log.h"
 #include "live/peer_traffic.h"
 #include "live/peer_transport.h"
+#include "live/rate_limited_event_log.h"
 #include "live/relay_gateway.h"
 #include "live/relay_metrics.h"
 #include "live/relay_part_options.h"
@@ -259,8 +259,10 @@
     peers.start({membership.self().id, membership.self().incarnation, settings.peerEndpoint},
                 [this](const base::PeerIdentity& sender, base::Channel channel,
                        std::string_view payload) { onPeerMessage(sender, channel, payload); });
-    peers.onSent([this](const base::Endpoint& destination, base::Channel channel,
-                        std::size_t bytes) { traffic.onSent(destination, channel, bytes); });
+    peers.setSentObserver(
+        [this](const base::Endpoint& destination, base::Channel channel, std::size_t bytes) {
+          traffic.recordSent(destination, channel, bytes);
+        });
     reportTraffic();
     membership.start();
     configurationGossip.start();
@@ -322,7 +324,7 @@
 
   void reportTraffic() {
     trafficTimer = timers.schedule(kTrafficReport, [this] {
-      traffic.writeTo(log);
+      traffic.logTotals(log);
       reportTraffic();
     });
   }
@@ -413,7 +415,7 @@
   RelaySettings settings;
   RelayMetrics metrics;
   AsioClock clock;
-  LimitedEventLog limitedLog;
+  RateLimitedEventLog limitedLog;
   CountingEventLog log;
   RelayDeployment deployment;
   AsioTimerService timers;
--- a/src/live/relay_metrics.cc
+++ b/src/live/relay_metrics.cc
@@ -246,7 +246,7 @@
   raise(impl_->quotaMessages.Add({{"kind", "correction"}}), quotas.corrections);
   raise(impl_->quotaMessages.Add({{"kind", "silent_home"}}), quotas.unresponsiveHomes);
   raise(impl_->quotaMessages.Add({{"kind", "own_share"}}), quotas.localGrants);
-  for (std::size_t number = 1; number < kChannelNumbers; ++number) {
+  for (std::size_t number = 1; number < kChannelArraySize; ++number) {
     const auto& traffic = snapshot.traffic.at(number);
     const std::string channel{channelName(static_cast<base::Channel>(number))};
     raise(impl_->peerBytes.Add({{"channel", channel}, {"zone", "own"}}), traffic.bytesInZone);
--- a/src/live/relay_metrics.h
+++ b/src/live/relay_metrics.h
@@ -56,7 +56,7 @@
     std::size_t replicasChanging = 0;
     routing::PlacementCounters placement;
     admission::QuotaCounts quotas;
-    std::array<ChannelTraffic, kChannelNumbers> traffic{};
+    std::array<ChannelTraffic, kChannelArraySize> traffic{};
   };
   /// All metrics in the text exposition format.
   std::string render(const Snapshot& snapshot);
--- a/tests/live/completion_body_test.cc
+++ b/tests/live/completion_body_test.cc
@@ -3,7 +3,7 @@
 #include <boost/test/unit_test.hpp>
 #include <nlohmann/json.hpp>
 
-#include "live/completion_answer.h"
+#include "live/completion_response.h"
 #include "prefix/prompt.h"
 
 namespace covewing::live {
@@ -84,7 +84,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(StreamedChatHasTheApiShape) {
-  const CompletionAnswer answer(kChat, {"id-1"}, "rules", 5);
+  const CompletionResponse answer(kChat, {"id-1"}, "rules", 5);
   BOOST_TEST(dataOf(answer.firstEvent())["choices"][0]["delta"]["role"] == "assistant");
   const auto chunk = dataOf(answer.chunkEvent("a \"quote\"\n"));
   BOOST_TEST(chunk["id"] == "chatcmpl-id-1");
@@ -100,7 +100,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(WholeTextHasTheApiShape) {
-  const CompletionAnswer answer(kText, {"id-2"}, "rules", 5);
+  const CompletionResponse answer(kText, {"id-2"}, "rules", 5);
   const auto body = nlohmann::json::parse(answer.wholeBody("out", {1, 0, 1, "stop"}));
   BOOST_TEST(body["object"] == "text_completion");
   BOOST_TEST(body["choices"][0]["text"] == "out");
--- a/tests/live/limited_event_log_test.cc
+++ b/tests/live/rate_limited_event_log_test.cc
@@ -1,5 +1,5 @@
 // The bound on lines that tell of the fleet's changes.
-#include "live/limited_event_log.h"
+#include "live/rate_limited_event_log.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -17,7 +17,7 @@
 
   test_support::VirtualTime time;
   test_support::RecordingLog log;
-  LimitedEventLog limited{{}, time, log};
+  RateLimitedEventLog limited{{}, time, log};
 };
 
 }  // namespace
--- a/tests/live/suspended_machine_test.cc
+++ b/tests/live/suspended_machine_test.cc
@@ -25,7 +25,7 @@
 
 /// How late a timer may run after a wake: the loop's longest wait, and as much again for a busy
 /// machine.
-constexpr base::Duration kLateness = 2 * BootWaitTraits::kLongestWait;
+constexpr base::Duration kLateness = 2 * BootWaitTraits::kMaximumWait;
 
 /// The only member, and so the only candidate.
 struct OnlyMember final : membership::MemberDirectory {
@@ -74,7 +74,7 @@
   const AsioClock clock;
   const auto before = clock.now();
   const auto suspended = suspendedTime();
-  stateSuspension(seconds(10));
+  simulateSuspension(seconds(10));
   BOOST_TEST((clock.now() - before >= seconds(10)));
   BOOST_TEST((suspendedTime() - suspended >= seconds(10) - milliseconds(1)));
 }
@@ -87,7 +87,7 @@
   loop.timers.schedule(seconds(60), [&] { fired.push_back(60); });
   const auto cancelled = loop.timers.schedule(seconds(6), [&] { fired.push_back(6); });
   loop.context.run_for(milliseconds(10));
-  stateSuspension(seconds(10));
+  simulateSuspension(seconds(10));
   loop.timers.cancel(cancelled);
   loop.runUntil(kLateness, [&] { return fired.size() == 2; });
   loop.context.run_for(kLateness);
@@ -101,7 +101,7 @@
   deadline.set(seconds(2));
   deadline.set(seconds(5));
   loop.context.run_for(milliseconds(10));
-  stateSuspension(seconds(6));
+  simulateSuspension(seconds(6));
   BOOST_TEST(loop.runUntil(kLateness, [&] { return expired; }));
 }
 
@@ -118,7 +118,7 @@
                                    events);
   lease.start();
   BOOST_REQUIRE(loop.runUntil(seconds(2), [&] { return lease.grant().has_value(); }));
-  stateSuspension(options.duration);
+  simulateSuspension(options.duration);
   // Nothing has run since the wake.
   BOOST_TEST(!lease.grant().has_value());
   BOOST_TEST(loop.runUntil(seconds(2), [&] { return events.acquired == 2; }));
@@ -132,7 +132,7 @@
   fleet.run(milliseconds(200));
   BOOST_TEST(answer->status == 0U);
   // The route's time-out is 4 s.
-  stateSuspension(seconds(10));
+  simulateSuspension(seconds(10));
   fleet.run(2 * kLateness);
   BOOST_TEST(answer->status == 504U);
   BOOST_TEST(answer->answers == 1);
@@ -141,7 +141,7 @@
 BOOST_AUTO_TEST_CASE(NodesServeSoonAfterAWake) {
   RelayFleet fleet;
   // Longer than keys are accepted without a confirmation.
-  stateSuspension(seconds(10));
+  simulateSuspension(seconds(10));
   std::vector<std::shared_ptr<RelayFleet::Answer>> answers;
   for (std::size_t node = 0; node < RelayFleet::kNodes; ++node)
     answers.push_back(fleet.send(node, "hello", std::chrono::minutes(1)));
