--- a/src/live/daemon.cc
+++ b/src/live/daemon.cc
@@ -30,7 +30,7 @@
   HttpLimits limits;
   limits.headerBytes = settings.headerBytes;
   limits.bodyBytes = settings.bodyBytes;
-  limits.answerBufferBytes = settings.answerBufferBytes;
+  limits.responseBufferBytes = settings.answerBufferBytes;
   limits.connections = settings.connections;
   limits.stallTimeout = settings.stallTimeout;
   return limits;
@@ -150,7 +150,7 @@
     stopped = std::move(callback);
     callerServer.stopAccepting();
     node->drain(settings.drainBound, [this] {
-      callerServer.closeIdle();
+      callerServer.stopAcceptingAndCloseIdle();
       flushUntil = clock.now() + kFlushBound;
       flush();
     });
--- a/src/live/http_connection.cc
+++ b/src/live/http_connection.cc
@@ -211,7 +211,7 @@
 }
 
 void Connection::notePressure() {
-  const auto limit = owner_.limits().answerBufferBytes;
+  const auto limit = owner_.limits().responseBufferBytes;
   const auto buffered = bufferedBytes();
   const bool high = pressured_ ? buffered * 2 > limit : buffered > limit;
   if (high == pressured_) return;
--- a/src/live/http_server.cc
+++ b/src/live/http_server.cc
@@ -165,7 +165,7 @@
 void HttpServer::closeIdleConnections() {
   for (const auto& [key, connection] : core_->connections) connection->closeIfIdle();
 }
-void HttpServer::closeIdle() {
+void HttpServer::stopAcceptingAndCloseIdle() {
   core_->stopAccepting();
   closeIdleConnections();
 }
--- a/src/live/http_server.h
+++ b/src/live/http_server.h
@@ -28,7 +28,7 @@
   std::size_t headerBytes = 16U << 10U;
   std::size_t bodyBytes = 8U << 20U;
   /// Bytes of an answer buffered before its producer is told to pause.
-  std::size_t answerBufferBytes = 64U << 10U;
+  std::size_t responseBufferBytes = 64U << 10U;
   /// Open connections; further ones are closed at once.
   std::size_t connections = 20'000;
   /// Longest time from the first byte of a request to the end of its header section.
@@ -73,8 +73,8 @@
 
   /// Bytes written but not yet taken by the operating system.
   virtual std::size_t bufferedBytes() const = 0;
-  /// `listener(true)` when more than `answerBufferBytes` are buffered, `listener(false)` when less
-  /// than half of it is left. Never called from inside `write`.
+  /// `listener(true)` when more than `responseBufferBytes` are buffered, `listener(false)` when
+  /// less than half of it is left. Never called from inside `write`.
   virtual void onPressure(std::function<void(bool)> listener) = 0;
   /// Called once when the peer closed or broke the connection before the answer was finished.
   virtual void onDisconnect(std::function<void()> listener) = 0;
@@ -108,7 +108,7 @@
   void closeIdleConnections();
   /// Stops accepting and closes connections that are between requests, now; the others close after
   /// their answer.
-  void closeIdle();
+  void stopAcceptingAndCloseIdle();
   /// Closes every connection, finished or not.
   void close();
 
--- a/src/live/sse_parser.cc
+++ b/src/live/sse_parser.cc
@@ -13,7 +13,7 @@
   if (end == std::string::npos) {
     buffer_.erase(0, consumed_);
     consumed_ = 0;
-    failed_ = buffer_.size() > kMaximumEvent;
+    failed_ = buffer_.size() > kMaximumEventBytes;
     return std::nullopt;
   }
   auto line = std::string_view{buffer_}.substr(consumed_, end - consumed_);
@@ -37,7 +37,7 @@
     if (hasData_) data_ += '\n';
     data_ += value;
     hasData_ = true;
-    failed_ = data_.size() > kMaximumEvent;
+    failed_ = data_.size() > kMaximumEventBytes;
   }
   return std::nullopt;
 }
--- a/src/live/sse_parser.h
+++ b/src/live/sse_parser.h
@@ -13,7 +13,7 @@
 class SseParser {
  public:
   /// Largest event accepted, in bytes.
-  static constexpr std::size_t kMaximumEvent = 1U << 20U;
+  static constexpr std::size_t kMaximumEventBytes = 1U << 20U;
 
   void feed(std::string_view bytes) { buffer_ += bytes; }
   /// The data of the next whole event; empty when more bytes are needed.
--- a/tests/live/caller_gateway_test.cc
+++ b/tests/live/caller_gateway_test.cc
@@ -125,7 +125,7 @@
 
 BOOST_AUTO_TEST_CASE(SlowCallerPausesTheRequestAndResumesIt) {
   HttpLimits limits;
-  limits.answerBufferBytes = 1000;
+  limits.responseBufferBytes = 1000;
   Fixture fixture(limits);
   TestClient client(fixture.context, fixture.endpoint, /*reading=*/false);
   client.send(Fixture::chat(true));
--- a/tests/live/http_server_test.cc
+++ b/tests/live/http_server_test.cc
@@ -154,7 +154,7 @@
 
 BOOST_AUTO_TEST_CASE(SlowReaderRaisesPressureAndReleasesIt) {
   HttpLimits limits;
-  limits.answerBufferBytes = 1000;
+  limits.responseBufferBytes = 1000;
   Fixture fixture(limits);
   TestClient client(fixture.context, fixture.endpoint, /*reading=*/false);
   client.send("GET / HTTP/1.1\r\nHost: x\r\n\r\n");
@@ -175,7 +175,7 @@
   client.read();
   runUntil(fixture.context, [&pressures] { return pressures.size() == 2; });
   BOOST_TEST(!pressures.back());
-  BOOST_TEST(exchange->bufferedBytes() <= limits.answerBufferBytes / 2);
+  BOOST_TEST(exchange->bufferedBytes() <= limits.responseBufferBytes / 2);
 }
 
 BOOST_AUTO_TEST_CASE(ClosingServerFinishesTheAnswerAndCloses) {
--- a/tests/live/platform_json_test.cc
+++ b/tests/live/platform_json_test.cc
@@ -98,7 +98,7 @@
   BOOST_TEST(parser.next().value() == "one");
   BOOST_TEST(parser.next().value() == "two\nlines");
   BOOST_TEST(!parser.next().has_value());
-  parser.feed(std::string(SseParser::kMaximumEvent + 1, 'x'));
+  parser.feed(std::string(SseParser::kMaximumEventBytes + 1, 'x'));
   BOOST_TEST(!parser.next().has_value());
   BOOST_TEST(parser.failed());
 }
