--- a/src/live/asio_runtime.cc
+++ b/src/live/asio_runtime.cc
@@ -23,26 +23,26 @@
 /// cancelled, as most are, costs Asio nothing. 0.2 us instead of 1.0 us for a timer that is
 /// scheduled and cancelled beside 2,000 others.
 struct AsioTimerService::Impl : std::enable_shared_from_this<AsioTimerService::Impl> {
-  using Due = BootClock::time_point;
-  using Key = std::pair<Due, base::TimerId>;
+  using DueTime = BootClock::time_point;
+  using Key = std::pair<DueTime, base::TimerId>;
 
   explicit Impl(asio::io_context& context) : alarm(context) {}
 
   base::TimerId add(base::Duration delay, std::function<void()> callback) {
-    const auto id = ++last;
+    const auto id = ++lastId;
     const auto due = BootClock::now() + std::max(delay, base::Duration::zero());
     queue.emplace(Key{due, id}, std::move(callback));
-    dueOf.emplace(id, due);
+    dueTimes.emplace(id, due);
     arm();
     return id;
   }
 
   void remove(base::TimerId id) {
-    const auto found = dueOf.find(id);
-    if (found == dueOf.end()) return;
+    const auto found = dueTimes.find(id);
+    if (found == dueTimes.end()) return;
     // Goes last: what the callback owns may cancel timers, this one too, when it goes.
     const auto callback = queue.extract({found->second, id});
-    dueOf.erase(found);
+    dueTimes.erase(found);
     // An alarm for nothing would keep the loop from ending.
     if (queue.empty()) disarm();
   }
@@ -72,7 +72,7 @@
     armedFor.reset();
     while (!closed && !queue.empty() && queue.begin()->first.first <= now) {
       const auto entry = queue.extract(queue.begin());
-      dueOf.erase(entry.key().second);
+      dueTimes.erase(entry.key().second);
       entry.mapped()();
     }
     if (!closed) arm();
@@ -80,17 +80,17 @@
 
   void close() {
     closed = true;
-    dueOf.clear();
+    dueTimes.clear();
     // Goes last: what the callbacks own may cancel timers when it goes.
     const auto callbacks = std::exchange(queue, {});
     disarm();
   }
 
   BootTimer alarm;
-  std::optional<Due> armedFor;
+  std::optional<DueTime> armedFor;
   std::map<Key, std::function<void()>> queue;
-  std::unordered_map<base::TimerId, Due> dueOf;
-  base::TimerId last = 0;
+  std::unordered_map<base::TimerId, DueTime> dueTimes;
+  base::TimerId lastId = 0;
   bool closed = false;
 };
 
--- a/src/live/boost_event_log.cc
+++ b/src/live/boost_event_log.cc
@@ -27,8 +27,8 @@
 
 /// How long the end of the process waits for a reader, by the steady clock: a suspension meanwhile
 /// delays the end by its own length at most.
-constexpr std::chrono::milliseconds kFlushTime{500};
-constexpr std::chrono::milliseconds kFlushStep{5};
+constexpr std::chrono::milliseconds kFlushTimeout{500};
+constexpr std::chrono::milliseconds kFlushPollInterval{5};
 
 /// Writes lines to a stream and counts those that are left.
 class LineBackend final
@@ -67,10 +67,10 @@
 
 void appendQuoted(std::string& line, std::string_view value) {
   line += '"';
-  for (const char letter : value) {
-    if (letter == '"' || letter == '\\') line += '\\';
-    const bool control = static_cast<unsigned char>(letter) < static_cast<unsigned char>(' ');
-    line += control ? ' ' : letter;
+  for (const char character : value) {
+    if (character == '"' || character == '\\') line += '\\';
+    const bool control = static_cast<unsigned char>(character) < static_cast<unsigned char>(' ');
+    line += control ? ' ' : character;
   }
   line += '"';
 }
@@ -115,9 +115,9 @@
 
 BoostEventLog::~BoostEventLog() {
   logging::core::get()->remove_sink(impl_->sink);
-  const auto end = std::chrono::steady_clock::now() + kFlushTime;
+  const auto end = std::chrono::steady_clock::now() + kFlushTimeout;
   while (impl_->backend->queued > 0 && std::chrono::steady_clock::now() < end)
-    std::this_thread::sleep_for(kFlushStep);
+    std::this_thread::sleep_for(kFlushPollInterval);
   if (impl_->backend->queued == 0) {
     impl_->sink->stop();
     return;
@@ -129,13 +129,13 @@
 void BoostEventLog::write(base::Event event, std::initializer_list<base::EventField> fields) {
   if (base::describe(event).severity < options_.minimum) return;
   const auto queued = impl_->backend->queued.load();
-  const auto limit = isRoutine(event) ? options_.routineLines : options_.mostLines;
+  const auto limit = isRoutine(event) ? options_.routineQueueLimit : options_.queueLimit;
   if (queued >= limit) {
     ++dropped_[event];
     return;
   }
   // The reader has caught up by half.
-  if (!dropped_.empty() && queued < options_.routineLines / 2) reportDropped();
+  if (!dropped_.empty() && queued < options_.routineQueueLimit / 2) reportDropped();
   push(event, fields);
 }
 
--- a/src/live/boost_event_log.h
+++ b/src/live/boost_event_log.h
@@ -20,8 +20,8 @@
   std::ostream* stream = nullptr;
   /// Lines waiting to be written beyond which routine events are left out, and beyond which all
   /// are. The last word on a failed request, warnings and errors are no routine events.
-  std::size_t routineLines = 4096;
-  std::size_t mostLines = 8192;
+  std::size_t routineQueueLimit = 4096;
+  std::size_t queueLimit = 8192;
 };
 
 /// Writes `time=... severity=... event=NUMBER name=NAME process=NAME field="value"...`.
--- a/src/live/boot_clock.cc
+++ b/src/live/boot_clock.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-std::atomic<base::Duration::rep> statedOffset{0};
+std::atomic<base::Duration::rep> simulatedSuspension{0};
 
 base::Duration read(clockid_t clock) {
   timespec time{};
@@ -19,7 +19,7 @@
 }
 
 base::Duration sinceBoot() {
-  return read(CLOCK_BOOTTIME) + base::Duration{statedOffset.load(std::memory_order_relaxed)};
+  return read(CLOCK_BOOTTIME) + base::Duration{simulatedSuspension.load(std::memory_order_relaxed)};
 }
 
 }  // namespace
@@ -29,7 +29,7 @@
 base::Duration suspendedTime() { return sinceBoot() - read(CLOCK_MONOTONIC); }
 
 void simulateSuspension(base::Duration duration) {
-  statedOffset.fetch_add(duration.count(), std::memory_order_relaxed);
+  simulatedSuspension.fetch_add(duration.count(), std::memory_order_relaxed);
 }
 
 }  // namespace covewing::live
--- a/src/live/boot_clock.h
+++ b/src/live/boot_clock.h
@@ -38,8 +38,8 @@
   static constexpr base::Duration kMaximumWait = std::chrono::milliseconds(50);
 
   static base::Duration to_wait_duration(  // NOLINT(readability-identifier-naming): set by Asio
-      base::Duration left) {
-    return std::min(left, kMaximumWait);
+      base::Duration remaining) {
+    return std::min(remaining, kMaximumWait);
   }
   static base::Duration to_wait_duration(  // NOLINT(readability-identifier-naming): set by Asio
       const BootClock::time_point& due) {
--- a/src/live/caller_call.cc
+++ b/src/live/caller_call.cc
@@ -8,8 +8,8 @@
 namespace {
 constexpr unsigned kOk = 200;
 
-void noteCallerGone(const CallerGatewayEnvironment& environment, const base::RequestId& id) {
-  environment.metrics.onCallerGone();
+void recordDisconnect(const CallerGatewayEnvironment& environment, const base::RequestId& id) {
+  environment.metrics.onCallerDisconnected();
   environment.log.write(base::Event::kCallerDisconnected, {{"request", id.value}});
 }
 }  // namespace
@@ -19,8 +19,8 @@
     : environment_(environment),
       exchange_(std::move(exchange)),
       kind_(body.kind),
-      label_(body.kind == CompletionKind::kChat ? RequestKind::kChat : RequestKind::kText),
-      streamed_(body.stream),
+      metricsKind_(body.kind == CompletionKind::kChat ? RequestKind::kChat : RequestKind::kText),
+      streamRequested_(body.stream),
       model_(body.model),
       finished_(std::move(finished)),
       arrivedAt_(environment.clock.now()) {}
@@ -29,38 +29,38 @@
   exchange_->onDisconnect([this] { onDisconnect(); });
   exchange_->onPressure([this](bool high) { onPressure(high); });
   request_ = environment_.node.requests().complete(std::move(request), *this);
-  answer_ = std::make_unique<CompletionResponse>(kind_, request_->id(), model_, created);
+  response_ = std::make_unique<CompletionResponse>(kind_, request_->id(), model_, created);
 }
 
 void CompletionCall::beginStream() {
-  streaming_ = true;
+  streamStarted_ = true;
   exchange_->beginStream(kOk, {{"Content-Type", "text/event-stream"},
                                {"Cache-Control", "no-cache"},
                                {std::string{kRequestIdHeader}, request_->id().value}});
-  exchange_->write(answer_->firstEvent());
+  exchange_->write(response_->firstEvent());
 }
 
 void CompletionCall::onChunk(const clients::StreamChunk& chunk) {
-  if (!firstToken_) {
-    firstToken_ = true;
-    environment_.metrics.onFirstToken(label_, environment_.clock.now() - arrivedAt_);
+  if (!firstTokenSeen_) {
+    firstTokenSeen_ = true;
+    environment_.metrics.onFirstToken(metricsKind_, environment_.clock.now() - arrivedAt_);
   }
-  if (!streamed_) {
+  if (!streamRequested_) {
     text_ += chunk.text;
     return;
   }
-  if (!streaming_) beginStream();
-  exchange_->write(answer_->chunkEvent(chunk.text));
+  if (!streamStarted_) beginStream();
+  exchange_->write(response_->chunkEvent(chunk.text));
 }
 
 void CompletionCall::onEnd(const clients::StreamEnd& end) {
-  environment_.metrics.onCompleted(label_, environment_.clock.now() - arrivedAt_, end);
-  if (streamed_) {
-    if (!streaming_) beginStream();
-    exchange_->write(answer_->endEvents(end));
+  environment_.metrics.onCompleted(metricsKind_, environment_.clock.now() - arrivedAt_, end);
+  if (streamRequested_) {
+    if (!streamStarted_) beginStream();
+    exchange_->write(response_->endEvents(end));
     exchange_->end();
   } else {
-    auto response = jsonResponse(kOk, answer_->wholeBody(text_, end));
+    auto response = jsonResponse(kOk, response_->responseBody(text_, end));
     response.headers.push_back({std::string{kRequestIdHeader}, request_->id().value});
     exchange_->respond(std::move(response));
   }
@@ -69,7 +69,7 @@
 
 void CompletionCall::onRefused(const request::Refusal& refusal) {
   const auto& id = request_->id().value;
-  if (streaming_) {
+  if (streamStarted_) {
     exchange_->write(errorEvent(refusal, id));
     exchange_->end();
   } else {
@@ -84,12 +84,12 @@
 }
 
 void CompletionCall::onDisconnect() {
-  noteCallerGone(environment_, request_->id());
+  recordDisconnect(environment_, request_->id());
   finished_(*this);
 }
 
 void CompletionCall::finish(base::ResultCode code) {
-  environment_.metrics.onAnswered(label_, code);
+  environment_.metrics.onRequestFinished(metricsKind_, code);
   finished_(*this);
 }
 
@@ -103,13 +103,13 @@
 }
 
 void ProxiedCall::onResponse(const clients::ApplicationResponse& response) {
-  HttpResponse answer{response.status, {}, response.body};
+  HttpResponse callerResponse{response.status, {}, response.body};
   for (const auto& field : response.headers) {
     if (!isConnectionHeader(field.name) && !equalHeaderNames(field.name, kRequestIdHeader))
-      answer.headers.push_back(field);
+      callerResponse.headers.push_back(field);
   }
-  answer.headers.push_back({std::string{kRequestIdHeader}, request_->id().value});
-  exchange_->respond(std::move(answer));
+  callerResponse.headers.push_back({std::string{kRequestIdHeader}, request_->id().value});
+  exchange_->respond(std::move(callerResponse));
   finish(base::ResultCode::kOk);
 }
 
@@ -119,12 +119,12 @@
 }
 
 void ProxiedCall::onDisconnect() {
-  noteCallerGone(environment_, request_->id());
+  recordDisconnect(environment_, request_->id());
   finished_(*this);
 }
 
 void ProxiedCall::finish(base::ResultCode code) {
-  environment_.metrics.onAnswered(RequestKind::kProxied, code);
+  environment_.metrics.onRequestFinished(RequestKind::kProxied, code);
   finished_(*this);
 }
 
--- a/src/live/caller_call.h
+++ b/src/live/caller_call.h
@@ -44,15 +44,15 @@
   CallerGatewayEnvironment environment_;
   HttpExchangePtr exchange_;
   CompletionKind kind_;
-  RequestKind label_;
-  bool streamed_;
+  RequestKind metricsKind_;
+  bool streamRequested_;
   std::string model_;
   CallFinished finished_;
   base::TimePoint arrivedAt_;
-  bool firstToken_ = false;
-  bool streaming_ = false;
+  bool firstTokenSeen_ = false;
+  bool streamStarted_ = false;
   std::string text_;
-  std::unique_ptr<CompletionResponse> answer_;
+  std::unique_ptr<CompletionResponse> response_;
   std::unique_ptr<request::ActiveRequest> request_;
 };
 
--- a/src/live/caller_gateway.cc
+++ b/src/live/caller_gateway.cc
@@ -16,7 +16,7 @@
 constexpr std::string_view kPriorityHeader = "X-Covewing-Priority";
 constexpr std::string_view kNotRepeatableHeader = "X-Covewing-Not-Repeatable";
 constexpr std::string_view kIdempotencyHeader = "Idempotency-Key";
-constexpr std::string_view kOwnHeaderPrefix = "X-Covewing-";
+constexpr std::string_view kCovewingHeaderPrefix = "X-Covewing-";
 constexpr std::size_t kMaximumIdempotencyKey = 255;
 
 /// Headers that mean something to the node. Empty, with the wrong header named, for a wrong one.
@@ -52,10 +52,10 @@
   return headers;
 }
 
-bool passedOn(const HeaderField& field) {
+bool isForwarded(const HeaderField& field) {
   const bool own =
-      field.name.size() > kOwnHeaderPrefix.size() &&
-      equalHeaderNames(field.name.substr(0, kOwnHeaderPrefix.size()), kOwnHeaderPrefix);
+      field.name.size() > kCovewingHeaderPrefix.size() &&
+      equalHeaderNames(field.name.substr(0, kCovewingHeaderPrefix.size()), kCovewingHeaderPrefix);
   return !own && !isConnectionHeader(field.name) &&
          !equalHeaderNames(field.name, "Authorization") &&
          !equalHeaderNames(field.name, kRequestIdHeader) && !equalHeaderNames(field.name, "Expect");
@@ -90,7 +90,7 @@
   }
 
   void refuse(const HttpExchangePtr& exchange, RequestKind kind, base::Reason reason) {
-    environment.metrics.onAnswered(kind, reason.code);
+    environment.metrics.onRequestFinished(kind, reason.code);
     exchange->respond(refusal(std::move(reason)));
   }
 
@@ -103,14 +103,15 @@
   }
 
   void complete(const HttpExchangePtr& exchange, CompletionKind kind) {
-    const auto label = kind == CompletionKind::kChat ? RequestKind::kChat : RequestKind::kText;
-    if (!expectMethod(exchange, label, "POST")) return;
+    const auto metricsKind =
+        kind == CompletionKind::kChat ? RequestKind::kChat : RequestKind::kText;
+    if (!expectMethod(exchange, metricsKind, "POST")) return;
     base::Reason reason;
     const auto headers = parseHeaders(exchange->request(), reason);
     const auto body =
         headers ? parseCompletionBody(kind, exchange->takeBody(), reason) : std::nullopt;
     if (!body) {
-      refuse(exchange, label, reason);
+      refuse(exchange, metricsKind, reason);
       return;
     }
     request::CompletionRequest request;
@@ -122,7 +123,8 @@
     request.priority = headers->priority;
     request.idempotencyKey = headers->idempotencyKey;
     request.notRepeatable = headers->notRepeatable;
-    auto call = std::make_unique<CompletionCall>(environment, exchange, *body, finisher());
+    auto call =
+        std::make_unique<CompletionCall>(environment, exchange, *body, makeFinishedCallback());
     auto& started = *call;
     calls.emplace(&started, std::move(call));
     started.start(std::move(request), secondsSinceEpoch());
@@ -141,12 +143,12 @@
     request.method = call.method;
     request.target = call.target;
     for (const auto& field : call.headers) {
-      if (passedOn(field)) request.headers.push_back(field);
+      if (isForwarded(field)) request.headers.push_back(field);
     }
     request.body = exchange->takeBody();
     request.idempotencyKey = headers->idempotencyKey;
     request.notRepeatable = headers->notRepeatable;
-    auto proxied = std::make_unique<ProxiedCall>(environment, exchange, finisher());
+    auto proxied = std::make_unique<ProxiedCall>(environment, exchange, makeFinishedCallback());
     auto& started = *proxied;
     calls.emplace(&started, std::move(proxied));
     started.start(std::move(request));
@@ -166,14 +168,14 @@
              {base::ResultCode::kTenantRetired, "the tenant's template was retired"});
       return;
     }
-    environment.metrics.onAnswered(RequestKind::kModels, base::ResultCode::kOk);
+    environment.metrics.onRequestFinished(RequestKind::kModels, base::ResultCode::kOk);
     auto response = jsonResponse(kOk, modelList(*tenant));
     response.headers.push_back({std::string{kRequestIdHeader}, nextId()});
     exchange->respond(std::move(response));
   }
 
   /// The call is destroyed later, because it is on the stack when it finishes.
-  CallFinished finisher() {
+  CallFinished makeFinishedCallback() {
     return [this](CallerCall& call) {
       environment.timers.schedule(base::Duration::zero(), [weak = weak_from_this(), key = &call] {
         if (const auto self = weak.lock()) self->calls.erase(key);
--- a/src/live/command_line.cc
+++ b/src/live/command_line.cc
@@ -43,21 +43,21 @@
   std::vector<option> options;
 };
 
-void takeFlag(int flag, std::string value, CommandLine& line) {
+void applyFlag(int flag, std::string value, CommandLine& commandLine) {
   switch (flag) {
     case kSettingsFlag:
-      line.settingsFile = std::move(value);
+      commandLine.settingsFile = std::move(value);
       break;
     case kCheckFlag:
-      line.mode = CommandMode::kCheck;
-      line.settingsFile = std::move(value);
+      commandLine.mode = CommandMode::kCheck;
+      commandLine.settingsFile = std::move(value);
       break;
     case kHelpFlag:
-      line.mode = CommandMode::kHelp;
+      commandLine.mode = CommandMode::kHelp;
       break;
     default: {
       const auto index = static_cast<std::size_t>(flag - kFirstSettingFlag);
-      line.overrides.push_back({std::string{settingsSchema()[index].key}, std::move(value)});
+      commandLine.overrides.push_back({std::string{settingsSchema()[index].key}, std::move(value)});
     }
   }
 }
@@ -67,25 +67,25 @@
 std::optional<CommandLine> parseCommandLine(int argumentCount, char** arguments,
                                             std::string& problem) {
   const OptionTable table;
-  CommandLine line;
+  CommandLine commandLine;
   optind = 0;
   opterr = 0;
   for (;;) {
-    const int place = std::max(optind, 1);
+    const int position = std::max(optind, 1);
     const int flag = getopt_long(argumentCount, arguments, ":s:c:h", table.options.data(), nullptr);
     if (flag == -1) break;
     if (flag == '?' || flag == ':') {
-      const std::string given = place < argumentCount ? arguments[place] : "";
-      problem = (flag == '?' ? "unknown flag " : "value missing for ") + given;
+      const std::string flagText = position < argumentCount ? arguments[position] : "";
+      problem = (flag == '?' ? "unknown flag " : "value missing for ") + flagText;
       return std::nullopt;
     }
-    takeFlag(flag, optarg == nullptr ? std::string{} : std::string{optarg}, line);
+    applyFlag(flag, optarg == nullptr ? std::string{} : std::string{optarg}, commandLine);
   }
   if (optind < argumentCount) {
     problem = std::string{"unexpected argument "} + arguments[optind];
     return std::nullopt;
   }
-  return line;
+  return commandLine;
 }
 
 std::string helpText() {
--- a/src/live/completion_body.cc
+++ b/src/live/completion_body.cc
@@ -96,8 +96,8 @@
 }
 
 std::uint32_t readMaximumTokens(FieldReader& fields) {
-  const auto* newName = fields.find("max_completion_tokens");
-  const auto name = newName != nullptr ? "max_completion_tokens" : "max_tokens";
+  const auto* newerField = fields.find("max_completion_tokens");
+  const auto name = newerField != nullptr ? "max_completion_tokens" : "max_tokens";
   return static_cast<std::uint32_t>(fields.unsignedInteger(name, 0, 1, kMaximumOutputTokens));
 }
 
--- a/src/live/completion_response.cc
+++ b/src/live/completion_response.cc
@@ -58,10 +58,10 @@
                           ? choice("delta", {{"content", kPlaceholder}}, nullptr)
                           : choice("text", kPlaceholder, nullptr)};
   const auto text = event(chunk);
-  const auto place = text.rfind(kPlaceholder);
+  const auto position = text.rfind(kPlaceholder);
   // The quotation marks around the placeholder come with the escaped content.
-  chunkPrefix_ = text.substr(0, place - 1);
-  chunkSuffix_ = text.substr(place + kPlaceholder.size() + 1);
+  chunkPrefix_ = text.substr(0, position - 1);
+  chunkSuffix_ = text.substr(position + kPlaceholder.size() + 1);
 }
 
 std::string CompletionResponse::firstEvent() const {
@@ -84,8 +84,8 @@
   return event(chunk) + std::string{kDone};
 }
 
-std::string CompletionResponse::wholeBody(std::string_view text,
-                                          const clients::StreamEnd& end) const {
+std::string CompletionResponse::responseBody(std::string_view text,
+                                             const clients::StreamEnd& end) const {
   auto body = envelope(kind_, id_, created_, model_, false);
   body["choices"] = {
       kind_ == CompletionKind::kChat
--- a/src/live/completion_response.h
+++ b/src/live/completion_response.h
@@ -26,7 +26,7 @@
   /// Last chunk, with finish reason and usage, and the closing `[DONE]`.
   std::string endEvents(const clients::StreamEnd& end) const;
   /// The answer of a call that is not streamed.
-  std::string wholeBody(std::string_view text, const clients::StreamEnd& end) const;
+  std::string responseBody(std::string_view text, const clients::StreamEnd& end) const;
 
  private:
   CompletionKind kind_;
--- a/src/live/daemon.cc
+++ b/src/live/daemon.cc
@@ -24,13 +24,13 @@
 constexpr unsigned kNotFound = 404;
 /// How often a drained node looks whether callers have taken their last bytes, and how long.
 constexpr base::Duration kFlushInterval = std::chrono::milliseconds(10);
-constexpr base::Duration kFlushBound = std::chrono::seconds(5);
+constexpr base::Duration kFlushTimeout = std::chrono::seconds(5);
 
 HttpLimits callerLimits(const Settings& settings) {
   HttpLimits limits;
   limits.headerBytes = settings.headerBytes;
   limits.bodyBytes = settings.bodyBytes;
-  limits.responseBufferBytes = settings.answerBufferBytes;
+  limits.responseBufferBytes = settings.responseBufferBytes;
   limits.connections = settings.connections;
   limits.stallTimeout = settings.stallTimeout;
   return limits;
@@ -66,9 +66,9 @@
         peers(ioContext, log),
         platformHttp(ioContext),
         backEndHttp(ioContext),
-        table(service(settings.tableEndpoint)),
-        objects(service(settings.objectsEndpoint)),
-        machines(service(settings.machinesEndpoint)),
+        table(platformService(settings.tableEndpoint)),
+        objects(platformService(settings.objectsEndpoint)),
+        machines(platformService(settings.machinesEndpoint)),
         engines(backEndHttp, timers),
         applications(backEndHttp),
         callerServer(ioContext, callerLimits(settings),
@@ -78,7 +78,7 @@
         metricsServer(ioContext, {},
                       [this](const HttpExchangePtr& exchange) { handleMetrics(exchange); }) {}
 
-  PlatformService service(const base::Endpoint& endpoint) {
+  PlatformService platformService(const base::Endpoint& endpoint) {
     return {platformHttp, endpoint, settings.platformTimeout};
   }
 
@@ -86,16 +86,16 @@
     return {clock, timers, random, log, peers, table, objects, machines, engines, applications};
   }
 
-  bool listen(HttpServer& server, std::string name, const base::Endpoint& wanted,
+  bool listen(HttpServer& server, std::string name, const base::Endpoint& requested,
               base::Endpoint& bound, base::Reason& reason) {
-    const auto endpoint = server.listen(wanted, reason);
+    const auto endpoint = server.listen(requested, reason);
     if (!endpoint) return false;
     bound = *endpoint;
-    noteListener(std::move(name), bound);
+    logListenerOpened(std::move(name), bound);
     return true;
   }
 
-  void noteListener(std::string name, const base::Endpoint& bound) {
+  void logListenerOpened(std::string name, const base::Endpoint& bound) {
     log.write(base::Event::kListenerOpened,
               {{"listener", std::move(name)}, {"endpoint", toString(bound)}});
   }
@@ -104,7 +104,7 @@
     const auto peerEndpoint = peers.bind(settings.peerEndpoint, reason);
     if (!peerEndpoint) return false;
     endpoints.peer = *peerEndpoint;
-    noteListener("peer", endpoints.peer);
+    logListenerOpened("peer", endpoints.peer);
 
     const auto incarnation = startIncarnation();
     node = factory(nodeOptions(settings, endpoints.peer, incarnation), environment());
@@ -149,9 +149,9 @@
     draining = true;
     stopped = std::move(callback);
     callerServer.stopAccepting();
-    node->drain(settings.drainBound, [this] {
+    node->drain(settings.drainTimeout, [this] {
       callerServer.stopAcceptingAndCloseIdle();
-      flushUntil = clock.now() + kFlushBound;
+      flushUntil = clock.now() + kFlushTimeout;
       flush();
     });
   }
--- a/src/live/engine_json.cc
+++ b/src/live/engine_json.cc
@@ -50,7 +50,7 @@
   return role == clients::EngineRole::kServing ? "serving" : "standby";
 }
 
-std::uint32_t count(FieldReader& fields, std::string_view name) {
+std::uint32_t readCount(FieldReader& fields, std::string_view name) {
   return static_cast<std::uint32_t>(fields.unsignedInteger(name, 0, 0, kMaximumCount));
 }
 
@@ -83,11 +83,11 @@
 clients::EngineLoad readLoad(const Json& json, Mistakes& mistakes) {
   FieldReader fields(json, "load", mistakes);
   clients::EngineLoad load;
-  load.running = count(fields, "running");
+  load.running = readCount(fields, "running");
   readArray(fields, "waiting", load.waiting);
   readArray(fields, "queued_prefill_tokens", load.queuedPrefillTokens);
-  load.cachedBlocks = count(fields, "cached_blocks");
-  load.capacityBlocks = count(fields, "capacity_blocks");
+  load.cachedBlocks = readCount(fields, "cached_blocks");
+  load.capacityBlocks = readCount(fields, "capacity_blocks");
   return load;
 }
 
@@ -106,30 +106,30 @@
 }
 
 /// The hashes of one kind, taken from the front.
-struct HashQueue {
+struct HashCursor {
   std::vector<base::BlockHash> hashes;
-  std::size_t taken = 0;
-  bool empty() const { return taken == hashes.size(); }
+  std::size_t consumed = 0;
+  bool empty() const { return consumed == hashes.size(); }
 };
 
 void readEvents(FieldReader& fields, clients::EngineReport& report) {
-  HashQueue stored{unpackHashes(fields, "stored")};
-  HashQueue evicted{unpackHashes(fields, "evicted")};
-  HashQueue exported{unpackHashes(fields, "exported")};
+  HashCursor stored{unpackHashes(fields, "stored")};
+  HashCursor evicted{unpackHashes(fields, "evicted")};
+  HashCursor exported{unpackHashes(fields, "exported")};
   auto order = fields.text("order", "", kMaximumPackedText);
-  const bool allStored = evicted.empty() && exported.empty();
-  if (order.empty() && allStored) order.assign(stored.hashes.size(), 's');
+  const bool onlyStored = evicted.empty() && exported.empty();
+  if (order.empty() && onlyStored) order.assign(stored.hashes.size(), 's');
   report.events.reserve(order.size());
-  for (const char letter : order) {
-    auto& queue = letter == 's' ? stored : letter == 'e' ? evicted : exported;
-    const auto kind = letter == 's'   ? clients::CacheEventKind::kStored
-                      : letter == 'e' ? clients::CacheEventKind::kEvicted
-                                      : clients::CacheEventKind::kExported;
-    if (queue.empty() || std::string_view{"sex"}.find(letter) == std::string_view::npos) {
+  for (const char character : order) {
+    auto& queue = character == 's' ? stored : character == 'e' ? evicted : exported;
+    const auto kind = character == 's'   ? clients::CacheEventKind::kStored
+                      : character == 'e' ? clients::CacheEventKind::kEvicted
+                                         : clients::CacheEventKind::kExported;
+    if (queue.empty() || std::string_view{"sex"}.find(character) == std::string_view::npos) {
       fields.mistake("order", "does not fit the events");
       return;
     }
-    report.events.push_back({kind, queue.hashes[queue.taken++]});
+    report.events.push_back({kind, queue.hashes[queue.consumed++]});
   }
   if (!stored.empty() || !evicted.empty() || !exported.empty())
     fields.mistake("order", "does not name every event");
@@ -137,8 +137,8 @@
 
 const base::ResultCodeEntry* findCode(std::uint64_t number) {
   const auto table = base::resultCodeTable();
-  const auto entry = std::ranges::find_if(table, [number](const base::ResultCodeEntry& line) {
-    return static_cast<std::uint64_t>(line.code) == number;
+  const auto entry = std::ranges::find_if(table, [number](const base::ResultCodeEntry& candidate) {
+    return static_cast<std::uint64_t>(candidate.code) == number;
   });
   return entry == table.end() ? nullptr : &*entry;
 }
@@ -177,9 +177,9 @@
   if (const auto* endJson = fields.find("end"); endJson != nullptr) {
     FieldReader endFields(*endJson, "end", mistakes);
     clients::StreamEnd end;
-    end.promptTokens = count(endFields, "prompt_tokens");
-    end.cachedTokens = count(endFields, "cached_tokens");
-    end.outputTokens = count(endFields, "output_tokens");
+    end.promptTokens = readCount(endFields, "prompt_tokens");
+    end.cachedTokens = readCount(endFields, "cached_tokens");
+    end.outputTokens = readCount(endFields, "output_tokens");
     end.finishReason = endFields.text("finish_reason", "stop", kMaximumName);
     if (!mistakes.empty()) return std::nullopt;
     return end;
--- a/src/live/metric_families.h
+++ b/src/live/metric_families.h
@@ -26,7 +26,7 @@
   std::string render() const;
 
  private:
-  std::string helpOf(std::string_view name) const;
+  std::string helpTextOf(std::string_view name) const;
 
   std::span<const MetricEntry> table_;
   prometheus::Registry registry_;
--- a/src/live/node_metrics.cc
+++ b/src/live/node_metrics.cc
@@ -108,7 +108,7 @@
 NodeMetrics::NodeMetrics() : impl_(std::make_unique<Impl>()) {}
 NodeMetrics::~NodeMetrics() = default;
 
-void NodeMetrics::onAnswered(RequestKind kind, base::ResultCode code) {
+void NodeMetrics::onRequestFinished(RequestKind kind, base::ResultCode code) {
   auto labels = kindLabel(kind);
   labels.emplace("code", base::describe(code).name);
   impl_->requests.Add(labels).Increment();
@@ -127,7 +127,7 @@
 }
 
 void NodeMetrics::onCallerPaused() { impl_->pauses.Increment(); }
-void NodeMetrics::onCallerGone() { impl_->disconnects.Increment(); }
+void NodeMetrics::onCallerDisconnected() { impl_->disconnects.Increment(); }
 
 void NodeMetrics::onEvent(base::Event event) {
   impl_->events.Add({{"event", std::string{base::describe(event).name}}}).Increment();
--- a/src/live/node_metrics.h
+++ b/src/live/node_metrics.h
@@ -32,11 +32,11 @@
   NodeMetrics& operator=(const NodeMetrics&) = delete;
 
   /// A request got its final answer.
-  void onAnswered(RequestKind kind, base::ResultCode code);
+  void onRequestFinished(RequestKind kind, base::ResultCode code);
   void onFirstToken(RequestKind kind, base::Duration sinceArrival);
   void onCompleted(RequestKind kind, base::Duration sinceArrival, const clients::StreamEnd& end);
   void onCallerPaused();
-  void onCallerGone();
+  void onCallerDisconnected();
   void onEvent(base::Event event);
 
   /// State that is read when metrics are asked for.
--- a/src/live/peer_traffic.cc
+++ b/src/live/peer_traffic.cc
@@ -30,22 +30,22 @@
   return "unknown";
 }
 
-bool PeerTraffic::inZone(const base::Endpoint& destination) {
-  if (members_.version() != version_) {
-    inZone_.clear();
-    version_ = members_.version();
+bool PeerTraffic::isInOwnZone(const base::Endpoint& destination) {
+  if (members_.version() != directoryVersion_) {
+    inOwnZone_.clear();
+    directoryVersion_ = members_.version();
     for (const auto& member : members_.liveMembers())
-      inZone_[member.endpoint.address] = member.zone == members_.self().zone;
+      inOwnZone_[member.endpoint.address] = member.zone == members_.self().zone;
   }
-  const auto known = inZone_.find(destination.address);
-  return known != inZone_.end() && known->second;
+  const auto found = inOwnZone_.find(destination.address);
+  return found != inOwnZone_.end() && found->second;
 }
 
 void PeerTraffic::recordSent(const base::Endpoint& destination, base::Channel channel,
                              std::size_t bytes) {
   auto& traffic = channels_.at(static_cast<std::size_t>(channel));
   ++traffic.frames;
-  (inZone(destination) ? traffic.bytesInZone : traffic.bytesToOtherZones) += bytes;
+  (isInOwnZone(destination) ? traffic.bytesInZone : traffic.bytesToOtherZones) += bytes;
 }
 
 void PeerTraffic::logTotals(base::EventLog& log) const {
--- a/src/live/peer_traffic.h
+++ b/src/live/peer_traffic.h
@@ -39,13 +39,14 @@
 
  private:
   /// Unknown members count as being in another zone.
-  bool inZone(const base::Endpoint& destination);
+  bool isInOwnZone(const base::Endpoint& destination);
 
   const membership::MemberDirectory& members_;
   std::array<ChannelTraffic, kChannelArraySize> channels_{};
-  /// Whether the member at an address is in this node's zone, by the members of `version_`.
-  std::unordered_map<std::uint32_t, bool> inZone_;
-  std::uint64_t version_ = 0;
+  /// Whether the member at an address is in this node's zone, by the members of
+  /// `directoryVersion_`.
+  std::unordered_map<std::uint32_t, bool> inOwnZone_;
+  std::uint64_t directoryVersion_ = 0;
 };
 
 }  // namespace covewing::live
--- a/src/live/peer_transport.cc
+++ b/src/live/peer_transport.cc
@@ -23,27 +23,29 @@
 constexpr std::size_t kPrefixBytes = sizeof(std::uint32_t);
 /// Largest frame over TCP; a whole copy of the configuration at today's size is a fraction of it.
 constexpr std::size_t kMaximumFrame = 32U << 20U;
-constexpr std::size_t kMaximumIncoming = 256;
-constexpr std::size_t kMaximumOutgoing = 256;
-constexpr base::Duration kConnectionTime = std::chrono::seconds(10);
+constexpr std::size_t kMaximumIncomingConnections = 256;
+constexpr std::size_t kMaximumOutgoingConnections = 256;
+constexpr base::Duration kConnectionTimeout = std::chrono::seconds(10);
 constexpr int kPortAttempts = 32;
 
 /// One TCP connection that carries one frame, in either direction.
 struct FrameConnection : std::enable_shared_from_this<FrameConnection> {
   FrameConnection(tcp::socket connected, std::size_t& openCounter)
-      : socket(std::move(connected)), open(openCounter), deadline(socket.get_executor(), [this] {
+      : socket(std::move(connected)),
+        openCount(openCounter),
+        deadline(socket.get_executor(), [this] {
           boost::system::error_code error;
           socket.close(error);
         }) {
-    ++open;
-    deadline.set(kConnectionTime);
+    ++openCount;
+    deadline.set(kConnectionTimeout);
   }
-  ~FrameConnection() { --open; }
+  ~FrameConnection() { --openCount; }
   FrameConnection(const FrameConnection&) = delete;
   FrameConnection& operator=(const FrameConnection&) = delete;
 
   tcp::socket socket;
-  std::size_t& open;
+  std::size_t& openCount;
   LazyDeadline deadline;
   std::array<unsigned char, kPrefixBytes> prefix{};
   std::string frame;
@@ -91,13 +93,14 @@
     acceptor.async_accept(
         [self = shared_from_this()](boost::system::error_code error, tcp::socket socket) {
           if (error == asio::error::operation_aborted || !self->acceptor.is_open()) return;
-          if (!error && self->incoming < kMaximumIncoming) self->receiveFrame(std::move(socket));
+          if (!error && self->incomingCount < kMaximumIncomingConnections)
+            self->receiveFrame(std::move(socket));
           self->accept();
         });
   }
 
   void receiveFrame(tcp::socket socket) {
-    auto connection = std::make_shared<FrameConnection>(std::move(socket), incoming);
+    auto connection = std::make_shared<FrameConnection>(std::move(socket), incomingCount);
     asio::async_read(
         connection->socket, asio::buffer(connection->prefix),
         [self = shared_from_this(), connection](boost::system::error_code error, std::size_t) {
@@ -151,11 +154,11 @@
   }
 
   void sendOverConnection(const base::Endpoint& destination, std::string frame) {
-    if (outgoing >= kMaximumOutgoing || frame.size() > kMaximumFrame) {
+    if (outgoingCount >= kMaximumOutgoingConnections || frame.size() > kMaximumFrame) {
       ++counters.droppedFrames;
       return;
     }
-    auto connection = std::make_shared<FrameConnection>(tcp::socket(context), outgoing);
+    auto connection = std::make_shared<FrameConnection>(tcp::socket(context), outgoingCount);
     boost::endian::store_big_u32(connection->prefix.data(),
                                  static_cast<std::uint32_t>(frame.size()));
     connection->frame = std::move(frame);
@@ -195,8 +198,8 @@
   tcp::acceptor acceptor;
   udp::endpoint datagramSender;
   std::array<char, kDatagramBuffer> datagramBuffer{};
-  std::size_t incoming = 0;
-  std::size_t outgoing = 0;
+  std::size_t incomingCount = 0;
+  std::size_t outgoingCount = 0;
   base::PeerIdentity self;
   PeerFrameHandler handler;
   SentObserver observer;
--- a/src/live/rate_limited_event_log.cc
+++ b/src/live/rate_limited_event_log.cc
@@ -36,7 +36,7 @@
 }
 
 void RateLimitedEventLog::reportDropped(base::TimePoint now) {
-  if (dropped_.empty() || now - reportedAt_ < options_.report) return;
+  if (dropped_.empty() || now - reportedAt_ < options_.reportInterval) return;
   reportedAt_ = now;
   for (const auto& [event, count] : std::exchange(dropped_, {})) {
     next_.write(base::Event::kLogLinesDropped, {{"kind", std::string{base::describe(event).name}},
--- a/src/live/rate_limited_event_log.h
+++ b/src/live/rate_limited_event_log.h
@@ -21,7 +21,7 @@
   double burst = 60;
   double linesPerSecond = 2;
   /// How often what was left out is told, at most.
-  base::Duration report = std::chrono::seconds(5);
+  base::Duration reportInterval = std::chrono::seconds(5);
 };
 
 class RateLimitedEventLog final : public base::EventLog {
--- a/src/live/settings.cc
+++ b/src/live/settings.cc
@@ -95,7 +95,7 @@
     if (value) {
       store(*entry, *value, line);
     } else {
-      failed_.insert(entry->key);
+      mistyped_.insert(entry->key);
       reportNotAllowed(*entry, line);
     }
   }
@@ -143,7 +143,7 @@
   }
 
   void store(const SettingEntry& entry, SettingValue value, std::uint32_t line) {
-    failed_.erase(entry.key);
+    mistyped_.erase(entry.key);
     given_.insert_or_assign(entry.key, GivenValue{std::move(value), file_, line});
   }
 
@@ -154,7 +154,7 @@
       if (!entry.apply(settings, given->second.value)) reportNotAllowed(entry, given->second.line);
       return;
     }
-    if (failed_.contains(entry.key)) return;
+    if (mistyped_.contains(entry.key)) return;
     if (entry.required()) {
       mistakes_.push_back({file_, 0, std::string{entry.key},
                            fmt::format("must be given: {} ({})", entry.allowed, entry.meaning)});
@@ -176,7 +176,7 @@
   std::string file_{kCommandLine};
   std::map<std::string_view, GivenValue> given_;
   /// Settings whose value in the file was of a wrong type, reported already.
-  std::set<std::string_view> failed_;
+  std::set<std::string_view> mistyped_;
 };
 
 }  // namespace
--- a/src/live/settings.h
+++ b/src/live/settings.h
@@ -37,9 +37,9 @@
   std::size_t connections = 0;
   std::size_t bodyBytes = 0;
   std::size_t headerBytes = 0;
-  std::size_t answerBufferBytes = 0;
+  std::size_t responseBufferBytes = 0;
   base::Duration stallTimeout{};
-  base::Duration drainBound{};
+  base::Duration drainTimeout{};
 
   std::string operatorKey;
   std::string routingPolicy;
--- a/src/live/utf8.cc
+++ b/src/live/utf8.cc
@@ -9,33 +9,33 @@
 constexpr unsigned kContinuationMask = 0xC0;
 constexpr unsigned kContinuationMark = 0x80;
 constexpr unsigned kContinuationBits = 6;
-constexpr std::uint32_t kLargestCodePoint = 0x10FFFF;
+constexpr std::uint32_t kMaximumCodePoint = 0x10FFFF;
 constexpr std::uint32_t kFirstSurrogate = 0xD800;
 constexpr std::uint32_t kLastSurrogate = 0xDFFF;
 
 /// What the first byte of a sequence says about it.
-struct Lead {
+struct LeadByte {
   unsigned continuationBytes;
   std::uint32_t bits;
   /// Smallest code point that needs this length.
-  std::uint32_t smallest;
+  std::uint32_t minimumCodePoint;
 };
 
-constexpr Lead kInvalidLead{0, 0, UINT32_MAX};
+constexpr LeadByte kInvalidLeadByte{0, 0, UINT32_MAX};
 
-constexpr Lead leadOf(unsigned char byte) {
+constexpr LeadByte parseLeadByte(unsigned char byte) {
   if (byte < 0x80) return {0, byte, 0};
   if (byte >= 0xC0 && byte < 0xE0) return {1, byte & 0x1FU, 0x80};
   if (byte >= 0xE0 && byte < 0xF0) return {2, byte & 0x0FU, 0x800};
   if (byte >= 0xF0 && byte < 0xF8) return {3, byte & 0x07U, 0x10000};
-  return kInvalidLead;
+  return kInvalidLeadByte;
 }
 
 }  // namespace
 
 bool isValidUtf8(std::string_view text) {
   for (std::size_t index = 0; index < text.size();) {
-    const Lead lead = leadOf(static_cast<unsigned char>(text[index++]));
+    const LeadByte lead = parseLeadByte(static_cast<unsigned char>(text[index++]));
     if (text.size() - index < lead.continuationBytes) return false;
     std::uint32_t codePoint = lead.bits;
     for (unsigned count = 0; count < lead.continuationBytes; ++count) {
@@ -44,7 +44,8 @@
       codePoint = codePoint << kContinuationBits | (byte & ~kContinuationMask);
     }
     const bool surrogate = codePoint >= kFirstSurrogate && codePoint <= kLastSurrogate;
-    if (codePoint < lead.smallest || codePoint > kLargestCodePoint || surrogate) return false;
+    if (codePoint < lead.minimumCodePoint || codePoint > kMaximumCodePoint || surrogate)
+      return false;
   }
   return true;
 }
--- a/tests/live/asio_runtime_test.cc
+++ b/tests/live/asio_runtime_test.cc
@@ -17,13 +17,13 @@
 
 struct TimersFixture {
   void run(base::Duration duration) { context.run_for(duration); }
-  void after(base::Duration delay, char name) {
-    timers->schedule(delay, [this, name] { ran += name; });
+  void scheduleNamed(base::Duration delay, char name) {
+    timers->schedule(delay, [this, name] { executed += name; });
   }
 
   boost::asio::io_context context;
   std::optional<AsioTimerService> timers{std::in_place, context};
-  std::string ran;
+  std::string executed;
 };
 
 /// Cancels timers when it goes, as an object does whose last reference a timer's callback held.
@@ -42,13 +42,13 @@
 
 BOOST_FIXTURE_TEST_SUITE(AsioTimerServiceTest, TimersFixture)
 
-BOOST_AUTO_TEST_CASE(TimersRunOnceInTheOrderOfTheirTimes) {
-  after(milliseconds(20), 'c');
-  after(milliseconds(5), 'a');
-  after(milliseconds(10), 'b');
-  after(milliseconds(-5), '0');
+BOOST_AUTO_TEST_CASE(TimersRunOnceInOrderOfDueTime) {
+  scheduleNamed(milliseconds(20), 'c');
+  scheduleNamed(milliseconds(5), 'a');
+  scheduleNamed(milliseconds(10), 'b');
+  scheduleNamed(milliseconds(-5), '0');
   run(milliseconds(100));
-  BOOST_TEST(ran == "0abc");
+  BOOST_TEST(executed == "0abc");
 }
 
 BOOST_AUTO_TEST_CASE(ThousandsOfTimersRunOnce) {
@@ -60,50 +60,50 @@
   BOOST_TEST(count == kCount);
 }
 
-BOOST_AUTO_TEST_CASE(CallbackCancelsAndSchedulesOthersThatAreDue) {
+BOOST_AUTO_TEST_CASE(CallbackMayCancelAndScheduleDueTimers) {
   base::TimerId second = 0;
   timers->schedule(milliseconds(1), [&] {
     timers->cancel(second);
-    after({}, 'b');
+    scheduleNamed({}, 'b');
   });
-  second = timers->schedule(milliseconds(1), [this] { ran += 'x'; });
-  after(milliseconds(2), 'a');
+  second = timers->schedule(milliseconds(1), [this] { executed += 'x'; });
+  scheduleNamed(milliseconds(2), 'a');
   // All three are due when the loop looks for the first time.
   const auto until = AsioClock().now() + milliseconds(5);
   while (AsioClock().now() < until) {
   }
   run(milliseconds(50));
-  BOOST_TEST(ran == "ab");
+  BOOST_TEST(executed == "ab");
 }
 
-BOOST_AUTO_TEST_CASE(TimerAfterACancelOfAllOthersRuns) {
-  timers->cancel(timers->schedule(milliseconds(1), [this] { ran += 'x'; }));
-  after(milliseconds(5), 'a');
+BOOST_AUTO_TEST_CASE(TimerRunsAfterAllOthersWereCancelled) {
+  timers->cancel(timers->schedule(milliseconds(1), [this] { executed += 'x'; }));
+  scheduleNamed(milliseconds(5), 'a');
   run(milliseconds(50));
-  BOOST_TEST(ran == "a");
+  BOOST_TEST(executed == "a");
 }
 
-BOOST_AUTO_TEST_CASE(ServiceThatIsDestroyedInACallbackRunsNoOther) {
+BOOST_AUTO_TEST_CASE(ServiceDestroyedInACallbackRunsNoFurtherTimer) {
   timers->schedule(milliseconds(1), [this] { timers.reset(); });
-  after(milliseconds(1), 'x');
+  scheduleNamed(milliseconds(1), 'x');
   run(milliseconds(20));
-  BOOST_TEST(ran.empty());
+  BOOST_TEST(executed.empty());
 }
 
-BOOST_AUTO_TEST_CASE(CallbackThatGoesWithACancelMayCancelItsOwnTimer) {
+BOOST_AUTO_TEST_CASE(ObjectOwnedByACancelledCallbackMayCancelTheSameTimer) {
   auto owned = std::make_shared<Canceller>(*timers);
-  const std::weak_ptr<Canceller> kept = owned;
+  const std::weak_ptr<Canceller> observer = owned;
   const auto id = timers->schedule(milliseconds(1), [owned] {});
   owned->ids = {id};
   owned.reset();
   timers->cancel(id);
-  BOOST_TEST(kept.expired());
-  after(milliseconds(1), 'a');
+  BOOST_TEST(observer.expired());
+  scheduleNamed(milliseconds(1), 'a');
   run(milliseconds(20));
-  BOOST_TEST(ran == "a");
+  BOOST_TEST(executed == "a");
 }
 
-BOOST_AUTO_TEST_CASE(CallbacksThatGoWithTheServiceMayCancelTimers) {
+BOOST_AUTO_TEST_CASE(ObjectsOwnedByCallbacksMayCancelTimersWhenTheServiceIsDestroyed) {
   constexpr int kCount = 100;
   std::vector<std::shared_ptr<Canceller>> owned;
   std::vector<base::TimerId> ids;
--- a/tests/live/boost_event_log_test.cc
+++ b/tests/live/boost_event_log_test.cc
@@ -12,11 +12,11 @@
 namespace {
 
 /// A stream whose writer is held up until the test lets it go on.
-class HeldBuffer final : public std::stringbuf {
+class BlockedBuffer final : public std::stringbuf {
  public:
-  void letGo() {
+  void unblock() {
     const std::lock_guard lock(mutex_);
-    held_ = false;
+    blocked_ = false;
     condition_.notify_all();
   }
   std::string text() {
@@ -27,26 +27,26 @@
  protected:
   std::streamsize xsputn(const char* bytes, std::streamsize count) override {
     std::unique_lock lock(mutex_);
-    condition_.wait(lock, [this] { return !held_; });
+    condition_.wait(lock, [this] { return !blocked_; });
     written_.append(bytes, static_cast<std::size_t>(count));
     return count;
   }
-  int_type overflow(int_type letter) override {
+  int_type overflow(int_type character) override {
     const std::lock_guard lock(mutex_);
-    written_ += static_cast<char>(letter);
-    return letter;
+    written_ += static_cast<char>(character);
+    return character;
   }
 
  private:
   std::mutex mutex_;
   std::condition_variable condition_;
-  bool held_ = true;
+  bool blocked_ = true;
   std::string written_;
 };
 
-std::size_t countOf(const std::string& text, std::string_view word) {
+std::size_t countOf(const std::string& text, std::string_view part) {
   std::size_t count = 0;
-  for (auto at = text.find(word); at != std::string::npos; at = text.find(word, at + 1)) ++count;
+  for (auto at = text.find(part); at != std::string::npos; at = text.find(part, at + 1)) ++count;
   return count;
 }
 
@@ -54,15 +54,15 @@
 
 BOOST_AUTO_TEST_SUITE(BoostEventLogTest)
 
-BOOST_AUTO_TEST_CASE(ReaderThatStopsReadingCostsRoutineLinesFirstAndHoldsNobodyUp) {
-  HeldBuffer buffer;
+BOOST_AUTO_TEST_CASE(StalledReaderLosesRoutineLinesFirstAndBlocksNoWriter) {
+  BlockedBuffer buffer;
   std::ostream stream(&buffer);
   {
-    BoostEventLog log("n", {.stream = &stream, .routineLines = 10, .mostLines = 20});
+    BoostEventLog log("n", {.stream = &stream, .routineQueueLimit = 10, .queueLimit = 20});
     // Returns, though nothing can be written.
     for (int count = 0; count < 100; ++count) log.write(base::Event::kRelayFinished, {});
     for (int count = 0; count < 5; ++count) log.write(base::Event::kRequestRefused, {});
-    buffer.letGo();
+    buffer.unblock();
     while (countOf(buffer.text(), "name=") < 15) std::this_thread::yield();
     log.write(base::Event::kRelayFinished, {});
   }
@@ -73,15 +73,15 @@
   BOOST_TEST(countOf(text, "kind=\"RelayFinished\" lines=\"90\"") == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(EndOfTheProcessDoesNotWaitForAReaderThatHasStopped) {
-  static HeldBuffer buffer;
+BOOST_AUTO_TEST_CASE(DestructorDoesNotWaitForAStalledReader) {
+  static BlockedBuffer buffer;
   static std::ostream stream(&buffer);
   {
     BoostEventLog log("n", {.stream = &stream});
     log.write(base::Event::kNodeStopped, {});
   }
   BOOST_TEST(buffer.text().empty());
-  buffer.letGo();
+  buffer.unblock();
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/live/caller_gateway_test.cc
+++ b/tests/live/caller_gateway_test.cc
@@ -32,7 +32,7 @@
                 headers);
   }
   FakeRequestService& requests() { return node.requestService; }
-  void waitCompletion() {
+  void waitForCompletion() {
     runUntil(context, [this] { return requests().completionSink != nullptr; });
   }
 
@@ -57,7 +57,7 @@
   client.send(Fixture::chat(true,
                             "X-Covewing-Priority: urgent\r\nIdempotency-Key: k\r\n"
                             "X-Covewing-Not-Repeatable: true\r\n"));
-  fixture.waitCompletion();
+  fixture.waitForCompletion();
   const auto& request = fixture.requests().completion;
   BOOST_TEST(request.bearerKey == "key-1");
   BOOST_TEST((request.priority == base::PriorityClass::kUrgent));
@@ -72,11 +72,11 @@
   runUntil(fixture.context, [&] { return fixture.requests().active == 0; });
 }
 
-BOOST_AUTO_TEST_CASE(WholeChatCollectsTheChunks) {
+BOOST_AUTO_TEST_CASE(UnstreamedChatCollectsTheChunks) {
   Fixture fixture;
   TestClient client(fixture.context, fixture.endpoint);
   client.send(Fixture::chat(false));
-  fixture.waitCompletion();
+  fixture.waitForCompletion();
   fixture.requests().completionSink->onChunk({0, "one "});
   fixture.requests().completionSink->onChunk({1, "two"});
   fixture.requests().completionSink->onEnd({3, 1, 2, "stop"});
@@ -88,7 +88,7 @@
   Fixture fixture;
   TestClient client(fixture.context, fixture.endpoint);
   client.send(Fixture::chat(true));
-  fixture.waitCompletion();
+  fixture.waitForCompletion();
   fixture.requests().completionSink->onRefused(
       {{base::ResultCode::kRateLimited, "d"}, request::Outcome::kNotRun, std::chrono::seconds(3)});
   client.waitFor("\"request_id\":\"request-1\"");
@@ -101,7 +101,7 @@
   Fixture fixture;
   TestClient client(fixture.context, fixture.endpoint);
   client.send(Fixture::chat(true));
-  fixture.waitCompletion();
+  fixture.waitForCompletion();
   fixture.requests().completionSink->onChunk({0, "part"});
   fixture.requests().completionSink->onRefused(
       {{base::ResultCode::kStreamBroken, "d"}, request::Outcome::kUnknown, {}});
@@ -115,7 +115,7 @@
   Fixture fixture;
   TestClient client(fixture.context, fixture.endpoint);
   client.send(Fixture::chat(true));
-  fixture.waitCompletion();
+  fixture.waitForCompletion();
   fixture.requests().completionSink->onChunk({0, "part"});
   client.waitFor("part");
   BOOST_TEST(fixture.requests().active == 1U);
@@ -129,11 +129,11 @@
   Fixture fixture(limits);
   TestClient client(fixture.context, fixture.endpoint, /*reading=*/false);
   client.send(Fixture::chat(true));
-  fixture.waitCompletion();
-  const std::string piece(60'000, 'x');
+  fixture.waitForCompletion();
+  const std::string chunkText(60'000, 'x');
   std::uint64_t position = 0;
   while (!fixture.requests().paused) {
-    fixture.requests().completionSink->onChunk({position++, piece});
+    fixture.requests().completionSink->onChunk({position++, chunkText});
     fixture.context.poll();
     fixture.context.restart();
   }
@@ -142,32 +142,32 @@
   runUntil(fixture.context, [&] { return !fixture.requests().paused; });
 }
 
-BOOST_AUTO_TEST_CASE(WrongInputIsRefusedBeforeTheNodeSeesIt) {
+BOOST_AUTO_TEST_CASE(InvalidInputIsRefusedBeforeItReachesTheNode) {
   Fixture fixture;
-  const auto answerTo = [&fixture](const std::string& request) {
+  const auto responseTo = [&fixture](const std::string& request) {
     TestClient client(fixture.context, fixture.endpoint);
     client.send(request);
     client.waitFor("request_id");
     return client.received();
   };
-  const auto has = [](const std::string& answer, std::string_view text) {
-    return answer.find(text) != std::string::npos;
+  const auto has = [](const std::string& response, std::string_view text) {
+    return response.find(text) != std::string::npos;
   };
-  const auto badField = answerTo(Fixture::post("/v1/completions", R"({"model": 1})"));
+  const auto badField = responseTo(Fixture::post("/v1/completions", R"({"model": 1})"));
   BOOST_TEST(has(badField, "HTTP/1.1 400"));
   BOOST_TEST(has(badField, "model: "));
   BOOST_TEST(has(badField, "prompt: "));
   BOOST_TEST(has(badField, "X-Request-Id: refused-1"));
-  BOOST_TEST(has(answerTo(Fixture::chat(true, "X-Covewing-Priority: top\r\n")),
+  BOOST_TEST(has(responseTo(Fixture::chat(true, "X-Covewing-Priority: top\r\n")),
                  "X-Covewing-Priority: must be one of"));
-  BOOST_TEST(has(answerTo(Fixture::chat(true, "X-Covewing-Not-Repeatable: maybe\r\n")),
+  BOOST_TEST(has(responseTo(Fixture::chat(true, "X-Covewing-Not-Repeatable: maybe\r\n")),
                  "X-Covewing-Not-Repeatable: must be true or false"));
-  BOOST_TEST(has(answerTo("GET /v1/completions HTTP/1.1\r\nHost: x\r\n\r\n"), "HTTP/1.1 405"));
-  BOOST_TEST(has(answerTo("GET /v1/models HTTP/1.1\r\nHost: x\r\n\r\n"), "HTTP/1.1 401"));
+  BOOST_TEST(has(responseTo("GET /v1/completions HTTP/1.1\r\nHost: x\r\n\r\n"), "HTTP/1.1 405"));
+  BOOST_TEST(has(responseTo("GET /v1/models HTTP/1.1\r\nHost: x\r\n\r\n"), "HTTP/1.1 401"));
   BOOST_TEST((fixture.requests().completionSink == nullptr));
 }
 
-BOOST_AUTO_TEST_CASE(ModelsAreThoseOfTheTemplate) {
+BOOST_AUTO_TEST_CASE(ModelListContainsTheModelsOfTheTemplate) {
   Fixture fixture;
   TestClient client(fixture.context, fixture.endpoint);
   client.send("GET /v1/models HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer key-1\r\n\r\n");
--- a/tests/live/completion_body_test.cc
+++ b/tests/live/completion_body_test.cc
@@ -19,7 +19,7 @@
   return reason;
 }
 
-bool names(const base::Reason& reason, std::string_view field) {
+bool namesField(const base::Reason& reason, std::string_view field) {
   return reason.code == base::ResultCode::kInvalidField &&
          reason.detail.find(std::string{field} + ":") != std::string::npos;
 }
@@ -56,24 +56,24 @@
   BOOST_TEST((*tokens.value().prompt == std::string("\1\0\0\0\0\1\0\0", 8)));
 }
 
-BOOST_AUTO_TEST_CASE(EveryWrongFieldIsNamed) {
+BOOST_AUTO_TEST_CASE(EveryInvalidFieldIsNamed) {
   const auto reason = refused(kChat, R"({"model": 3, "stream": "yes", "n": 2, "max_tokens": -1,
       "messages": [{"role": "user"}, {"content": "x"}, 5]})");
   for (const auto* field : {"model", "stream", "n", "max_tokens", "messages[0].content",
                             "messages[1].role", "messages[2]"}) {
-    BOOST_TEST(names(reason, field), field << " in " << reason.detail);
+    BOOST_TEST(namesField(reason, field), field << " in " << reason.detail);
   }
 }
 
-BOOST_AUTO_TEST_CASE(WrongPromptsAreNamed) {
+BOOST_AUTO_TEST_CASE(InvalidPromptsAreNamed) {
   for (const auto* prompt :
        {"[]", "[-1]", "[4294967296]", "[1.5]", "[\"a\", \"b\"]", "{}", "\"\""}) {
     const auto text = R"({"model": "m", "prompt": )" + std::string{prompt} + "}";
-    BOOST_TEST(names(refused(kText, text), "prompt"), prompt);
+    BOOST_TEST(namesField(refused(kText, text), "prompt"), prompt);
   }
 }
 
-BOOST_AUTO_TEST_CASE(BrokenBodiesAreToldApart) {
+BOOST_AUTO_TEST_CASE(MalformedBodiesAreDistinguished) {
   using base::ResultCode;
   BOOST_TEST((refused(kChat, "{\"model\": ").code == ResultCode::kMalformedJson));
   BOOST_TEST((refused(kChat, std::string(100'000, '[')).code == ResultCode::kMalformedJson));
@@ -83,15 +83,15 @@
   BOOST_TEST((refused(kChat, "[]").code == ResultCode::kInvalidField));
 }
 
-BOOST_AUTO_TEST_CASE(StreamedChatHasTheApiShape) {
-  const CompletionResponse answer(kChat, {"id-1"}, "rules", 5);
-  BOOST_TEST(dataOf(answer.firstEvent())["choices"][0]["delta"]["role"] == "assistant");
-  const auto chunk = dataOf(answer.chunkEvent("a \"quote\"\n"));
+BOOST_AUTO_TEST_CASE(StreamedChatHasTheApiFormat) {
+  const CompletionResponse response(kChat, {"id-1"}, "rules", 5);
+  BOOST_TEST(dataOf(response.firstEvent())["choices"][0]["delta"]["role"] == "assistant");
+  const auto chunk = dataOf(response.chunkEvent("a \"quote\"\n"));
   BOOST_TEST(chunk["id"] == "chatcmpl-id-1");
   BOOST_TEST(chunk["object"] == "chat.completion.chunk");
   BOOST_TEST(chunk["choices"][0]["delta"]["content"] == "a \"quote\"\n");
   BOOST_TEST(chunk["choices"][0]["finish_reason"].is_null());
-  const auto events = answer.endEvents({10, 4, 3, "length"});
+  const auto events = response.endEvents({10, 4, 3, "length"});
   BOOST_TEST(events.ends_with("data: [DONE]\n\n"));
   const auto end = dataOf(events);
   BOOST_TEST(end["choices"][0]["finish_reason"] == "length");
@@ -99,15 +99,15 @@
   BOOST_TEST(end["usage"]["prompt_tokens_details"]["cached_tokens"] == 4);
 }
 
-BOOST_AUTO_TEST_CASE(WholeTextHasTheApiShape) {
-  const CompletionResponse answer(kText, {"id-2"}, "rules", 5);
-  const auto body = nlohmann::json::parse(answer.wholeBody("out", {1, 0, 1, "stop"}));
+BOOST_AUTO_TEST_CASE(UnstreamedTextHasTheApiFormat) {
+  const CompletionResponse response(kText, {"id-2"}, "rules", 5);
+  const auto body = nlohmann::json::parse(response.responseBody("out", {1, 0, 1, "stop"}));
   BOOST_TEST(body["object"] == "text_completion");
   BOOST_TEST(body["choices"][0]["text"] == "out");
   BOOST_TEST(body["choices"].size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(RefusalTellsOutcomeAndWait) {
+BOOST_AUTO_TEST_CASE(RefusalContainsOutcomeAndRetryAfter) {
   const request::Refusal refusal{
       {base::ResultCode::kShed, "why"}, request::Outcome::kNotRun, std::chrono::milliseconds(1200)};
   const auto response = refusalResponse(refusal, "id-3");
--- a/tests/live/daemon_test.cc
+++ b/tests/live/daemon_test.cc
@@ -45,9 +45,9 @@
     settings.connections = 1000;
     settings.bodyBytes = 1U << 20U;
     settings.headerBytes = 16U << 10U;
-    settings.answerBufferBytes = 64U << 10U;
+    settings.responseBufferBytes = 64U << 10U;
     settings.stallTimeout = std::chrono::seconds(60);
-    settings.drainBound = std::chrono::seconds(60);
+    settings.drainTimeout = std::chrono::seconds(60);
     settings.operatorKey = kOperatorKey;
     settings.routingPolicy = "default";
     settings.freshnessBound = std::chrono::seconds(5);
@@ -62,13 +62,13 @@
                              R"("], "body": {"models": [{"model": "rules"}], "priority": "standard",
             "deadline_ms": 60000, "hold_ms": 60000, "applications": [{"path": "/standings",
             "application": "pairings", "not_repeatable_methods": ["POST"]}]}})";
-    const auto answer = exchange(daemon->endpoints().operators,
-                                 "POST /v1/templates/judges?operation=operation-1&author=test "
-                                 "HTTP/1.1\r\nHost: x\r\n"
-                                 "Connection: close\r\nAuthorization: Bearer " +
-                                     std::string{kOperatorKey} + "\r\nContent-Length: " +
-                                     std::to_string(body.size()) + "\r\n\r\n" + body);
-    BOOST_REQUIRE_MESSAGE(answer.starts_with("HTTP/1.1 200"), answer);
+    const auto response = exchange(daemon->endpoints().operators,
+                                   "POST /v1/templates/judges?operation=operation-1&author=test "
+                                   "HTTP/1.1\r\nHost: x\r\n"
+                                   "Connection: close\r\nAuthorization: Bearer " +
+                                       std::string{kOperatorKey} + "\r\nContent-Length: " +
+                                       std::to_string(body.size()) + "\r\n\r\n" + body);
+    BOOST_REQUIRE_MESSAGE(response.starts_with("HTTP/1.1 200"), response);
   }
 
   std::string exchange(const base::Endpoint& endpoint, const std::string& request) {
@@ -103,8 +103,8 @@
 
 std::size_t occurrences(std::string_view text, std::string_view part) {
   std::size_t count = 0;
-  for (auto place = text.find(part); place != std::string_view::npos;
-       place = text.find(part, place + part.size())) {
+  for (auto position = text.find(part); position != std::string_view::npos;
+       position = text.find(part, position + part.size())) {
     ++count;
   }
   return count;
@@ -114,13 +114,13 @@
 
 BOOST_AUTO_TEST_SUITE(DaemonTest)
 
-BOOST_AUTO_TEST_CASE(WholePath) {
+BOOST_AUTO_TEST_CASE(EveryKindOfCallIsServed) {
   Fixture fixture;
   const auto& endpoints = fixture.daemon->endpoints();
-  const auto answer = fixture.exchange(endpoints.caller, Fixture::chat("May I redraw?", true, 5));
-  BOOST_TEST(answer.starts_with("HTTP/1.1 200"));
-  BOOST_TEST(occurrences(answer, "\"delta\":{\"content\":") == 5U);
-  BOOST_TEST(occurrences(answer, "data: [DONE]") == 1U);
+  const auto response = fixture.exchange(endpoints.caller, Fixture::chat("May I redraw?", true, 5));
+  BOOST_TEST(response.starts_with("HTTP/1.1 200"));
+  BOOST_TEST(occurrences(response, "\"delta\":{\"content\":") == 5U);
+  BOOST_TEST(occurrences(response, "data: [DONE]") == 1U);
   BOOST_TEST(occurrences(fixture.get(endpoints.caller, "/standings"), "pairings-") == 1U);
   BOOST_TEST(fixture.get(endpoints.caller, "/v1/models").starts_with("HTTP/1.1 200"));
   BOOST_TEST(fixture.get(endpoints.caller, "/nowhere").starts_with("HTTP/1.1 4"));
@@ -161,7 +161,7 @@
   BOOST_CHECK_THROW(TestClient(fixture.context, caller), boost::system::system_error);
 }
 
-BOOST_AUTO_TEST_CASE(CallerThatLeavesCancelsTheEnginesWork) {
+BOOST_AUTO_TEST_CASE(CallerDisconnectCancelsTheRequest) {
   Fixture fixture;
   TestClient client(fixture.context, fixture.daemon->endpoints().caller);
   client.send(Fixture::chat("a long one", false, 1000));
@@ -176,8 +176,9 @@
   runUntil(fixture.context, [&] {
     return second->node().ready() && second->node().configuration().findByName("judges") != nullptr;
   });
-  const auto answer = fixture.exchange(second->endpoints().caller, Fixture::chat("hello", true, 3));
-  BOOST_TEST(occurrences(answer, "data: [DONE]") == 1U);
+  const auto response =
+      fixture.exchange(second->endpoints().caller, Fixture::chat("hello", true, 3));
+  BOOST_TEST(occurrences(response, "data: [DONE]") == 1U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/live/peer_transport_test.cc
+++ b/tests/live/peer_transport_test.cc
@@ -34,7 +34,7 @@
 };
 
 struct Fixture {
-  void waitReceived() {
+  void waitUntilReceived() {
     runUntil(context, [this] { return !right.received.empty(); });
   }
 
@@ -52,7 +52,7 @@
   const std::string payload(base::PeerTransport::kDatagramLimit, 'x');
   fixture.left.transport.send(fixture.right.self.endpoint, base::Channel::kCacheIndex, payload);
   BOOST_TEST(fixture.left.transport.counters().sentFrames == 1U);
-  fixture.waitReceived();
+  fixture.waitUntilReceived();
   const auto& message = fixture.right.received.front();
   BOOST_TEST(message.payload == payload);
   BOOST_TEST((message.channel == base::Channel::kCacheIndex));
@@ -64,11 +64,11 @@
   Fixture fixture;
   const std::string payload(3U << 20U, 'y');
   fixture.left.transport.send(fixture.right.self.endpoint, base::Channel::kConfiguration, payload);
-  fixture.waitReceived();
+  fixture.waitUntilReceived();
   BOOST_TEST((fixture.right.received.front().payload == payload));
 }
 
-BOOST_AUTO_TEST_CASE(BrokenFramesAreCountedAndTheNextIsTaken) {
+BOOST_AUTO_TEST_CASE(MalformedFramesAreCountedAndTheNextIsReceived) {
   Fixture fixture;
   boost::asio::ip::udp::socket socket(fixture.context, boost::asio::ip::udp::v4());
   const boost::asio::ip::udp::endpoint target(boost::asio::ip::address_v4(kLoopback),
@@ -77,7 +77,7 @@
     socket.send_to(boost::asio::buffer(bytes), target);
   runUntil(fixture.context, [&] { return fixture.right.transport.counters().rejectedFrames == 3; });
   fixture.left.transport.send(fixture.right.self.endpoint, base::Channel::kRequest, "good");
-  fixture.waitReceived();
+  fixture.waitUntilReceived();
   BOOST_TEST(fixture.right.received.front().payload == "good");
 }
 
--- a/tests/live/platform_json_test.cc
+++ b/tests/live/platform_json_test.cc
@@ -30,7 +30,7 @@
   BOOST_TEST(report->events[1].block.value == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(MistakenReportsAreRefusedWhole) {
+BOOST_AUTO_TEST_CASE(InvalidReportsAreRejectedEntirely) {
   for (const auto* text :
        {"", "[]", R"({"incarnation": -1})", R"({"stored": "AQ=="})",
         R"({"stored": "AQAAAAAAAAA=", "order": "e"})", R"({"stored": "", "order": "s"})",
@@ -90,7 +90,7 @@
   BOOST_TEST(!machinesFromJson(R"({"machines": [{"endpoint": "host:80"}]})").has_value());
 }
 
-BOOST_AUTO_TEST_CASE(SseEventsAcrossPieces) {
+BOOST_AUTO_TEST_CASE(SseEventsSplitAcrossChunks) {
   SseParser parser;
   parser.feed(": comment\r\ndata: on");
   BOOST_TEST(!parser.next().has_value());
--- a/tests/live/rate_limited_event_log_test.cc
+++ b/tests/live/rate_limited_event_log_test.cc
@@ -12,8 +12,8 @@
 
 namespace {
 
-struct LimitFixture {
-  LimitFixture() { time.advance(seconds(100)); }
+struct RateLimitFixture {
+  RateLimitFixture() { time.advance(seconds(100)); }
 
   test_support::VirtualTime time;
   test_support::RecordingLog log;
@@ -22,9 +22,9 @@
 
 }  // namespace
 
-BOOST_FIXTURE_TEST_SUITE(LimitedEventLogTest, LimitFixture)
+BOOST_FIXTURE_TEST_SUITE(LimitedEventLogTest, RateLimitFixture)
 
-BOOST_AUTO_TEST_CASE(ChangesOfALargeFleetAreBoundedAndCounted) {
+BOOST_AUTO_TEST_CASE(ChangesOfALargeFleetAreLimitedAndCounted) {
   for (int member = 0; member < 300; ++member)
     limited.write(base::Event::kMemberJoined, {{"member", std::to_string(member)}});
   BOOST_TEST(log.count(base::Event::kMemberJoined) == 60U);
@@ -34,7 +34,7 @@
   BOOST_TEST(log.count(base::Event::kLogLinesDropped) == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(DecisionsAreNeverLeftOut) {
+BOOST_AUTO_TEST_CASE(DecisionsAreNeverDropped) {
   for (int request = 0; request < 500; ++request) limited.write(base::Event::kRelayDispatched, {});
   BOOST_TEST(log.count(base::Event::kRelayDispatched) == 500U);
   BOOST_TEST(log.count(base::Event::kLogLinesDropped) == 0U);
--- a/tests/live/settings_test.cc
+++ b/tests/live/settings_test.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr std::string_view kWhole = R"([node]
+constexpr std::string_view kCompleteFile = R"([node]
 name = "north-1"
 zone = "a"
 region = "south"
@@ -57,8 +57,8 @@
 
 BOOST_AUTO_TEST_SUITE(SettingsTest)
 
-BOOST_AUTO_TEST_CASE(WholeFileWithDefaults) {
-  const auto loaded = load(std::string{kWhole});
+BOOST_AUTO_TEST_CASE(CompleteFileWithDefaults) {
+  const auto loaded = load(std::string{kCompleteFile});
   BOOST_REQUIRE(loaded.settings.has_value());
   BOOST_TEST(loaded.settings->name == "north-1");
   BOOST_TEST(loaded.settings->peerEndpoint.port == 3);
@@ -94,7 +94,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(MistakeNamesWhatIsAllowed) {
-  const auto loaded = load(std::string{kWhole} + "[limits]\nstall_seconds = 0\n");
+  const auto loaded = load(std::string{kCompleteFile} + "[limits]\nstall_seconds = 0\n");
   BOOST_REQUIRE(loaded.mistakes.size() == 1U);
   BOOST_TEST(toText(loaded.mistakes.front()) ==
              "node.toml:19: limits.stall_seconds: must be a value of type integer, 1 to 3600");
@@ -114,7 +114,7 @@
             problem);
   BOOST_REQUIRE(line.has_value());
   BOOST_TEST(line->settingsFile == "node.toml");
-  const auto loaded = load(std::string{kWhole}, line->overrides);
+  const auto loaded = load(std::string{kCompleteFile}, line->overrides);
   BOOST_REQUIRE(loaded.settings.has_value());
   BOOST_TEST(loaded.settings->name == "south-2");
   BOOST_TEST(loaded.settings->openRequests == 5U);
@@ -128,7 +128,7 @@
   BOOST_TEST(!parse({"--settings"}, problem).has_value());
   BOOST_TEST(problem == "value missing for --settings");
   BOOST_TEST(!parse({"stray"}, problem).has_value());
-  const auto loaded = load(std::string{kWhole}, {{"limits.open_requests", "5x"}});
+  const auto loaded = load(std::string{kCompleteFile}, {{"limits.open_requests", "5x"}});
   BOOST_REQUIRE(loaded.mistakes.size() == 1U);
   BOOST_TEST(loaded.mistakes.front().file == "command line");
 }
