--- a/src/live/asio_runtime.cc
+++ b/src/live/asio_runtime.cc
@@ -19,9 +19,9 @@
   return base::TimePoint{BootClock::now().time_since_epoch()};
 }
 
-/// All timers in the order of their due times behind one timer of Asio, the alarm: a timer that is
-/// cancelled, as most are, costs Asio nothing. 0.2 us instead of 1.0 us for a timer that is
-/// scheduled and cancelled beside 2,000 others.
+/// Keeps all timers ordered by due time and uses a single Asio timer, the alarm, for the first one.
+/// Most timers are cancelled, and cancelling one needs no Asio call: scheduling and cancelling a
+/// timer takes 0.2 us instead of 1.0 us while 2,000 others are pending.
 struct AsioTimerService::Impl : std::enable_shared_from_this<AsioTimerService::Impl> {
   using DueTime = BootClock::time_point;
   using Key = std::pair<DueTime, base::TimerId>;
@@ -40,10 +40,11 @@
   void remove(base::TimerId id) {
     const auto found = dueTimes.find(id);
     if (found == dueTimes.end()) return;
-    // Goes last: what the callback owns may cancel timers, this one too, when it goes.
+    // Destroyed at the end of the function, because objects owned by the callback may cancel timers
+    // in their destructors, including this one.
     const auto callback = queue.extract({found->second, id});
     dueTimes.erase(found);
-    // An alarm for nothing would keep the loop from ending.
+    // A pending alarm without timers would keep the event loop from ending.
     if (queue.empty()) disarm();
   }
 
@@ -52,7 +53,8 @@
     alarm.cancel();
   }
 
-  /// An alarm that goes off before the first timer is due is set again then.
+  /// Sets the alarm for the first timer. An alarm that is already set for an earlier time is left
+  /// alone, because it is set again when it expires.
   void arm() {
     if (queue.empty()) return;
     const auto first = queue.begin()->first.first;
@@ -67,7 +69,7 @@
 
   void onAlarm() {
     const auto now = BootClock::now();
-    // An alarm that went off just before it was set anew.
+    // The alarm had already expired when it was cancelled or set to a later time.
     if (!armedFor || now < *armedFor) return;
     armedFor.reset();
     while (!closed && !queue.empty() && queue.begin()->first.first <= now) {
@@ -81,7 +83,8 @@
   void close() {
     closed = true;
     dueTimes.clear();
-    // Goes last: what the callbacks own may cancel timers when it goes.
+    // Destroyed at the end of the function, because objects owned by the callbacks may cancel
+    // timers in their destructors.
     const auto callbacks = std::exchange(queue, {});
     disarm();
   }
--- a/src/live/asio_runtime.h
+++ b/src/live/asio_runtime.h
@@ -1,6 +1,6 @@
 /// \file
-/// Clock, timers and random seed of the live runtime. All callbacks run on the io_context's one
-/// thread.
+/// Clock, timers, random seed and incarnation number of a live node. All callbacks run on the
+/// single thread of the io_context.
 #pragma once
 
 #include <cstdint>
@@ -16,15 +16,16 @@
 
 namespace covewing::live {
 
-/// The boot-time clock of the operating system, which counts suspensions (live/boot_clock.h).
+/// Reads the operating system's boot-time clock, which includes the time during which the machine
+/// is suspended (live/boot_clock.h).
 class AsioClock final : public base::Clock {
  public:
   base::TimePoint now() const override;
 };
 
-/// Timers on an io_context, by the boot-time clock: those that came due while the machine was
-/// suspended run in their order within BootWaitTraits::kMaximumWait of the wake. Destroying the
-/// service forgets all timers.
+/// Timers on an io_context, driven by the boot-time clock. Timers that became due while the machine
+/// was suspended run in order of their due times, within BootWaitTraits::kMaximumWait after the
+/// machine resumes. Destroying the service discards all timers without running them.
 class AsioTimerService final : public base::TimerService {
  public:
   explicit AsioTimerService(boost::asio::io_context& context);
@@ -40,10 +41,11 @@
   std::shared_ptr<Impl> impl_;
 };
 
-/// A seed from the operating system's entropy, for base::SeededRandom.
+/// Returns a seed for base::SeededRandom from the operating system's entropy source.
 std::uint64_t systemSeed();
 
-/// A number that grows with each start of a process: microseconds since the Unix epoch.
+/// Returns an incarnation number that increases with each start of a process: the current time in
+/// microseconds since the Unix epoch.
 base::Incarnation startIncarnation();
 
 }  // namespace covewing::live
--- a/src/live/boost_event_log.cc
+++ b/src/live/boost_event_log.cc
@@ -25,12 +25,12 @@
 namespace logging = boost::log;
 namespace sinks = boost::log::sinks;
 
-/// How long the end of the process waits for a reader, by the steady clock: a suspension meanwhile
-/// delays the end by its own length at most.
+/// How long the destructor waits for the reader of the stream at the end of the process, measured
+/// with the steady clock: a suspension in that time delays the end by at most its own length.
 constexpr std::chrono::milliseconds kFlushTimeout{500};
 constexpr std::chrono::milliseconds kFlushPollInterval{5};
 
-/// Writes lines to a stream and counts those that are left.
+/// Writes lines to a stream and counts those that are still queued.
 class LineBackend final
     : public sinks::basic_formatted_sink_backend<char, sinks::synchronized_feeding> {
  public:
@@ -47,7 +47,8 @@
 
 using Sink = sinks::asynchronous_sink<LineBackend>;
 
-/// The last word on a failed request, or something that someone should look at.
+/// Returns false for final refusals of requests and for warnings and errors, which are dropped
+/// last.
 bool isRoutine(base::Event event) {
   return base::describe(event).severity == base::Severity::kInfo &&
          event != base::Event::kRequestRefused;
@@ -122,7 +123,8 @@
     impl_->sink->stop();
     return;
   }
-  // The writing thread is held up by the reader and cannot be joined: it ends with the process.
+  // The writing thread is blocked by the reader and cannot be joined; it ends with the process. The
+  // sink is leaked on purpose, because that thread still uses it.
   static_cast<void>(new (std::nothrow) boost::shared_ptr<Sink>(impl_->sink));
 }
 
@@ -134,7 +136,7 @@
     ++dropped_[event];
     return;
   }
-  // The reader has caught up by half.
+  // The queue has drained to less than half of its limit for routine lines.
   if (!dropped_.empty() && queued < options_.routineQueueLimit / 2) reportDropped();
   push(event, fields);
 }
--- a/src/live/boost_event_log.h
+++ b/src/live/boost_event_log.h
@@ -1,5 +1,5 @@
 /// \file
-/// Event log on Boost.Log: one line of key=value pairs for each event.
+/// Event log based on Boost.Log, which writes one line of key=value pairs per event.
 #pragma once
 
 #include <cstddef>
@@ -14,25 +14,28 @@
 namespace covewing::live {
 
 struct BoostEventLogOptions {
-  /// Events below this are not written.
+  /// Events of a lower severity are not written.
   base::Severity minimum = base::Severity::kInfo;
-  /// Where lines go; null: standard error. Must outlive the process' logging.
+  /// Stream that lines are written to; null for standard error. Must outlive all logging of the
+  /// process.
   std::ostream* stream = nullptr;
-  /// Lines waiting to be written beyond which routine events are left out, and beyond which all
-  /// are. The last word on a failed request, warnings and errors are no routine events.
+  /// Number of queued lines at which routine events are dropped, and number at which all events are
+  /// dropped. Final refusals of requests, warnings and errors are not routine events.
   std::size_t routineQueueLimit = 4096;
   std::size_t queueLimit = 8192;
 };
 
 /// Writes `time=... severity=... event=NUMBER name=NAME process=NAME field="value"...`.
 ///
-/// Lines are written by a thread of Boost.Log from a bounded queue: a reader that does not keep up
-/// costs lines and never holds a request up. What was left out is told by kind, as soon as the
-/// reader has caught up (event LogLinesDropped). Only one may exist at a time in a process.
+/// Lines are written from a bounded queue by a Boost.Log thread: if the reader of the stream does
+/// not keep up, lines are dropped, but no request is delayed. The number of dropped lines is logged
+/// for each kind of event as soon as the reader has caught up (event LogLinesDropped). Only one
+/// instance may exist at a time in a process.
 class BoostEventLog final : public base::EventLog {
  public:
   explicit BoostEventLog(std::string process, BoostEventLogOptions options = {});
-  /// Waits shortly for what is queued; a reader that has stopped reading is not waited for.
+  /// Waits for a limited time until the queued lines are written; lines that a stalled reader has
+  /// not accepted by then are abandoned.
   ~BoostEventLog() override;
   BoostEventLog(const BoostEventLog&) = delete;
   BoostEventLog& operator=(const BoostEventLog&) = delete;
@@ -47,11 +50,11 @@
   std::string process_;
   BoostEventLogOptions options_;
   std::unique_ptr<Impl> impl_;
-  /// Lines left out since the last report, by event.
+  /// Number of lines dropped since the last report, by event.
   std::map<base::Event, std::uint64_t> dropped_;
 };
 
-/// The line of one event, without its time.
+/// Returns the line for one event, without its time.
 std::string formatEvent(base::Event event, std::string_view process,
                         std::initializer_list<base::EventField> fields);
 
--- a/src/live/boot_clock.cc
+++ b/src/live/boot_clock.cc
@@ -12,7 +12,7 @@
 
 base::Duration read(clockid_t clock) {
   timespec time{};
-  // Cannot fail: both clocks exist on every kernel that is served (2.6.39 and later).
+  // Cannot fail: both clocks exist on every supported kernel (2.6.39 and later).
   clock_gettime(clock, &time);
   return std::chrono::duration_cast<base::Duration>(std::chrono::seconds(time.tv_sec) +
                                                     std::chrono::nanoseconds(time.tv_nsec));
--- a/src/live/boot_clock.h
+++ b/src/live/boot_clock.h
@@ -1,9 +1,10 @@
 /// \file
-/// The clock and the timers of live nodes. They count the time that the machine is suspended.
+/// Clock and timers of live nodes, which include the time during which the machine is suspended.
 ///
-/// Asio waits by CLOCK_MONOTONIC, which stands still during a suspension. A timer here is due by
-/// the boot-time clock, and the loop waits at most `kMaximumWait` before it compares due times with
-/// that clock again: so much later than its time does a timer run after a wake, at most.
+/// Asio waits on CLOCK_MONOTONIC, which does not advance during a suspension. The due times of
+/// BootTimer refer to the boot-time clock instead, and the event loop waits at most `kMaximumWait`
+/// before it compares them with that clock again. After the machine resumes, a timer therefore runs
+/// at most that much too late.
 #pragma once
 
 #include <algorithm>
@@ -13,7 +14,7 @@
 
 namespace covewing::live {
 
-/// CLOCK_BOOTTIME plus the offset that a test states. For Asio's timers and live::AsioClock.
+/// CLOCK_BOOTTIME plus the suspensions simulated by a test. Used by BootTimer and live::AsioClock.
 struct BootClock {
   using rep = base::Duration::rep;
   using period = base::Duration::period;
@@ -24,17 +25,19 @@
   static time_point now();
 };
 
-/// How long the machine was suspended since it started: the lead of the boot-time clock over the
-/// monotonic one, within a microsecond or two.
+/// Returns the total time that the machine has been suspended since it booted: the difference
+/// between the boot-time clock and the monotonic clock, accurate to a microsecond or two.
 base::Duration suspendedTime();
 
-/// Lets the boot-time clock of this process jump ahead as if the machine had been suspended for so
-/// long. For tests: a process cannot suspend its machine. May be called on any thread.
+/// Advances the boot-time clock of this process by `duration`, as if the machine had been suspended
+/// for that long. For tests, because a process cannot suspend its machine. May be called on any
+/// thread.
 void simulateSuspension(base::Duration duration);
 
-/// How long a loop waits for a timer without a look at the boot-time clock.
+/// Limits how long the event loop waits for a timer before it reads the boot-time clock again.
 struct BootWaitTraits {
-  /// A fifth of the shortest hold of a request (250 ms); 20 looks a second cost 0.08% of a core.
+  /// A fifth of the shortest time that a request is held (250 ms). Reading the clock 20 times a
+  /// second costs 0.08% of a core.
   static constexpr base::Duration kMaximumWait = std::chrono::milliseconds(50);
 
   static base::Duration to_wait_duration(  // NOLINT(readability-identifier-naming): set by Asio
--- a/src/live/caller_call.h
+++ b/src/live/caller_call.h
@@ -1,6 +1,6 @@
 /// \file
-/// One caller's request in the gateway, from its dispatch to the end of its answer. Internal to the
-/// caller gateway.
+/// One caller's request in the gateway, from its dispatch to the end of its response. Internal to
+/// the caller gateway.
 #pragma once
 
 #include <functional>
@@ -14,17 +14,18 @@
 
 namespace covewing::live {
 
-/// A call in flight; destroying it is the caller's disconnect.
+/// A call in flight. Destroying it cancels the request, as if the caller had disconnected.
 class CallerCall {
  public:
   virtual ~CallerCall() = default;
 };
 
-/// Called when a call has its final answer or lost its caller. It may not destroy the call at once,
-/// because the call is on the stack.
+/// Called when a call has sent its final response or its caller has disconnected. The callback must
+/// not destroy the call directly, because the call is still on the stack.
 using CallFinished = std::function<void(CallerCall&)>;
 
-/// A completion: passes chunks on as events, or collects them into one body.
+/// A completion call. Forwards chunks to the caller as events, or collects them into one response
+/// body if the caller did not request a stream.
 class CompletionCall final : public CallerCall, public request::CompletionSink {
  public:
   CompletionCall(CallerGatewayEnvironment environment, HttpExchangePtr exchange,
@@ -56,7 +57,7 @@
   std::unique_ptr<request::ActiveRequest> request_;
 };
 
-/// A call proxied to an application back end.
+/// A call that is proxied to an application back end.
 class ProxiedCall final : public CallerCall, public request::ProxiedSink {
  public:
   ProxiedCall(CallerGatewayEnvironment environment, HttpExchangePtr exchange,
--- a/src/live/caller_gateway.cc
+++ b/src/live/caller_gateway.cc
@@ -19,13 +19,14 @@
 constexpr std::string_view kCovewingHeaderPrefix = "X-Covewing-";
 constexpr std::size_t kMaximumIdempotencyKey = 255;
 
-/// Headers that mean something to the node. Empty, with the wrong header named, for a wrong one.
+/// Request headers that the node interprets.
 struct CallerHeaders {
   std::optional<base::PriorityClass> priority;
   std::string idempotencyKey;
   bool notRepeatable = false;
 };
 
+/// Returns nothing, with the invalid header named in `reason`, if a header has an invalid value.
 std::optional<CallerHeaders> parseHeaders(const HttpRequest& request, base::Reason& reason) {
   CallerHeaders headers;
   reason.code = base::ResultCode::kInvalidField;
@@ -52,6 +53,7 @@
   return headers;
 }
 
+/// Whether a header of a proxied request is sent on to the application back end.
 bool isForwarded(const HeaderField& field) {
   const bool own =
       field.name.size() > kCovewingHeaderPrefix.size() &&
@@ -94,7 +96,7 @@
     exchange->respond(refusal(std::move(reason)));
   }
 
-  /// False, and refused, unless the request has this method.
+  /// Returns whether the request has this method; refuses the request if it does not.
   bool expectMethod(const HttpExchangePtr& exchange, RequestKind kind, std::string_view method) {
     if (exchange->request().method == method) return true;
     refuse(exchange, kind,
@@ -174,7 +176,8 @@
     exchange->respond(std::move(response));
   }
 
-  /// The call is destroyed later, because it is on the stack when it finishes.
+  /// The callback destroys the call from a timer, because the call is still on the stack when it
+  /// finishes.
   CallFinished makeFinishedCallback() {
     return [this](CallerCall& call) {
       environment.timers.schedule(base::Duration::zero(), [weak = weak_from_this(), key = &call] {
--- a/src/live/caller_gateway.h
+++ b/src/live/caller_gateway.h
@@ -1,6 +1,6 @@
 /// \file
-/// Callers' HTTP calls (docs/CALLERS.md): completions, models, and everything else proxied to
-/// application back ends.
+/// Handles callers' HTTP calls (docs/CALLERS.md): completions and the list of models. Calls of all
+/// other paths are proxied to application back ends.
 #pragma once
 
 #include <memory>
@@ -14,7 +14,7 @@
 
 namespace covewing::live {
 
-/// What the gateway works with. All must outlive it.
+/// Dependencies of the gateway. All must outlive it.
 struct CallerGatewayEnvironment {
   base::Clock& clock;
   base::TimerService& timers;
@@ -25,16 +25,17 @@
 
 class CallerGateway {
  public:
-  /// `idPrefix` starts the identifiers of requests that the gateway refuses by itself.
+  /// `idPrefix` is the prefix of the identifiers that the gateway assigns to requests that it
+  /// refuses itself or answers with the list of models.
   CallerGateway(CallerGatewayEnvironment environment, std::string idPrefix);
   /// Cancels every request in flight.
   ~CallerGateway();
   CallerGateway(const CallerGateway&) = delete;
   CallerGateway& operator=(const CallerGateway&) = delete;
 
-  /// Handler of the callers' listener.
+  /// Handles a call that the callers' listener has received.
   void handle(const HttpExchangePtr& exchange);
-  /// Formatter of refusals that the listener gives by itself.
+  /// Formats a refusal that the listener itself issues, before a call reaches the gateway.
   HttpResponse formatRefusal(const base::Reason& reason);
 
  private:
--- a/src/live/command_line.cc
+++ b/src/live/command_line.cc
@@ -14,7 +14,7 @@
 constexpr int kSettingsFlag = 's';
 constexpr int kCheckFlag = 'c';
 constexpr int kHelpFlag = 'h';
-/// Flags of settings follow the last character code.
+/// Codes of the settings' flags start here, above all character codes.
 constexpr int kFirstSettingFlag = 256;
 
 std::string flagName(std::string_view key) {
@@ -24,7 +24,7 @@
   return name;
 }
 
-/// The option table of getopt_long, with the names it points to.
+/// The option table for getopt_long, together with the names that its entries point to.
 struct OptionTable {
   OptionTable() {
     const auto schema = settingsSchema();
--- a/src/live/command_line.h
+++ b/src/live/command_line.h
@@ -1,6 +1,6 @@
 /// \file
-/// Command line of covewingd: `--settings FILE`, `--check FILE`, `--help`, and a flag for each
-/// setting, named as its key with dashes (`listen.caller` is `--listen-caller`).
+/// Command line of covewingd: `--settings FILE`, `--check FILE`, `--help`, and one flag per
+/// setting, whose name is the setting's key with dashes (`--listen-caller` for `listen.caller`).
 #pragma once
 
 #include <optional>
@@ -15,16 +15,17 @@
 
 struct CommandLine {
   CommandMode mode = CommandMode::kRun;
-  /// Empty: no file, flags only.
+  /// Path of the settings file; empty if there is none and all settings come from flags.
   std::string settingsFile;
   std::vector<SettingOverride> overrides;
 };
 
-/// Parses with getopt_long. Empty, with a text for people, for an unknown or incomplete flag.
+/// Parses the arguments with getopt_long. Returns nothing, with a message for the user in
+/// `problem`, if a flag is unknown or lacks its value, or if an argument is not a flag.
 std::optional<CommandLine> parseCommandLine(int argumentCount, char** arguments,
                                             std::string& problem);
 
-/// Help text: usage and each setting.
+/// Returns the help text: the usage and a description of each setting.
 std::string helpText();
 
 }  // namespace covewing::live
--- a/src/live/completion_body.cc
+++ b/src/live/completion_body.cc
@@ -12,7 +12,7 @@
 using config::Json;
 using Mistakes = std::vector<config::FieldMistake>;
 
-/// The listener bounds the body's size; this only names a bound for the parser.
+/// The listener already limits the size of the body, so only the depth is limited here.
 constexpr config::JsonBounds kBodyBounds{SIZE_MAX, 16};
 constexpr std::size_t kMaximumName = 256;
 constexpr std::size_t kMaximumMessages = 65'536;
@@ -24,7 +24,7 @@
   return std::string{name} + "[" + std::to_string(index) + "]";
 }
 
-/// Text parts of a message's content, joined.
+/// Returns the concatenated text parts of a message's content.
 std::string readParts(const Json& parts, const std::string& path, Mistakes& mistakes) {
   std::string text;
   if (parts.size() > kMaximumParts) {
--- a/src/live/completion_body.h
+++ b/src/live/completion_body.h
@@ -1,5 +1,6 @@
 /// \file
-/// Bodies of the completions calls: bounded parsing, with every wrong field named. Free of I/O.
+/// Parses request bodies of completions calls within fixed bounds and reports every invalid field.
+/// Does no I/O.
 #pragma once
 
 #include <cstdint>
@@ -12,23 +13,24 @@
 
 namespace covewing::live {
 
-/// Which of the two calls, hence the shape of body and answer.
+/// Which of the two completions calls; determines the format of the request and response bodies.
 enum class CompletionKind : std::uint8_t { kChat, kText };
 
-/// What a body asks for.
+/// Contents of a valid request body.
 struct CompletionBody {
   CompletionKind kind = CompletionKind::kChat;
   std::string model;
   std::string adapter;
   /// Canonical prompt (prefix/prompt.h).
   std::shared_ptr<const std::string> prompt;
-  /// 0: the template's limit.
+  /// Maximum number of output tokens; 0 if only the limit of the tenant's template applies.
   std::uint32_t maximumTokens = 0;
   bool stream = false;
 };
 
-/// Empty, with MalformedJson, InvalidUtf8 or InvalidField and every wrong field, for anything else
-/// than a body of `kind`. Fields that are not used, such as `temperature`, are ignored.
+/// Parses a request body of `kind`. If it is invalid, returns nothing and sets `reason` to
+/// MalformedJson, InvalidUtf8, or InvalidField with every invalid field. Fields that are not used,
+/// such as `temperature`, are ignored.
 std::optional<CompletionBody> parseCompletionBody(CompletionKind kind, std::string_view text,
                                                   base::Reason& reason);
 
--- a/src/live/completion_response.cc
+++ b/src/live/completion_response.cc
@@ -11,7 +11,7 @@
 using Json = nlohmann::ordered_json;
 
 constexpr std::string_view kDone = "data: [DONE]\n\n";
-/// Stands for the content while the parts of a chunk event around it are made.
+/// Stands in for the content while the constant text of a chunk event is built.
 constexpr std::string_view kPlaceholder = "@content@";
 
 std::string dump(const Json& json) {
@@ -59,7 +59,8 @@
                           : choice("text", kPlaceholder, nullptr)};
   const auto text = event(chunk);
   const auto position = text.rfind(kPlaceholder);
-  // The quotation marks around the placeholder come with the escaped content.
+  // The escaped content brings its own quotation marks, so those around the placeholder are left
+  // out.
   chunkPrefix_ = text.substr(0, position - 1);
   chunkSuffix_ = text.substr(position + kPlaceholder.size() + 1);
 }
--- a/src/live/completion_response.h
+++ b/src/live/completion_response.h
@@ -1,6 +1,6 @@
 /// \file
-/// Answers to completions calls in the shapes of the OpenAI API, whole and streamed, and the JSON
-/// of refusals. Free of I/O.
+/// Formats responses to completions calls as in the OpenAI API, streamed or as one body, and
+/// refusals as JSON. Does no I/O.
 #pragma once
 
 #include <string>
@@ -13,19 +13,20 @@
 
 namespace covewing::live {
 
-/// Writes the events of one answer.
+/// Formats the events or the body of one response.
 class CompletionResponse {
  public:
   /// `created` is in seconds since the Unix epoch.
   CompletionResponse(CompletionKind kind, const base::RequestId& id, std::string model,
                      std::int64_t created);
 
-  /// First event of a streamed chat answer, which names the role; empty for text completions.
+  /// Returns the first event of a streamed chat response, which contains the role; empty for text
+  /// completions.
   std::string firstEvent() const;
   std::string chunkEvent(std::string_view text) const;
-  /// Last chunk, with finish reason and usage, and the closing `[DONE]`.
+  /// Returns the last chunk event, with finish reason and usage, followed by the closing `[DONE]`.
   std::string endEvents(const clients::StreamEnd& end) const;
-  /// The answer of a call that is not streamed.
+  /// Returns the response body of a call that is not streamed.
   std::string responseBody(std::string_view text, const clients::StreamEnd& end) const;
 
  private:
@@ -33,16 +34,17 @@
   std::string id_;
   std::string model_;
   std::int64_t created_;
-  /// A chunk event's text before and behind the escaped content.
+  /// Constant text of a chunk event before and after the escaped content.
   std::string chunkPrefix_;
   std::string chunkSuffix_;
 };
 
-/// `{code, name, detail, outcome, request_id}`.
+/// Returns the refusal as a JSON object `{code, name, detail, outcome, request_id}`.
 std::string refusalBody(const request::Refusal& refusal, std::string_view requestId);
-/// The refusal as a whole response, with X-Request-Id and, where waiting helps, Retry-After.
+/// Returns the refusal as a complete HTTP response, with X-Request-Id and, if the refusal asks the
+/// caller to wait before a retry, Retry-After.
 HttpResponse refusalResponse(const request::Refusal& refusal, std::string_view requestId);
-/// Last event of a stream that could not be completed.
+/// Returns the last event of a stream that could not be completed.
 std::string errorEvent(const request::Refusal& refusal, std::string_view requestId);
 
 }  // namespace covewing::live
--- a/src/live/counting_event_log.h
+++ b/src/live/counting_event_log.h
@@ -1,5 +1,5 @@
 /// \file
-/// Passes log events on and tells of each, so that metrics count them.
+/// Forwards log events to another log and reports each to a callback, so that metrics count them.
 #pragma once
 
 #include <functional>
--- a/src/live/daemon.cc
+++ b/src/live/daemon.cc
@@ -22,7 +22,8 @@
 constexpr unsigned kOk = 200;
 constexpr unsigned kServiceUnavailable = 503;
 constexpr unsigned kNotFound = 404;
-/// How often a drained node looks whether callers have taken their last bytes, and how long.
+/// How often a drained node checks whether callers have received their last bytes, and how long it
+/// waits for that at most.
 constexpr base::Duration kFlushInterval = std::chrono::milliseconds(10);
 constexpr base::Duration kFlushTimeout = std::chrono::seconds(5);
 
@@ -156,7 +157,8 @@
     });
   }
 
-  /// The node is done; callers may still have bytes to take.
+  /// Called when the node has finished all requests. Waits until callers have received their last
+  /// bytes or kFlushTimeout has passed, then closes their connections.
   void flush() {
     if (callerServer.openConnections() > 0 && clock.now() < flushUntil) {
       timers.schedule(kFlushInterval, [this] { flush(); });
@@ -185,7 +187,7 @@
   std::unique_ptr<node::Node> node;
   std::unique_ptr<CallerGateway> callers;
   std::unique_ptr<OperatorGateway> operators;
-  // Destroyed first: exchanges end before what they use.
+  // Destroyed before the members above, so that exchanges end before the objects that they use.
   HttpServer callerServer;
   HttpServer operatorServer;
   HttpServer metricsServer;
--- a/src/live/daemon.h
+++ b/src/live/daemon.h
@@ -1,6 +1,6 @@
 /// \file
-/// One node as a process runs it: listeners, clients, peer transport and the node itself, on one
-/// io_context thread.
+/// A complete node as it runs in a process: listeners, clients, peer transport and the node itself,
+/// all on the single thread of one io_context.
 #pragma once
 
 #include <functional>
@@ -18,11 +18,11 @@
 
 namespace covewing::live {
 
-/// Makes the node; node::makeNode in covewingd.
+/// Creates the node; covewingd passes node::makeNode.
 using NodeFactory =
     std::function<std::unique_ptr<node::Node>(node::NodeOptions, node::NodeEnvironment)>;
 
-/// Where the listeners are bound.
+/// Addresses that the listeners are bound to.
 struct DaemonEndpoints {
   base::Endpoint caller;
   base::Endpoint operators;
@@ -39,13 +39,15 @@
   Daemon(const Daemon&) = delete;
   Daemon& operator=(const Daemon&) = delete;
 
-  /// Opens all listeners, then starts the node. False, with `reason`, when a listener fails.
+  /// Opens all listeners and starts the node. Returns false, with `reason`, if a listener cannot be
+  /// opened.
   bool start(base::Reason& reason);
   const DaemonEndpoints& endpoints() const;
   node::Node& node();
 
-  /// Planned stop: takes no new connections, refuses new requests, finishes those in flight and
-  /// hands every byte to the callers; `stopped` runs once, also when the bound has passed.
+  /// Planned stop: accepts no new connections, refuses new requests, finishes those in flight and
+  /// sends all remaining bytes to the callers. `stopped` is called once, also if the time limit for
+  /// the stop has passed.
   void drain(std::function<void()> stopped);
 
  private:
--- a/src/live/engine_json.cc
+++ b/src/live/engine_json.cc
@@ -54,7 +54,7 @@
   return static_cast<std::uint32_t>(fields.unsignedInteger(name, 0, 0, kMaximumCount));
 }
 
-/// Unsigned elements of an array field of exactly `values.size()` elements.
+/// Reads an array field of exactly `values.size()` unsigned numbers into `values`.
 template <class Array>
 void readArray(FieldReader& fields, std::string_view name, Array& values) {
   const auto elements = fields.elements(name, values.size());
@@ -105,7 +105,7 @@
   return hashes;
 }
 
-/// The hashes of one kind, taken from the front.
+/// Hashes of one kind of cache event, consumed from the front.
 struct HashCursor {
   std::vector<base::BlockHash> hashes;
   std::size_t consumed = 0;
--- a/src/live/engine_json.h
+++ b/src/live/engine_json.h
@@ -1,5 +1,5 @@
 /// \file
-/// JSON forms of the engines' calls (docs/PLATFORM.md). Free of I/O.
+/// Converts calls to engines and their responses to and from JSON (docs/PLATFORM.md). Does no I/O.
 #pragma once
 
 #include <optional>
@@ -14,19 +14,21 @@
 
 std::string engineRequestToJson(const clients::EngineRequest& request);
 
-/// Empty when the text is not an event of an engine's stream.
+/// Returns nothing if the text is not a valid event of an engine's stream.
 std::optional<std::variant<clients::StreamChunk, clients::StreamEnd>> streamEventFromJson(
     std::string_view text);
 
-/// Empty when the text is not a report; mistaken or excess fields refuse it whole.
+/// Returns nothing if the text is not a valid report. A single field that is invalid or exceeds its
+/// bounds invalidates the whole report.
 std::optional<clients::EngineReport> engineReportFromJson(std::string_view text);
 
 std::string engineOrderToJson(const clients::EngineOrder& order);
-/// Status kUnknown when the text is not an answer to an order.
+/// Returns status kUnknown if the text is not a valid reply to an order.
 clients::OrderReply orderReplyFromJson(std::string_view text);
 
-/// The error body of a back end or platform service. `fallback` is the code where the body names
-/// none; the outcome is kRefusedNotRun only where the body says "not-run".
+/// Parses the body of an error response from a back end or platform service. `fallback` is the code
+/// to use if the body contains no known error code. The failure is kRefusedNotRun only if the body
+/// has the outcome "not-run".
 clients::DispatchError errorFromJson(std::string_view text, base::ResultCode fallback);
 
 }  // namespace covewing::live
--- a/src/live/metric_entry.h
+++ b/src/live/metric_entry.h
@@ -1,5 +1,5 @@
 /// \file
-/// One line of a documented table of metrics.
+/// Row of a documented table of metrics.
 #pragma once
 
 #include <string_view>
@@ -10,7 +10,7 @@
   std::string_view name;
   /// "counter", "gauge" or "histogram".
   std::string_view type;
-  /// Names of labels, separated by commas; empty for none.
+  /// Names of the labels, separated by commas; empty if the metric has no labels.
   std::string_view labels;
   std::string_view meaning;
 };
--- a/src/live/metric_families.h
+++ b/src/live/metric_families.h
@@ -1,5 +1,5 @@
 /// \file
-/// The families of one documented table of metrics, and their text form.
+/// Registers the metric families of one documented table and renders them as text.
 #pragma once
 
 #include <prometheus/counter.h>
@@ -16,13 +16,13 @@
 
 class MetricFamilies {
  public:
-  /// The help texts are the meanings in `table`, which must outlive the families.
+  /// The help text of a family is its `meaning` in `table`, which must outlive this object.
   explicit MetricFamilies(std::span<const MetricEntry> table) : table_(table) {}
 
   prometheus::Family<prometheus::Counter>& counters(const char* name);
   prometheus::Family<prometheus::Gauge>& gauges(const char* name);
   prometheus::Family<prometheus::Histogram>& histograms(const char* name);
-  /// All metrics in the text exposition format.
+  /// Returns all metrics in the text exposition format.
   std::string render() const;
 
  private:
--- a/src/live/node_metrics.cc
+++ b/src/live/node_metrics.cc
@@ -60,7 +60,7 @@
 std::span<const MetricEntry> metricTable() { return kTable; }
 
 struct NodeMetrics::Impl {
-  /// Raises a counter to a total that is kept elsewhere.
+  /// Increases a counter to a total that is counted elsewhere.
   static void raise(prometheus::Counter& counter, double total) {
     counter.Increment(total - counter.Value());
   }
--- a/src/live/node_metrics.h
+++ b/src/live/node_metrics.h
@@ -1,5 +1,5 @@
 /// \file
-/// Metrics of one node, in Prometheus' text form. docs/METRICS.md holds the same table.
+/// Metrics of one node in the Prometheus text format. docs/METRICS.md contains the same table.
 #pragma once
 
 #include <cstdint>
@@ -18,10 +18,10 @@
 
 namespace covewing::live {
 
-/// All metrics, ascending by name.
+/// Returns all metrics, sorted by name.
 std::span<const MetricEntry> metricTable();
 
-/// Kind of a caller's request, as a label.
+/// Kind of a caller's request, used as a label of metrics.
 enum class RequestKind : std::uint8_t { kChat, kText, kModels, kProxied };
 
 class NodeMetrics {
@@ -31,7 +31,7 @@
   NodeMetrics(const NodeMetrics&) = delete;
   NodeMetrics& operator=(const NodeMetrics&) = delete;
 
-  /// A request got its final answer.
+  /// Called when a request has received its final response.
   void onRequestFinished(RequestKind kind, base::ResultCode code);
   void onFirstToken(RequestKind kind, base::Duration sinceArrival);
   void onCompleted(RequestKind kind, base::Duration sinceArrival, const clients::StreamEnd& end);
@@ -39,14 +39,14 @@
   void onCallerDisconnected();
   void onEvent(base::Event event);
 
-  /// State that is read when metrics are asked for.
+  /// State that is sampled when the metrics are rendered.
   struct Snapshot {
     const node::Node& node;
     std::size_t openRequests = 0;
     std::size_t callerConnections = 0;
     const PeerTransportCounters& peers;
   };
-  /// All metrics in the text exposition format.
+  /// Returns all metrics in the text exposition format.
   std::string render(const Snapshot& snapshot);
 
  private:
--- a/src/live/operator_gateway.cc
+++ b/src/live/operator_gateway.cc
@@ -6,7 +6,8 @@
 
 namespace {
 
-/// Compares in a time that does not depend on where the texts differ.
+/// Compares two texts in a time that does not depend on where they differ, so that the key cannot
+/// be guessed character by character from the response time.
 bool equalSecrets(std::string_view left, std::string_view right) {
   if (left.size() != right.size()) return false;
   unsigned difference = 0;
--- a/src/live/operator_gateway.h
+++ b/src/live/operator_gateway.h
@@ -1,6 +1,6 @@
 /// \file
-/// Operators' HTTP calls on their own listener: checks the operator key and passes them to the
-/// node.
+/// Handles operators' HTTP calls, which arrive on a listener of their own: checks the operator key
+/// and forwards the calls to the node.
 #pragma once
 
 #include <string>
@@ -16,7 +16,7 @@
   OperatorGateway(node::OperatorService& service, std::string operatorKey)
       : service_(service), operatorKey_(std::move(operatorKey)) {}
 
-  /// Handler of the operators' listener.
+  /// Handles a call that the operators' listener has received.
   void handle(const HttpExchangePtr& exchange);
 
  private:
--- a/src/live/peer_transport.cc
+++ b/src/live/peer_transport.cc
@@ -21,7 +21,8 @@
 
 constexpr std::size_t kDatagramBuffer = 2048;
 constexpr std::size_t kPrefixBytes = sizeof(std::uint32_t);
-/// Largest frame over TCP; a whole copy of the configuration at today's size is a fraction of it.
+/// Maximum size in bytes of a frame over TCP. A complete snapshot of the configuration at its
+/// present size takes a fraction of it.
 constexpr std::size_t kMaximumFrame = 32U << 20U;
 constexpr std::size_t kMaximumIncomingConnections = 256;
 constexpr std::size_t kMaximumOutgoingConnections = 256;
@@ -83,7 +84,7 @@
         asio::buffer(datagramBuffer), datagramSender,
         [self = shared_from_this()](boost::system::error_code error, std::size_t bytes) {
           if (error == asio::error::operation_aborted) return;
-          // Other errors are those of earlier sends, such as a refused port.
+          // Other errors stem from earlier sends, such as a refused port.
           if (!error) self->deliver({self->datagramBuffer.data(), bytes});
           if (self->datagrams.is_open()) self->receiveDatagram();
         });
@@ -217,7 +218,7 @@
 std::optional<base::Endpoint> AsioPeerTransport::bind(const base::Endpoint& endpoint,
                                                       base::Reason& reason) {
   boost::system::error_code error;
-  // A free TCP port may be taken for UDP: with port 0, try others.
+  // A port that is free for TCP may be in use for UDP: with port 0, other ports are tried.
   const int attempts = endpoint.port == 0 ? kPortAttempts : 1;
   for (int attempt = 0; attempt < attempts; ++attempt) {
     if (impl_->tryBind(endpoint, error))
--- a/src/live/peer_transport.h
+++ b/src/live/peer_transport.h
@@ -1,6 +1,7 @@
 /// \file
-/// Messages between nodes over the network: one UDP datagram where the payload fits, else a TCP
-/// connection that carries one length-prefixed frame and is closed.
+/// Sends and receives messages between nodes over the network: as one UDP datagram if the payload
+/// fits, otherwise over a TCP connection that carries one length-prefixed frame and is then
+/// closed.
 #pragma once
 
 #include <cstdint>
@@ -19,20 +20,21 @@
 
 namespace covewing::live {
 
-/// Counts since the start, for metrics.
+/// Totals since the start, for metrics.
 struct PeerTransportCounters {
   std::uint64_t sentFrames = 0;
-  /// Frame bytes without UDP, TCP and IP headers.
+  /// Size of the sent frames in bytes, without UDP, TCP and IP headers.
   std::uint64_t sentBytes = 0;
   std::uint64_t receivedFrames = 0;
   std::uint64_t receivedBytes = 0;
-  /// Malformed frames and frames of another version.
+  /// Received frames that were malformed or of another protocol version.
   std::uint64_t rejectedFrames = 0;
-  /// Frames not sent for want of buffer space or of a connection.
+  /// Frames that could not be sent, for lack of buffer space or of a connection, or because they
+  /// were too long.
   std::uint64_t droppedFrames = 0;
 };
 
-/// Receives whole, checked frames. `payload` is valid during the call only.
+/// Receives complete, validated frames. `payload` is valid only during the call.
 using PeerFrameHandler =
     std::function<void(const base::PeerIdentity&, base::Channel, std::string_view payload)>;
 
@@ -43,13 +45,15 @@
   AsioPeerTransport(const AsioPeerTransport&) = delete;
   AsioPeerTransport& operator=(const AsioPeerTransport&) = delete;
 
-  /// Binds UDP and TCP to one port (0: a free one) and gives the bound endpoint, or `reason`.
+  /// Binds UDP and TCP to the same port (0 selects a free one) and returns the bound endpoint.
+  /// Returns nothing, with `reason`, if binding fails.
   std::optional<base::Endpoint> bind(const base::Endpoint& endpoint, base::Reason& reason);
-  /// Starts receiving; `self` goes into each frame sent from now on.
+  /// Starts receiving. `self` is the sender in each frame sent from now on.
   void start(const base::PeerIdentity& self, PeerFrameHandler handler);
   void send(const base::Endpoint& destination, base::Channel channel, std::string payload) override;
 
-  /// Called with each frame that is sent; bytes without IP, UDP and TCP headers.
+  /// Called with each frame that is to be sent. `bytes` is the size of the frame without IP, UDP
+  /// and TCP headers.
   using SentObserver =
       std::function<void(const base::Endpoint& destination, base::Channel, std::size_t bytes)>;
   void setSentObserver(SentObserver observer);
--- a/src/live/platform_json.h
+++ b/src/live/platform_json.h
@@ -1,5 +1,6 @@
 /// \file
-/// JSON forms of the platform services' calls (docs/PLATFORM.md). Free of I/O.
+/// Converts calls to platform services and their responses to and from JSON (docs/PLATFORM.md).
+/// Does no I/O.
 #pragma once
 
 #include <optional>
@@ -16,10 +17,11 @@
 std::string tableScanToJson(std::string_view prefix, base::Revision after, std::size_t limit);
 std::string tableTransactionToJson(const clients::TableTransaction& transaction);
 
-/// Revision and rows of any table answer; its status is left to the caller. Empty when malformed.
+/// Parses the revision and the rows of any response of the table service; the caller sets the
+/// status. Returns nothing if the text is malformed.
 std::optional<clients::TableReply> tableReplyFromJson(std::string_view text);
 
-/// Empty when malformed.
+/// Returns nothing if the text is malformed.
 std::optional<std::vector<clients::Machine>> machinesFromJson(std::string_view text);
 
 }  // namespace covewing::live
--- a/src/live/process_usage.h
+++ b/src/live/process_usage.h
@@ -1,12 +1,12 @@
 /// \file
-/// What the process itself uses, for metrics.
+/// Resource usage of this process, for metrics.
 #pragma once
 
 namespace covewing::live {
 
-/// Resident memory, in bytes.
+/// Returns the resident memory of the process in bytes.
 double residentBytes();
-/// Processor time since the start, user and system, in seconds.
+/// Returns the processor time since the start, user and system together, in seconds.
 double processorSeconds();
 
 }  // namespace covewing::live
--- a/src/live/rate_limited_event_log.cc
+++ b/src/live/rate_limited_event_log.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Events of which each node hears one for each member or replica of the fleet.
+/// Whether events of this kind occur on every node for each member or replica of the fleet.
 bool isFleetChange(base::Event event) {
   switch (event) {
     case base::Event::kMemberJoined:
@@ -39,9 +39,10 @@
   if (dropped_.empty() || now - reportedAt_ < options_.reportInterval) return;
   reportedAt_ = now;
   for (const auto& [event, count] : std::exchange(dropped_, {})) {
-    next_.write(base::Event::kLogLinesDropped, {{"kind", std::string{base::describe(event).name}},
-                                                {"lines", std::to_string(count)},
-                                                {"why", "changes of the fleet are bounded"}});
+    next_.write(base::Event::kLogLinesDropped,
+                {{"kind", std::string{base::describe(event).name}},
+                 {"lines", std::to_string(count)},
+                 {"why", "rate limit for changes of members and replicas"}});
   }
 }
 
--- a/src/live/rate_limited_event_log.h
+++ b/src/live/rate_limited_event_log.h
@@ -1,10 +1,10 @@
 /// \file
-/// Bounds the lines that a node writes of the fleet's changes.
+/// Limits the rate of log lines about changes of members and replicas.
 ///
-/// In a fleet of hundreds every node hears of every member and every replica; all of them logging
-/// each change would drown the decisions. Of these events a node writes a burst and then a few
-/// lines a second; what it left out is told as a count (event LogLinesDropped). All other events
-/// pass.
+/// In a fleet of hundreds of nodes, every node receives every change of every member and replica.
+/// If all nodes logged each change, the lines about decisions would be lost among them. A node
+/// therefore logs a burst of these events and then a few lines a second, and logs how many lines it
+/// dropped (event LogLinesDropped). All other events are passed on.
 #pragma once
 
 #include <cstdint>
@@ -17,10 +17,11 @@
 namespace covewing::live {
 
 struct RateLimitedEventLogOptions {
-  /// Lines of fleet changes at once, and sustained. A fleet of ten nodes is told of whole.
+  /// Maximum number of lines about fleet changes written at once, and their sustained rate. The
+  /// burst suffices to log a fleet of ten nodes completely.
   double burst = 60;
   double linesPerSecond = 2;
-  /// How often what was left out is told, at most.
+  /// Minimum time between two reports of dropped lines.
   base::Duration reportInterval = std::chrono::seconds(5);
 };
 
@@ -41,7 +42,7 @@
   double budget_;
   base::TimePoint refilledAt_{};
   base::TimePoint reportedAt_{};
-  /// Lines left out since the last report.
+  /// Number of lines dropped since the last report, by event.
   std::map<base::Event, std::uint64_t> dropped_;
 };
 
--- a/src/live/settings.cc
+++ b/src/live/settings.cc
@@ -15,7 +15,7 @@
 
 constexpr std::string_view kCommandLine = "command line";
 
-/// A value as given, with its place.
+/// Value of a setting, with the file and line that it was read from.
 struct GivenValue {
   SettingValue value;
   std::string file;
@@ -175,7 +175,7 @@
   std::vector<SettingsMistake>& mistakes_;
   std::string file_{kCommandLine};
   std::map<std::string_view, GivenValue> given_;
-  /// Settings whose value in the file was of a wrong type, reported already.
+  /// Settings whose value in the file had a wrong type, which has already been reported.
   std::set<std::string_view> mistyped_;
 };
 
--- a/src/live/settings.h
+++ b/src/live/settings.h
@@ -1,7 +1,8 @@
 /// \file
-/// Settings of one node: a TOML file, each value of which a flag may override (docs/SETTINGS.md).
+/// Settings of one node, read from a TOML file. A flag may override any of them (docs/SETTINGS.md).
 ///
-/// A file is checked whole: every mistake is reported, with file, line, key and what is allowed.
+/// All settings are checked, and every mistake is reported, with file, line, key and the allowed
+/// values.
 #pragma once
 
 #include <cstdint>
@@ -47,35 +48,35 @@
   base::Severity logSeverity = base::Severity::kInfo;
 };
 
-/// One mistake in a settings file or flag.
+/// One mistake in a settings file or a flag.
 struct SettingsMistake {
   /// Name of the file, or "command line".
   std::string file;
-  /// From 1; 0 where no line is known.
+  /// Line number, starting at 1; 0 if the line is unknown.
   std::uint32_t line = 0;
-  /// Empty when the file as a whole is meant.
+  /// Key of the setting or name of the section; empty if the mistake concerns the file as a whole.
   std::string key;
-  /// What is wrong and what is allowed.
+  /// What is wrong and which values are allowed.
   std::string problem;
 };
 
-/// "FILE:LINE: KEY: PROBLEM".
+/// Returns "FILE:LINE: KEY: PROBLEM", without an unknown line and an empty key.
 std::string toText(const SettingsMistake& mistake);
 
-/// The value of a setting given by a flag.
+/// Value of a setting that was given by a flag.
 struct SettingOverride {
   std::string key;
   std::string text;
 };
 
-/// Text of a settings file and where it came from.
+/// Name and text of a settings file.
 struct SettingsSource {
   std::string file;
   std::string text;
 };
 
-/// Parses and checks. Empty when `mistakes` is not. Without a source, flags must give all that has
-/// no default.
+/// Parses and checks the settings. Returns nothing if `mistakes` is not empty afterwards. Without a
+/// source, `overrides` must contain all settings that have no default.
 std::optional<Settings> loadSettings(const std::optional<SettingsSource>& source,
                                      const std::vector<SettingOverride>& overrides,
                                      std::vector<SettingsMistake>& mistakes);
--- a/src/live/settings_schema.h
+++ b/src/live/settings_schema.h
@@ -1,6 +1,6 @@
 /// \file
-/// The table of all settings: key, type, default, what is allowed, meaning. docs/SETTINGS.md holds
-/// the same table.
+/// The table of all settings: key, type, default, allowed values and meaning. docs/SETTINGS.md
+/// contains the same table.
 #pragma once
 
 #include <cstdint>
@@ -16,30 +16,30 @@
 
 enum class SettingType : std::uint8_t { kText, kInteger, kEndpoint, kEndpointList };
 
-/// Name of the type for people, such as "IPv4 address and port".
+/// Returns the name of the type for documentation and messages, such as "list of addresses".
 std::string_view toString(SettingType type);
 
-/// A value of the type of its setting, not yet checked otherwise.
+/// A value that has the type of its setting but has not been checked otherwise.
 using SettingValue = std::variant<std::string, std::int64_t, std::vector<std::string>>;
 
 struct SettingEntry {
   std::string_view key;
   SettingType type;
-  /// As it would be written on the command line; empty: the setting must be given, except for
-  /// lists.
+  /// The default as it would be written on the command line. Empty if the setting has no default
+  /// and must be given, or if it is a list, which is then empty.
   std::string_view defaultText;
-  /// What is allowed, for people.
+  /// Description of the allowed values.
   std::string_view allowed;
   std::string_view meaning;
-  /// Stores the value; false when it is not allowed.
+  /// Stores the value in `settings`. Returns false if the value is not allowed.
   bool (*apply)(Settings& settings, const SettingValue& value);
 
   bool required() const { return defaultText.empty() && type != SettingType::kEndpointList; }
 };
 
-/// All settings, grouped by section.
+/// Returns all settings, grouped by section.
 std::span<const SettingEntry> settingsSchema();
-/// Null when no setting has this key.
+/// Returns null if no setting has this key.
 const SettingEntry* findSetting(std::string_view key);
 
 }  // namespace covewing::live
--- a/src/live/utf8.cc
+++ b/src/live/utf8.cc
@@ -13,11 +13,11 @@
 constexpr std::uint32_t kFirstSurrogate = 0xD800;
 constexpr std::uint32_t kLastSurrogate = 0xDFFF;
 
-/// What the first byte of a sequence says about it.
+/// Properties of a UTF-8 sequence that its first byte determines.
 struct LeadByte {
   unsigned continuationBytes;
   std::uint32_t bits;
-  /// Smallest code point that needs this length.
+  /// Smallest code point that needs a sequence of this length.
   std::uint32_t minimumCodePoint;
 };
 
