--- a/tests/live/asio_runtime_test.cc
+++ b/tests/live/asio_runtime_test.cc
@@ -1,4 +1,5 @@
-// Timers of a live node: order, cancels at awkward moments, callbacks that own things.
+// Timers of a live node: their order, cancellation from callbacks and destructors, and callbacks
+// that own objects.
 #include "live/asio_runtime.h"
 
 #include <boost/asio/io_context.hpp>
@@ -26,7 +27,8 @@
   std::string executed;
 };
 
-/// Cancels timers when it goes, as an object does whose last reference a timer's callback held.
+/// Cancels timers in its destructor, like an object whose last reference is held by a timer's
+/// callback.
 struct Canceller {
   explicit Canceller(AsioTimerService& service) : timers(service) {}
   Canceller(const Canceller&) = delete;
@@ -68,7 +70,7 @@
   });
   second = timers->schedule(milliseconds(1), [this] { executed += 'x'; });
   scheduleNamed(milliseconds(2), 'a');
-  // All three are due when the loop looks for the first time.
+  // All three are due when the event loop first checks the timers.
   const auto until = AsioClock().now() + milliseconds(5);
   while (AsioClock().now() < until) {
   }
--- a/tests/live/boost_event_log_test.cc
+++ b/tests/live/boost_event_log_test.cc
@@ -1,4 +1,5 @@
-// The log under a reader that does not read.
+// BoostEventLog with a reader that stops reading: lines are dropped, and neither writers nor the
+// destructor wait for the reader.
 #include "live/boost_event_log.h"
 
 #include <boost/test/unit_test.hpp>
@@ -11,7 +12,7 @@
 
 namespace {
 
-/// A stream whose writer is held up until the test lets it go on.
+/// A stream buffer that blocks its writer until the test calls unblock().
 class BlockedBuffer final : public std::stringbuf {
  public:
   void unblock() {
@@ -59,7 +60,7 @@
   std::ostream stream(&buffer);
   {
     BoostEventLog log("n", {.stream = &stream, .routineQueueLimit = 10, .queueLimit = 20});
-    // Returns, though nothing can be written.
+    // These calls return although nothing can be written.
     for (int count = 0; count < 100; ++count) log.write(base::Event::kRelayFinished, {});
     for (int count = 0; count < 5; ++count) log.write(base::Event::kRequestRefused, {});
     buffer.unblock();
--- a/tests/live/daemon_test.cc
+++ b/tests/live/daemon_test.cc
@@ -1,4 +1,4 @@
-// Whole nodes against the emulated fleet, all in one process on free loopback ports.
+// Complete nodes with an emulated fleet, all in one process on free loopback ports.
 #include "live/daemon.h"
 
 #include <boost/test/unit_test.hpp>
@@ -139,7 +139,7 @@
     clients.emplace_back(fixture.context, caller)
         .send(Fixture::chat("question " + std::to_string(index), index % 2 == 0, 100));
   }
-  // Some streams have begun, others wait in engines.
+  // Some streams have started; other requests are waiting in engines.
   clients.front().waitFor("\"content\":");
   runUntil(fixture.context,
            [&] { return fixture.daemon->node().requests().openRequests() > kStreams / 2; });
@@ -155,7 +155,7 @@
     refused += occurrences(client.received(), "\"outcome\":\"not-run\"");
     BOOST_TEST(!client.has("event: error"));
   }
-  // Whoever was not taken in before the stop was told so; nobody was cut off.
+  // Requests not accepted before the stop were refused as not run; no stream was cut off.
   BOOST_TEST(complete + refused == kStreams);
   BOOST_TEST(complete > kStreams / 2);
   BOOST_CHECK_THROW(TestClient(fixture.context, caller), boost::system::system_error);
--- a/tests/live/documented_tables_test.cc
+++ b/tests/live/documented_tables_test.cc
@@ -1,4 +1,5 @@
-// The pages for operators list exactly the settings and metrics of the code.
+// Compares the documentation for operators with the code: it must list exactly the settings and
+// metrics that the code defines.
 #include <fmt/core.h>
 
 #include <boost/test/unit_test.hpp>
@@ -11,7 +12,7 @@
 
 namespace {
 
-/// Lines of the page's last table, without its header.
+/// Returns the rows of the last table of a page, without its header.
 std::vector<std::string> lastTable(const std::string& page) {
   std::ifstream input("docs/" + page);
   std::vector<std::string> rows;
--- a/tests/live/fake_node.h
+++ b/tests/live/fake_node.h
@@ -1,5 +1,5 @@
 /// \file
-/// A node whose requests a test answers by hand.
+/// A fake node whose requests are completed by the test.
 #pragma once
 
 #include <memory>
@@ -47,7 +47,7 @@
   };
 };
 
-/// Knows one tenant, whose key is "key-1" and whose model is "rules".
+/// A configuration with a single tenant, whose key is "key-1" and whose model is "rules".
 class FakeConfiguration final : public config::ConfigurationView {
  public:
   FakeConfiguration() {
--- a/tests/live/platform_json_test.cc
+++ b/tests/live/platform_json_test.cc
@@ -11,7 +11,7 @@
 BOOST_AUTO_TEST_SUITE(PlatformJsonTest)
 
 BOOST_AUTO_TEST_CASE(ReportWithEventsInOrder) {
-  // "AQAAAAAAAAA=" is the word 1, "AgAAAAAAAAA=" the word 2.
+  // "AQAAAAAAAAA=" encodes the 64-bit word 1, "AgAAAAAAAAA=" the word 2.
   const auto report = engineReportFromJson(R"({"incarnation": 9, "role": "standby", "leaving": true,
     "weights": [{"model": "m", "version": 3, "adapters": ["a"]}], "fencing_token": 4,
     "last_order": "o", "load": {"running": 1, "waiting": [0, 1, 2, 3],
--- a/tests/live/rate_limited_event_log_test.cc
+++ b/tests/live/rate_limited_event_log_test.cc
@@ -1,4 +1,4 @@
-// The bound on lines that tell of the fleet's changes.
+// The rate limit for log lines about changes of members and replicas.
 #include "live/rate_limited_event_log.h"
 
 #include <boost/test/unit_test.hpp>
--- a/tests/live/settings_test.cc
+++ b/tests/live/settings_test.cc
@@ -89,7 +89,7 @@
   BOOST_TEST(loaded.has(9, "limits.body_bytes"));
   BOOST_TEST(loaded.has(10, "nodes"));
   BOOST_TEST(loaded.has(0, "operator.key"));
-  // Each once: 7 above with a line, and 8 settings that are missing.
+  // Each is reported once: the 7 above with their lines, and 8 missing settings.
   BOOST_TEST(loaded.mistakes.size() == 15U);
 }
 
