--- a/src/live/asio_runtime.cc
+++ b/src/live/asio_runtime.cc
@@ -19,31 +19,32 @@
   return base::TimePoint{BootClock::now().time_since_epoch()};
 }
 
-/// All timers in the order of their due times behind one timer of Asio, the alarm: a timer that is
-/// cancelled, as most are, costs Asio nothing. 0.2 us instead of 1.0 us for a timer that is
-/// scheduled and cancelled beside 2,000 others.
+/// Keeps all timers ordered by due time and uses a single Asio timer, the alarm, for the first one.
+/// Most timers are cancelled, and cancelling one needs no Asio call: scheduling and cancelling a
+/// timer takes 0.2 us instead of 1.0 us while 2,000 others are pending.
 struct AsioTimerService::Impl : std::enable_shared_from_this<AsioTimerService::Impl> {
-  using Due = BootClock::time_point;
-  using Key = std::pair<Due, base::TimerId>;
+  using DueTime = BootClock::time_point;
+  using Key = std::pair<DueTime, base::TimerId>;
 
   explicit Impl(asio::io_context& context) : alarm(context) {}
 
   base::TimerId add(base::Duration delay, std::function<void()> callback) {
-    const auto id = ++last;
+    const auto id = ++lastId;
     const auto due = BootClock::now() + std::max(delay, base::Duration::zero());
     queue.emplace(Key{due, id}, std::move(callback));
-    dueOf.emplace(id, due);
+    dueTimes.emplace(id, due);
     arm();
     return id;
   }
 
   void remove(base::TimerId id) {
-    const auto found = dueOf.find(id);
-    if (found == dueOf.end()) return;
-    // Goes last: what the callback owns may cancel timers, this one too, when it goes.
+    const auto found = dueTimes.find(id);
+    if (found == dueTimes.end()) return;
+    // Destroyed at the end of the function, because objects owned by the callback may cancel timers
+    // in their destructors, including this one.
     const auto callback = queue.extract({found->second, id});
-    dueOf.erase(found);
-    // An alarm for nothing would keep the loop from ending.
+    dueTimes.erase(found);
+    // A pending alarm without timers would keep the event loop from ending.
     if (queue.empty()) disarm();
   }
 
@@ -52,7 +53,8 @@
     alarm.cancel();
   }
 
-  /// An alarm that goes off before the first timer is due is set again then.
+  /// Sets the alarm for the first timer. An alarm that is already set for an earlier time is left
+  /// alone, because it is set again when it expires.
   void arm() {
     if (queue.empty()) return;
     const auto first = queue.begin()->first.first;
@@ -67,12 +69,12 @@
 
   void onAlarm() {
     const auto now = BootClock::now();
-    // An alarm that went off just before it was set anew.
+    // The alarm had already expired when it was cancelled or set to a later time.
     if (!armedFor || now < *armedFor) return;
     armedFor.reset();
     while (!closed && !queue.empty() && queue.begin()->first.first <= now) {
       const auto entry = queue.extract(queue.begin());
-      dueOf.erase(entry.key().second);
+      dueTimes.erase(entry.key().second);
       entry.mapped()();
     }
     if (!closed) arm();
@@ -80,17 +82,18 @@
 
   void close() {
     closed = true;
-    dueOf.clear();
-    // Goes last: what the callbacks own may cancel timers when it goes.
+    dueTimes.clear();
+    // Destroyed at the end of the function, because objects owned by the callbacks may cancel
+    // timers in their destructors.
     const auto callbacks = std::exchange(queue, {});
     disarm();
   }
 
   BootTimer alarm;
-  std::optional<Due> armedFor;
+  std::optional<DueTime> armedFor;
   std::map<Key, std::function<void()>> queue;
-  std::unordered_map<base::TimerId, Due> dueOf;
-  base::TimerId last = 0;
+  std::unordered_map<base::TimerId, DueTime> dueTimes;
+  base::TimerId lastId = 0;
   bool closed = false;
 };
 
--- a/src/live/boost_event_log.cc
+++ b/src/live/boost_event_log.cc
@@ -25,12 +25,12 @@
 namespace logging = boost::log;
 namespace sinks = boost::log::sinks;
 
-/// How long the end of the process waits for a reader, by the steady clock: a suspension meanwhile
-/// delays the end by its own length at most.
-constexpr std::chrono::milliseconds kFlushTime{500};
-constexpr std::chrono::milliseconds kFlushStep{5};
+/// How long the destructor waits for the reader of the stream at the end of the process, measured
+/// with the steady clock: a suspension in that time delays the end by at most its own length.
+constexpr std::chrono::milliseconds kFlushTimeout{500};
+constexpr std::chrono::milliseconds kFlushPollInterval{5};
 
-/// Writes lines to a stream and counts those that are left.
+/// Writes lines to a stream and counts those that are still queued.
 class LineBackend final
     : public sinks::basic_formatted_sink_backend<char, sinks::synchronized_feeding> {
  public:
@@ -47,7 +47,8 @@
 
 using Sink = sinks::asynchronous_sink<LineBackend>;
 
-/// The last word on a failed request, or something that someone should look at.
+/// Returns false for final refusals of requests and for warnings and errors, which are dropped
+/// last.
 bool isRoutine(base::Event event) {
   return base::describe(event).severity == base::Severity::kInfo &&
          event != base::Event::kRequestRefused;
@@ -67,10 +68,10 @@
 
 void appendQuoted(std::string& line, std::string_view value) {
   line += '"';
-  for (const char letter : value) {
-    if (letter == '"' || letter == '\\') line += '\\';
-    const bool control = static_cast<unsigned char>(letter) < static_cast<unsigned char>(' ');
-    line += control ? ' ' : letter;
+  for (const char character : value) {
+    if (character == '"' || character == '\\') line += '\\';
+    const bool control = static_cast<unsigned char>(character) < static_cast<unsigned char>(' ');
+    line += control ? ' ' : character;
   }
   line += '"';
 }
@@ -115,27 +116,28 @@
 
 BoostEventLog::~BoostEventLog() {
   logging::core::get()->remove_sink(impl_->sink);
-  const auto end = std::chrono::steady_clock::now() + kFlushTime;
+  const auto end = std::chrono::steady_clock::now() + kFlushTimeout;
   while (impl_->backend->queued > 0 && std::chrono::steady_clock::now() < end)
-    std::this_thread::sleep_for(kFlushStep);
+    std::this_thread::sleep_for(kFlushPollInterval);
   if (impl_->backend->queued == 0) {
     impl_->sink->stop();
     return;
   }
-  // The writing thread is held up by the reader and cannot be joined: it ends with the process.
+  // The writing thread is blocked by the reader and cannot be joined; it ends with the process. The
+  // sink is leaked on purpose, because that thread still uses it.
   static_cast<void>(new (std::nothrow) boost::shared_ptr<Sink>(impl_->sink));
 }
 
 void BoostEventLog::write(base::Event event, std::initializer_list<base::EventField> fields) {
   if (base::describe(event).severity < options_.minimum) return;
   const auto queued = impl_->backend->queued.load();
-  const auto limit = isRoutine(event) ? options_.routineLines : options_.mostLines;
+  const auto limit = isRoutine(event) ? options_.routineQueueLimit : options_.queueLimit;
   if (queued >= limit) {
     ++dropped_[event];
     return;
   }
-  // The reader has caught up by half.
-  if (!dropped_.empty() && queued < options_.routineLines / 2) reportDropped();
+  // The queue has drained to less than half of its limit for routine lines.
+  if (!dropped_.empty() && queued < options_.routineQueueLimit / 2) reportDropped();
   push(event, fields);
 }
 
--- a/src/live/caller_call.h
+++ b/src/live/caller_call.h
@@ -1,6 +1,6 @@
 /// \file
-/// One caller's request in the gateway, from its dispatch to the end of its answer. Internal to the
-/// caller gateway.
+/// One caller's request in the gateway, from its dispatch to the end of its response. Internal to
+/// the caller gateway.
 #pragma once
 
 #include <functional>
@@ -8,23 +8,24 @@
 #include <string>
 
 #include "live/caller_gateway.h"
-#include "live/completion_answer.h"
 #include "live/completion_body.h"
+#include "live/completion_response.h"
 #include "request/caller_request.h"
 
 namespace covewing::live {
 
-/// A call in flight; destroying it is the caller's disconnect.
+/// A call in flight. Destroying it cancels the request, as if the caller had disconnected.
 class CallerCall {
  public:
   virtual ~CallerCall() = default;
 };
 
-/// Called when a call has its final answer or lost its caller. It may not destroy the call at once,
-/// because the call is on the stack.
+/// Called when a call has sent its final response or its caller has disconnected. The callback must
+/// not destroy the call directly, because the call is still on the stack.
 using CallFinished = std::function<void(CallerCall&)>;
 
-/// A completion: passes chunks on as events, or collects them into one body.
+/// A completion call. Forwards chunks to the caller as events, or collects them into one response
+/// body if the caller did not request a stream.
 class CompletionCall final : public CallerCall, public request::CompletionSink {
  public:
   CompletionCall(CallerGatewayEnvironment environment, HttpExchangePtr exchange,
@@ -44,19 +45,19 @@
   CallerGatewayEnvironment environment_;
   HttpExchangePtr exchange_;
   CompletionKind kind_;
-  RequestKind label_;
-  bool streamed_;
+  RequestKind metricsKind_;
+  bool streamRequested_;
   std::string model_;
   CallFinished finished_;
   base::TimePoint arrivedAt_;
-  bool firstToken_ = false;
-  bool streaming_ = false;
+  bool firstTokenSeen_ = false;
+  bool streamStarted_ = false;
   std::string text_;
-  std::unique_ptr<CompletionAnswer> answer_;
+  std::unique_ptr<CompletionResponse> response_;
   std::unique_ptr<request::ActiveRequest> request_;
 };
 
-/// A call proxied to an application back end.
+/// A call that is proxied to an application back end.
 class ProxiedCall final : public CallerCall, public request::ProxiedSink {
  public:
   ProxiedCall(CallerGatewayEnvironment environment, HttpExchangePtr exchange,
--- a/src/live/completion_answer.cc
+++ b/src/live/completion_response.cc
@@ -1,4 +1,4 @@
-#include "live/completion_answer.h"
+#include "live/completion_response.h"
 
 #include <nlohmann/json.hpp>
 
@@ -11,7 +11,7 @@
 using Json = nlohmann::ordered_json;
 
 constexpr std::string_view kDone = "data: [DONE]\n\n";
-/// Stands for the content while the parts of a chunk event around it are made.
+/// Stands in for the content while the constant text of a chunk event is built.
 constexpr std::string_view kPlaceholder = "@content@";
 
 std::string dump(const Json& json) {
@@ -47,8 +47,8 @@
 
 }  // namespace
 
-CompletionAnswer::CompletionAnswer(CompletionKind kind, const base::RequestId& id,
-                                   std::string model, std::int64_t created)
+CompletionResponse::CompletionResponse(CompletionKind kind, const base::RequestId& id,
+                                       std::string model, std::int64_t created)
     : kind_(kind),
       id_((kind == CompletionKind::kChat ? "chatcmpl-" : "cmpl-") + id.value),
       model_(std::move(model)),
@@ -58,24 +58,25 @@
                           ? choice("delta", {{"content", kPlaceholder}}, nullptr)
                           : choice("text", kPlaceholder, nullptr)};
   const auto text = event(chunk);
-  const auto place = text.rfind(kPlaceholder);
-  // The quotation marks around the placeholder come with the escaped content.
-  chunkPrefix_ = text.substr(0, place - 1);
-  chunkSuffix_ = text.substr(place + kPlaceholder.size() + 1);
+  const auto position = text.rfind(kPlaceholder);
+  // The escaped content brings its own quotation marks, so those around the placeholder are left
+  // out.
+  chunkPrefix_ = text.substr(0, position - 1);
+  chunkSuffix_ = text.substr(position + kPlaceholder.size() + 1);
 }
 
-std::string CompletionAnswer::firstEvent() const {
+std::string CompletionResponse::firstEvent() const {
   if (kind_ == CompletionKind::kText) return {};
   auto chunk = envelope(kind_, id_, created_, model_, true);
   chunk["choices"] = {choice("delta", {{"role", "assistant"}, {"content", ""}}, nullptr)};
   return event(chunk);
 }
 
-std::string CompletionAnswer::chunkEvent(std::string_view text) const {
+std::string CompletionResponse::chunkEvent(std::string_view text) const {
   return chunkPrefix_ + dump(Json(text)) + chunkSuffix_;
 }
 
-std::string CompletionAnswer::endEvents(const clients::StreamEnd& end) const {
+std::string CompletionResponse::endEvents(const clients::StreamEnd& end) const {
   auto chunk = envelope(kind_, id_, created_, model_, true);
   chunk["choices"] = {kind_ == CompletionKind::kChat
                           ? choice("delta", Json::object(), end.finishReason)
@@ -84,8 +85,8 @@
   return event(chunk) + std::string{kDone};
 }
 
-std::string CompletionAnswer::wholeBody(std::string_view text,
-                                        const clients::StreamEnd& end) const {
+std::string CompletionResponse::responseBody(std::string_view text,
+                                             const clients::StreamEnd& end) const {
   auto body = envelope(kind_, id_, created_, model_, false);
   body["choices"] = {
       kind_ == CompletionKind::kChat
--- a/src/live/daemon.cc
+++ b/src/live/daemon.cc
@@ -22,15 +22,16 @@
 constexpr unsigned kOk = 200;
 constexpr unsigned kServiceUnavailable = 503;
 constexpr unsigned kNotFound = 404;
-/// How often a drained node looks whether callers have taken their last bytes, and how long.
+/// How often a drained node checks whether callers have received their last bytes, and how long it
+/// waits for that at most.
 constexpr base::Duration kFlushInterval = std::chrono::milliseconds(10);
-constexpr base::Duration kFlushBound = std::chrono::seconds(5);
+constexpr base::Duration kFlushTimeout = std::chrono::seconds(5);
 
 HttpLimits callerLimits(const Settings& settings) {
   HttpLimits limits;
   limits.headerBytes = settings.headerBytes;
   limits.bodyBytes = settings.bodyBytes;
-  limits.answerBufferBytes = settings.answerBufferBytes;
+  limits.responseBufferBytes = settings.responseBufferBytes;
   limits.connections = settings.connections;
   limits.stallTimeout = settings.stallTimeout;
   return limits;
@@ -66,9 +67,9 @@
         peers(ioContext, log),
         platformHttp(ioContext),
         backEndHttp(ioContext),
-        table(service(settings.tableEndpoint)),
-        objects(service(settings.objectsEndpoint)),
-        machines(service(settings.machinesEndpoint)),
+        table(platformService(settings.tableEndpoint)),
+        objects(platformService(settings.objectsEndpoint)),
+        machines(platformService(settings.machinesEndpoint)),
         engines(backEndHttp, timers),
         applications(backEndHttp),
         callerServer(ioContext, callerLimits(settings),
@@ -78,7 +79,7 @@
         metricsServer(ioContext, {},
                       [this](const HttpExchangePtr& exchange) { handleMetrics(exchange); }) {}
 
-  PlatformService service(const base::Endpoint& endpoint) {
+  PlatformService platformService(const base::Endpoint& endpoint) {
     return {platformHttp, endpoint, settings.platformTimeout};
   }
 
@@ -86,16 +87,16 @@
     return {clock, timers, random, log, peers, table, objects, machines, engines, applications};
   }
 
-  bool listen(HttpServer& server, std::string name, const base::Endpoint& wanted,
+  bool listen(HttpServer& server, std::string name, const base::Endpoint& requested,
               base::Endpoint& bound, base::Reason& reason) {
-    const auto endpoint = server.listen(wanted, reason);
+    const auto endpoint = server.listen(requested, reason);
     if (!endpoint) return false;
     bound = *endpoint;
-    noteListener(std::move(name), bound);
+    logListenerOpened(std::move(name), bound);
     return true;
   }
 
-  void noteListener(std::string name, const base::Endpoint& bound) {
+  void logListenerOpened(std::string name, const base::Endpoint& bound) {
     log.write(base::Event::kListenerOpened,
               {{"listener", std::move(name)}, {"endpoint", toString(bound)}});
   }
@@ -104,7 +105,7 @@
     const auto peerEndpoint = peers.bind(settings.peerEndpoint, reason);
     if (!peerEndpoint) return false;
     endpoints.peer = *peerEndpoint;
-    noteListener("peer", endpoints.peer);
+    logListenerOpened("peer", endpoints.peer);
 
     const auto incarnation = startIncarnation();
     node = factory(nodeOptions(settings, endpoints.peer, incarnation), environment());
@@ -149,14 +150,15 @@
     draining = true;
     stopped = std::move(callback);
     callerServer.stopAccepting();
-    node->drain(settings.drainBound, [this] {
-      callerServer.closeIdle();
-      flushUntil = clock.now() + kFlushBound;
+    node->drain(settings.drainTimeout, [this] {
+      callerServer.stopAcceptingAndCloseIdle();
+      flushUntil = clock.now() + kFlushTimeout;
       flush();
     });
   }
 
-  /// The node is done; callers may still have bytes to take.
+  /// Called when the node has finished all requests. Waits until callers have received their last
+  /// bytes or kFlushTimeout has passed, then closes their connections.
   void flush() {
     if (callerServer.openConnections() > 0 && clock.now() < flushUntil) {
       timers.schedule(kFlushInterval, [this] { flush(); });
@@ -185,7 +187,7 @@
   std::unique_ptr<node::Node> node;
   std::unique_ptr<CallerGateway> callers;
   std::unique_ptr<OperatorGateway> operators;
-  // Destroyed first: exchanges end before what they use.
+  // Destroyed before the members above, so that exchanges end before the objects that they use.
   HttpServer callerServer;
   HttpServer operatorServer;
   HttpServer metricsServer;
--- a/src/live/limited_event_log.cc
+++ b/src/live/rate_limited_event_log.cc
@@ -1,4 +1,4 @@
-#include "live/limited_event_log.h"
+#include "live/rate_limited_event_log.h"
 
 #include <algorithm>
 #include <utility>
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Events of which each node hears one for each member or replica of the fleet.
+/// Whether events of this kind occur on every node for each member or replica of the fleet.
 bool isFleetChange(base::Event event) {
   switch (event) {
     case base::Event::kMemberJoined:
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-bool LimitedEventLog::takeFromBudget(base::TimePoint now) {
+bool RateLimitedEventLog::takeFromBudget(base::TimePoint now) {
   const double refill = base::toSeconds(now - refilledAt_) * options_.linesPerSecond;
   budget_ = std::min(options_.burst, budget_ + refill);
   refilledAt_ = now;
@@ -35,17 +35,18 @@
   return true;
 }
 
-void LimitedEventLog::reportDropped(base::TimePoint now) {
-  if (dropped_.empty() || now - reportedAt_ < options_.report) return;
+void RateLimitedEventLog::reportDropped(base::TimePoint now) {
+  if (dropped_.empty() || now - reportedAt_ < options_.reportInterval) return;
   reportedAt_ = now;
   for (const auto& [event, count] : std::exchange(dropped_, {})) {
-    next_.write(base::Event::kLogLinesDropped, {{"kind", std::string{base::describe(event).name}},
-                                                {"lines", std::to_string(count)},
-                                                {"why", "changes of the fleet are bounded"}});
+    next_.write(base::Event::kLogLinesDropped,
+                {{"kind", std::string{base::describe(event).name}},
+                 {"lines", std::to_string(count)},
+                 {"why", "rate limit for changes of members and replicas"}});
   }
 }
 
-void LimitedEventLog::write(base::Event event, std::initializer_list<base::EventField> fields) {
+void RateLimitedEventLog::write(base::Event event, std::initializer_list<base::EventField> fields) {
   const auto now = clock_.now();
   reportDropped(now);
   if (isFleetChange(event) && !takeFromBudget(now)) {
--- a/tests/live/platform_json_test.cc
+++ b/tests/live/platform_json_test.cc
@@ -11,7 +11,7 @@
 BOOST_AUTO_TEST_SUITE(PlatformJsonTest)
 
 BOOST_AUTO_TEST_CASE(ReportWithEventsInOrder) {
-  // "AQAAAAAAAAA=" is the word 1, "AgAAAAAAAAA=" the word 2.
+  // "AQAAAAAAAAA=" encodes the 64-bit word 1, "AgAAAAAAAAA=" the word 2.
   const auto report = engineReportFromJson(R"({"incarnation": 9, "role": "standby", "leaving": true,
     "weights": [{"model": "m", "version": 3, "adapters": ["a"]}], "fencing_token": 4,
     "last_order": "o", "load": {"running": 1, "waiting": [0, 1, 2, 3],
@@ -30,7 +30,7 @@
   BOOST_TEST(report->events[1].block.value == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(MistakenReportsAreRefusedWhole) {
+BOOST_AUTO_TEST_CASE(InvalidReportsAreRejectedEntirely) {
   for (const auto* text :
        {"", "[]", R"({"incarnation": -1})", R"({"stored": "AQ=="})",
         R"({"stored": "AQAAAAAAAAA=", "order": "e"})", R"({"stored": "", "order": "s"})",
@@ -90,7 +90,7 @@
   BOOST_TEST(!machinesFromJson(R"({"machines": [{"endpoint": "host:80"}]})").has_value());
 }
 
-BOOST_AUTO_TEST_CASE(SseEventsAcrossPieces) {
+BOOST_AUTO_TEST_CASE(SseEventsSplitAcrossChunks) {
   SseParser parser;
   parser.feed(": comment\r\ndata: on");
   BOOST_TEST(!parser.next().has_value());
@@ -98,7 +98,7 @@
   BOOST_TEST(parser.next().value() == "one");
   BOOST_TEST(parser.next().value() == "two\nlines");
   BOOST_TEST(!parser.next().has_value());
-  parser.feed(std::string(SseParser::kMaximumEvent + 1, 'x'));
+  parser.feed(std::string(SseParser::kMaximumEventBytes + 1, 'x'));
   BOOST_TEST(!parser.next().has_value());
   BOOST_TEST(parser.failed());
 }
