--- a/src/live/client_connection.cc
+++ b/src/live/client_connection.cc
@@ -53,7 +53,7 @@
 
 bool ClientConnection::usable() {
   if (state_ != State::kIdle || buffer_.size() > 0) return false;
-  // The outstanding read may not have run yet: look at the socket itself.
+  // The handler of the outstanding read may not have run yet, so the socket itself is checked.
   char byte = 0;
   boost::system::error_code error;
   socket_.non_blocking(true, error);
@@ -148,8 +148,8 @@
   if (state_ != State::kActive || handler_ == nullptr) return;
   sent_ += bytes;
   if (error) {
-    // Nothing was ever taken: proof that the request did not leave. Otherwise the answer, if one
-    // came before the break, or the end of input decides.
+    // If the operating system accepted no byte, the request was certainly not sent. Otherwise the
+    // outcome depends on the read side: a response received before the break, or end of input.
     if (sent_ == 0) {
       bytesMayHaveBeenSent_ = false;
       fail("cannot send: " + error.message());
@@ -179,7 +179,7 @@
   reading_ = false;
   if (state_ == State::kClosed) return;
   if (state_ == State::kIdle) {
-    // The server closed the connection, or sent an answer that nobody asked for.
+    // The server closed the connection or sent an unsolicited response.
     close();
     return;
   }
@@ -208,7 +208,7 @@
 
 bool ClientConnection::parse() {
   const auto number = callNumber_;
-  // What is already here of a paused answer is kept for later.
+  // Bytes of a paused response that are already buffered are kept until the call resumes.
   while (buffer_.size() > 0 && !paused_) {
     boost::system::error_code error;
     buffer_.consume(parser_->put(buffer_.data(), error));
@@ -329,7 +329,7 @@
     return;
   }
   restartInactivityTimer();
-  // Posted: the handler must not be called from inside its own call.
+  // Posted, because the handler must not be called from within its owner's call of setPaused.
   asio::post(socket_.get_executor(), [self = shared_from_this(), number] {
     if (number != self->callNumber_ || self->handler_ == nullptr || self->paused_) return;
     if (self->parse()) self->read();
--- a/src/live/client_connection.h
+++ b/src/live/client_connection.h
@@ -1,8 +1,8 @@
 /// \file
 /// One connection of the HTTP client. Internal to the client.
 ///
-/// States: connecting -> answering (request going out, answer coming in, both at once) -> idle in
-/// the pool -> answering again; closed is final.
+/// States: connecting -> active (the request is sent and the response is received, possibly at the
+/// same time) -> idle in the pool -> active again; closed is final.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -20,14 +20,14 @@
 
 class ClientConnection;
 
-/// Where a connection goes when its answer is complete.
+/// Holds idle connections for reuse after their responses are complete.
 class ConnectionPool {
  public:
   virtual ~ConnectionPool() = default;
   virtual const HttpClientLimits& limits() const = 0;
-  /// Keeps the connection for its next use; false when the pool is full.
+  /// Adds the idle connection to the pool; returns false if the pool is at capacity.
   virtual bool keep(const std::shared_ptr<ClientConnection>& connection) = 0;
-  /// An idle connection was closed.
+  /// Removes an idle connection that was closed.
   virtual void remove(const ClientConnection& connection) = 0;
 };
 
@@ -37,13 +37,14 @@
                    std::weak_ptr<ConnectionPool> pool, HttpClientLimits limits);
 
   const base::Endpoint& server() const { return server_; }
-  /// True when the idle connection may be used: nothing unexpected was received and the server has
-  /// not closed it.
+  /// Whether the idle connection can be reused: no unexpected bytes were received and the server
+  /// has not closed it.
   bool usable();
-  /// Sends the request, connecting first where needed. Returns the number of the call.
+  /// Sends the request, after connecting if the connection is new. Returns the number of the call.
+  /// The call fails if no bytes are received for `inactivityTimeout`; zero means no such bound.
   std::uint64_t begin(const HttpRequest& request, base::Duration inactivityTimeout,
                       HttpCallHandler& handler);
-  /// Closes the connection, unless call `number` is complete.
+  /// Cancels call `number` by closing the connection; does nothing if that call has ended.
   void abandon(std::uint64_t number);
   void setPaused(std::uint64_t number, bool paused);
   void close();
@@ -60,7 +61,7 @@
   void read();
   void onRead(boost::system::error_code error, std::size_t bytes);
   void onEndOfInput(boost::system::error_code error);
-  /// Parses what is buffered; false when the call ended meanwhile.
+  /// Parses the buffered bytes; returns false if the call ended while doing so.
   bool parse();
   bool deliverHead();
   bool deliverBody();
@@ -68,7 +69,8 @@
   void fail(const std::string& detail);
   void restartInactivityTimer();
   void setOptions();
-  /// How long the server lets the idle connection stay, less a margin, or this client's own bound.
+  /// Time for which the connection is kept idle: the timeout announced by the server minus a
+  /// margin, or this client's own limit if that is shorter or the server announced none.
   base::Duration idleTime() const;
   bool skipMismatchedResponse();
 
@@ -86,16 +88,17 @@
   bool headRequest_ = false;
   std::string output_;
   std::size_t sent_ = 0;
-  /// A write was started whose result is not known to be "nothing taken".
+  /// Whether the operating system may have accepted bytes of the request: true from the first write
+  /// on, unless an error shows that it accepted none.
   bool bytesMayHaveBeenSent_ = false;
   bool paused_ = false;
 
   bool reading_ = false;
   std::optional<Parser> parser_;
   bool headDelivered_ = false;
-  /// The answer being read belongs to another request and is thrown away.
+  /// The response being read belongs to another request and is discarded.
   bool skipping_ = false;
-  /// A foreign answer came: the connection is not used again.
+  /// A response to another request was received: the connection is not reused.
   bool mismatchSeen_ = false;
   boost::beast::flat_buffer buffer_;
 };
--- a/src/live/connect_probe.cc
+++ b/src/live/connect_probe.cc
@@ -13,7 +13,7 @@
 namespace asio = boost::asio;
 using clients::Reachability;
 
-/// One connection in the making, which keeps itself until it is answered.
+/// One connection attempt; it keeps itself alive until it succeeds, fails or times out.
 struct Attempt : std::enable_shared_from_this<Attempt> {
   Attempt(asio::io_context& context, std::function<void(Reachability)> onFinished)
       : socket(context), timer(context), callback(std::move(onFinished)) {}
@@ -42,7 +42,7 @@
     const auto onFinished = std::exchange(callback, nullptr);
     if (!onFinished) return;
     timer.cancel();
-    boost::system::error_code ignored;  // The connection is not used, however its close ends.
+    boost::system::error_code ignored;  // Errors of the close do not matter: it was not used.
     socket.close(ignored);
     onFinished(reachability);
   }
--- a/src/live/connect_probe.h
+++ b/src/live/connect_probe.h
@@ -1,5 +1,5 @@
 /// \file
-/// Tells by a TCP connection whether a process accepts connections at an address.
+/// Checks whether a process accepts TCP connections at an address by opening one.
 #pragma once
 
 #include <memory>
@@ -22,7 +22,7 @@
 
  private:
   boost::asio::io_context& context_;
-  /// Outlived by callbacks that must no longer be called.
+  /// Expires with the probe: callbacks of attempts that are still in flight are then not called.
   std::shared_ptr<bool> lifetime_ = std::make_shared<bool>(true);
 };
 
--- a/src/live/http_application_client.h
+++ b/src/live/http_application_client.h
@@ -9,8 +9,8 @@
 
 namespace covewing::live {
 
-/// A header that belongs to one connection or that sender and receiver set themselves, so that it
-/// is never passed on (RFC 9110, section 7.6.1).
+/// Whether the header applies to a single connection, or is set by each sender and receiver itself,
+/// and so is never forwarded (RFC 9110, section 7.6.1).
 bool isConnectionHeader(std::string_view name);
 
 class HttpApplicationClient final : public clients::ApplicationClient {
--- a/src/live/http_client.cc
+++ b/src/live/http_client.cc
@@ -32,7 +32,7 @@
   std::uint64_t number_;
 };
 
-/// Collects one whole answer.
+/// Buffers one whole response for `HttpClient::fetch`.
 class BufferedCall final : public HttpCallHandler {
  public:
   using Finished = std::function<void(BufferedCall&, HttpResult)>;
@@ -101,7 +101,8 @@
     if (kept->second.empty()) idle.erase(kept);
   }
 
-  /// The connection used last, which is the least likely to be closed by the server.
+  /// Returns the most recently used idle connection, which the server is least likely to have
+  /// closed, or a new one.
   std::shared_ptr<ClientConnection> acquire(const base::Endpoint& server) {
     for (auto kept = idle.find(server); kept != idle.end(); kept = idle.find(server)) {
       auto connection = kept->second.back();
@@ -147,7 +148,7 @@
                        base::Duration timeout, std::function<void(HttpResult)> callback) {
   auto finished = [core = core_.get(), callback = std::move(callback)](BufferedCall& call,
                                                                        HttpResult result) {
-    // Kept until the end of this function: the call is on the stack above.
+    // Kept alive until the end of this function, because a method of the call is on the stack.
     const auto node = core->bufferedCalls.extract(&call);
     const auto deliver = callback;
     deliver(std::move(result));
--- a/src/live/http_client.h
+++ b/src/live/http_client.h
@@ -1,8 +1,9 @@
 /// \file
 /// HTTP/1.1 client with a pool of kept-alive connections, for one io_context thread.
 ///
-/// A connection is used again only after a whole answer to a wholly sent request; one with an
-/// unfinished, abandoned or foreign answer is closed. Nothing is ever sent twice.
+/// A connection is reused only after the whole request was sent and a complete response to it was
+/// received. A connection whose response is incomplete, abandoned or belongs to another request is
+/// closed. The client never resends a request.
 #pragma once
 
 #include <functional>
@@ -22,48 +23,50 @@
 
 namespace covewing::live {
 
-/// Identifier of a request; a peer's answer must echo it where the request carries one.
+/// Header with the identifier of a request; if a request has it, the response must echo it.
 inline constexpr std::string_view kRequestIdHeader = "X-Request-Id";
 
 struct HttpClientLimits {
   std::size_t idleConnectionsPerEndpoint = 64;
-  /// Shorter than what servers allow, so that a kept connection is rarely closed under a request.
+  /// Shorter than the idle timeouts of servers, so that a server rarely closes a kept connection
+  /// while a request is being sent on it.
   base::Duration idleTimeout = std::chrono::seconds(15);
   base::Duration connectTimeout = std::chrono::seconds(1);
   std::size_t headerBytes = 64U << 10U;
-  /// Header by which an answer names its request.
+  /// Header in which a response echoes the identifier of its request.
   std::string_view requestIdHeader = kRequestIdHeader;
-  /// Answers that name another request are thrown away, and the own one is waited for; the
-  /// connection is not used again. Otherwise such an answer fails the call.
+  /// If true, a response with the identifier of another request is discarded and the client waits
+  /// for the matching one; the connection is not reused afterwards. If false, such a response fails
+  /// the call.
   bool skipMismatchedResponses = false;
-  /// A connection whose bytes are not acknowledged for so long, or whose peer does not answer
-  /// keep-alive probes, is broken; zero: as the system does it.
+  /// A connection is considered broken if sent bytes are not acknowledged for this long or the peer
+  /// does not respond to TCP keep-alive probes; zero: the defaults of the operating system.
   base::Duration unacknowledgedTimeout{};
-  /// Largest body of an answer taken whole by `fetch`.
+  /// Maximum size of a response body accepted by `fetch`.
   std::size_t bodyBytes = 64U << 20U;
 };
 
-/// Receiver of one call's answer. After onComplete or onFailure nothing follows. Never called from
-/// inside `start`; it may destroy the call.
+/// Receives the response of one call. No callback follows onComplete or onFailure. Callbacks are
+/// never made from within `start`; they may destroy the call.
 class HttpCallHandler {
  public:
   virtual ~HttpCallHandler() = default;
-  /// Asked when a new connection is there, before the first byte is sent: where false, the call
-  /// fails with kNotSent.
+  /// Called when a new connection is established, before the first byte is sent: if it returns
+  /// false, the call fails with kNotSent.
   virtual bool stillWanted() const { return true; }
-  /// Status and headers; the body is empty.
+  /// Called with the status and headers of the response; the body of `head` is empty.
   virtual void onHead(const HttpResponse& head) = 0;
   virtual void onBody(std::string_view bytes) = 0;
   virtual void onComplete() = 0;
-  /// kNotSent only when no byte of the request was given to the operating system.
+  /// `failure` is kNotSent only if the operating system accepted no byte of the request.
   virtual void onFailure(clients::DispatchFailure failure, std::string detail) = 0;
 };
 
-/// A call in flight. Destroying it closes its connection unless the answer is complete.
+/// A call in flight. Destroying it closes its connection unless the response is complete.
 class HttpCall {
  public:
   virtual ~HttpCall() = default;
-  /// While paused nothing is read from the connection.
+  /// While the call is paused, nothing is read from its connection.
   virtual void setPaused(bool paused) = 0;
 };
 
@@ -72,21 +75,23 @@
 class HttpClient {
  public:
   explicit HttpClient(boost::asio::io_context& context, HttpClientLimits limits = {});
-  /// Forgets all calls; their callbacks do not come.
+  /// Cancels all calls made with `fetch`, without their callbacks, and closes idle connections.
   ~HttpClient();
   HttpClient(const HttpClient&) = delete;
   HttpClient& operator=(const HttpClient&) = delete;
 
-  /// Sends once. The call fails when nothing is received for `silence`; zero means no such bound.
+  /// Sends the request once. The call fails if nothing is received for `inactivityTimeout`; zero
+  /// means no such bound.
   std::unique_ptr<HttpCall> start(const base::Endpoint& server, const HttpRequest& request,
                                   base::Duration inactivityTimeout, HttpCallHandler& handler);
-  /// Sends once and gives the whole answer, exactly once, later. Fails after `timeout`.
+  /// Sends the request once and calls `callback` exactly once, later, with the whole response or an
+  /// error. Fails after `timeout`.
   void fetch(const base::Endpoint& server, const HttpRequest& request, base::Duration timeout,
              std::function<void(HttpResult)> callback);
 
-  /// Closes kept connections that no call uses.
+  /// Closes the idle connections in the pool.
   void closeIdle();
-  /// Kept connections that wait for their next use.
+  /// Number of idle connections in the pool.
   std::size_t idleConnections() const;
 
   struct Core;
--- a/src/live/http_connection.cc
+++ b/src/live/http_connection.cc
@@ -17,7 +17,7 @@
 
 constexpr std::size_t kReadBytes = 4096;
 constexpr std::size_t kBodyReadBytes = 64U << 10U;
-/// Bytes of a refused request that are read and thrown away before the socket is closed.
+/// Maximum bytes of a refused request that are read and discarded before the socket is closed.
 constexpr std::size_t kLingerBytes = 1U << 20U;
 constexpr base::Duration kLingerTime = std::chrono::seconds(2);
 constexpr std::string_view kContinue = "HTTP/1.1 100 Continue\r\n\r\n";
@@ -62,10 +62,10 @@
   headerComplete_ = false;
 }
 
-// One read is always outstanding while the buffer has room: it notices a peer that goes away.
+// A read is always outstanding while the buffer has capacity, so that a disconnect is detected.
 void Connection::read() {
   if (reading_ || state_ == State::kClosed) return;
-  // While an answer is under way, at most one read's worth of a pipelined request is kept.
+  // While responding, at most one read of a pipelined request is buffered.
   if (state_ == State::kResponding && buffer_.size() >= kReadBytes) return;
   const bool inBody = state_ == State::kReading && parser_->is_header_done();
   reading_ = true;
@@ -143,7 +143,7 @@
   auto message = parser_->release();
   keepAlive_ = message.keep_alive();
   state_ = State::kResponding;
-  // How long the answer takes is the user's matter.
+  // The handler decides how long the response may take.
   deadline_.clear();
   if (buffer_.size() == 0) buffer_.shrink_to_fit();
   HttpRequest request{std::string{message.method_string()}, std::string{message.target()},
@@ -231,7 +231,8 @@
     if (!writeActive_ && pending_.empty()) linger();
     return;
   }
-  // Posted, so that a pipelined request is not handled inside the previous one's answer.
+  // Posted, so that a pipelined request is not handled within the call that ended the previous
+  // response.
   asio::post(socket_.get_executor(), [self = shared_from_this()] {
     if (self->state_ != State::kResponding) return;
     self->state_ = State::kReading;
@@ -258,7 +259,7 @@
 void Connection::closeIfIdle() {
   const bool between = state_ == State::kReading && !parser_->got_some();
   if (!between || bufferedBytes() > 0 || buffer_.size() > 0) return;
-  // The read under way either has bytes already or ends here; onRead decides.
+  // The cancelled read may have received bytes already; onRead then keeps the connection open.
   closingIdle_ = true;
   boost::system::error_code error;
   socket_.cancel(error);
--- a/src/live/http_connection.h
+++ b/src/live/http_connection.h
@@ -1,9 +1,9 @@
 /// \file
-/// One connection of the HTTP server: reads requests, writes answers. Internal to the server.
+/// One connection of the HTTP server: reads requests and writes responses. Internal to the server.
 ///
-/// States: reading a request -> answering -> reading the next one, or lingering: the answer is
-/// written, the rest of an oversized request is thrown away for a bounded time so that the peer can
-/// read the refusal, then the socket is closed.
+/// States: reading a request -> responding -> reading the next request, or lingering. A lingering
+/// connection has written its response and discards the remainder of an oversized request for a
+/// bounded time, so that the peer can read the refusal; then the socket is closed.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -21,19 +21,19 @@
 
 class Connection;
 
-/// What a connection needs from its server. Must outlive the connection.
+/// Interface of the server that a connection uses. Must outlive the connection.
 class ConnectionOwner {
  public:
   virtual ~ConnectionOwner() = default;
   virtual const HttpLimits& limits() const = 0;
   virtual void onRequest(const HttpExchangePtr& exchange) = 0;
   virtual HttpResponse formatRefusal(const base::Reason& reason) const = 0;
-  /// The server is closing: answers carry `Connection: close`.
+  /// Whether the server is closing: responses then have the header `Connection: close`.
   virtual bool closing() const = 0;
   virtual void onClosed(Connection& connection) = 0;
 };
 
-/// The answer side of one request, handed to the server's user.
+/// A request and the interface to respond to it, as passed to the server's handler.
 class Exchange final : public HttpExchange {
  public:
   Exchange(std::shared_ptr<Connection> connection, HttpRequest request, bool chunkedAllowed,
@@ -57,7 +57,7 @@
   void onPressure(std::function<void(bool)> listener) override;
   void onDisconnect(std::function<void()> listener) override;
 
-  /// Called by the connection.
+  // Called by the connection.
   void onPeerDisconnected();
   void onBufferPressure(bool high);
 
@@ -69,12 +69,12 @@
 
   std::shared_ptr<Connection> connection_;
   HttpRequest request_;
-  /// False for HTTP/1.0 peers: the stream's end is the end of the connection.
+  /// False for HTTP/1.0 peers: a stream then ends with the close of the connection.
   bool chunkedAllowed_;
   bool streaming_ = false;
   base::TimePoint startedAt_;
   bool closeAfterResponse_ = false;
-  /// Bytes of the body still due, where its length was announced.
+  /// Bytes of the body still to be written, if its length was announced.
   std::optional<std::uint64_t> remainingBytes_;
   std::function<void(bool)> pressureListener_;
   std::function<void()> disconnectListener_;
@@ -87,18 +87,20 @@
   Connection(Socket socket, ConnectionOwner& owner);
 
   void start();
-  /// Closes at once; the exchange, if any, is told.
+  /// Closes the socket at once and notifies the exchange, if there is one.
   void close();
   bool responding() const { return state_ == State::kResponding; }
-  /// Closes the connection unless a byte of a request has come or an answer is not taken yet.
+  /// Closes the connection unless a byte of a request was received or a response is not yet fully
+  /// written to the socket.
   void closeIfIdle();
   base::Endpoint peer() const { return peer_; }
 
-  // The exchange's side.
+  // Called by the exchange.
   void send(std::string bytes);
   std::size_t bufferedBytes() const { return writing_.size() - written_ + pending_.size(); }
   bool keepAlive() const { return keepAlive_ && !owner_.closing(); }
-  /// The answer is complete: go on with the next request, or close once all is written.
+  /// The response is complete: continues with the next request if `reusable`, otherwise closes the
+  /// connection once all bytes are written.
   void onResponseComplete(bool reusable);
 
  private:
--- a/src/live/http_engine_client.cc
+++ b/src/live/http_engine_client.cc
@@ -22,8 +22,8 @@
                                               : base::ResultCode::kBackEndLost;
 }
 
-/// One stream. Chunks that arrive while it is paused wait in a queue, which is bounded by one read
-/// of the connection.
+/// One stream. Chunks received while it is paused are queued; the queue holds at most the chunks
+/// of one read from the connection.
 class StreamState final : public HttpCallHandler, public std::enable_shared_from_this<StreamState> {
  public:
   StreamState(base::TimerService& timers, clients::EngineStreamHandler& handler)
@@ -85,7 +85,8 @@
   }
 
  private:
-  /// The connection has nothing more; `error` counts unless the terminal marker is here.
+  /// Called when no more bytes follow on the connection. `error` is reported unless the terminal
+  /// marker was received.
   void finish(DispatchError error) {
     error_ = std::move(error);
     deliver();
@@ -101,7 +102,8 @@
       handler_->onChunk(std::move(taken));
     }
     if (handler_ == nullptr || paused_) return;
-    // The end waits for the whole answer, so that the connection can be kept.
+    // The end of the stream is delivered only after the whole response, so that the connection can
+    // be kept.
     if (!error_) return;
     auto* handler = std::exchange(handler_, nullptr);
     if (events_.empty()) {
--- a/src/live/http_engine_client.h
+++ b/src/live/http_engine_client.h
@@ -12,7 +12,7 @@
 namespace covewing::live {
 
 struct EngineClientTimeouts {
-  /// A stream fails when nothing arrives for this long while it is not paused.
+  /// A stream that is not paused fails if nothing is received for this long.
   base::Duration streamInactivityTimeout = std::chrono::seconds(60);
   base::Duration report = std::chrono::seconds(2);
   base::Duration order = std::chrono::seconds(10);
--- a/src/live/http_exchange.cc
+++ b/src/live/http_exchange.cc
@@ -1,4 +1,4 @@
-// The answer side of a request: message heads and chunks by Beast, queued on the connection.
+// Responses: header sections and chunks are formatted by Beast and queued on the connection.
 #include <boost/beast/http/chunk_encode.hpp>
 
 #include "live/http_client.h"
@@ -12,7 +12,8 @@
 namespace beast = boost::beast;
 namespace http = boost::beast::http;
 
-/// Head of an answer to `request`; echoes the request's identifier unless the headers hold one.
+/// Status line and headers of a response to `request`. The identifier of the request is echoed
+/// unless `headers` contains one.
 http::response<http::empty_body> responseHead(const HttpRequest& request, unsigned status,
                                               const std::vector<HeaderField>& headers, bool http11,
                                               bool keepAlive) {
@@ -141,7 +142,7 @@
 }
 
 void Exchange::onBufferPressure(bool high) {
-  // A copy: the listener may finish the exchange.
+  // Copied, because the listener may finish the exchange.
   const auto listener = pressureListener_;
   if (listener) listener(high);
 }
--- a/src/live/http_head.h
+++ b/src/live/http_head.h
@@ -1,5 +1,5 @@
 /// \file
-/// Header sections of HTTP messages as text, written by Beast. Internal to server and client.
+/// Serializes header sections of HTTP messages with Beast. Internal to the HTTP server and client.
 #pragma once
 
 #include <boost/beast/core/buffers_to_string.hpp>
@@ -17,7 +17,7 @@
 inline constexpr unsigned kHttp10 = 10;
 inline constexpr unsigned kHttp11 = 11;
 
-/// Text of a message's header section, the empty line included.
+/// Text of the header section of a message, including the empty line at its end.
 template <bool isRequest>
 std::string headText(boost::beast::http::message<isRequest, boost::beast::http::empty_body>& head) {
   boost::beast::http::serializer<isRequest, boost::beast::http::empty_body> serializer(head);
--- a/src/live/http_message.h
+++ b/src/live/http_message.h
@@ -13,31 +13,31 @@
 
 using clients::HeaderField;
 
-/// Value of the first header with this name (compared without case); empty when there is none.
+/// Value of the first header with this name (compared case-insensitively); empty if there is none.
 std::string_view findHeader(const std::vector<HeaderField>& headers, std::string_view name);
 
-/// Names compared as HTTP compares header names: ASCII letters without case.
+/// Whether two header names are equal by the rules of HTTP: ASCII letters case-insensitively.
 bool equalHeaderNames(std::string_view left, std::string_view right);
 
 /// A whole request.
 struct HttpRequest {
   std::string method;
-  /// Path and query as sent.
+  /// Path and query as received or to be sent, still encoded.
   std::string target;
   std::vector<HeaderField> headers;
   std::string body;
 
   std::string_view header(std::string_view name) const { return findHeader(headers, name); }
-  /// The target without its query.
+  /// Path of the target, without the query.
   std::string_view path() const;
-  /// The query without its question mark; empty when there is none.
+  /// Query of the target without the question mark; empty if there is none.
   std::string_view query() const;
 };
 
-/// The still encoded value of `key` in a query such as "a=1&b=2"; empty when absent.
+/// Value, still encoded, of `key` in a query such as "a=1&b=2"; empty if `key` is absent.
 std::string_view findQueryValue(std::string_view query, std::string_view key);
 
-/// A whole response. The server adds Content-Length and Connection itself.
+/// A whole response. The server adds the headers Content-Length and Connection.
 struct HttpResponse {
   unsigned status = 200;
   std::vector<HeaderField> headers;
@@ -49,7 +49,7 @@
 /// A response with `Content-Type: application/json`.
 HttpResponse jsonResponse(unsigned status, std::string body);
 
-/// Token of an `Authorization: Bearer TOKEN` header; empty when there is none.
+/// Token of an `Authorization: Bearer TOKEN` header; empty if there is none.
 std::string_view bearerToken(const HttpRequest& request);
 
 }  // namespace covewing::live
--- a/src/live/http_platform_clients.cc
+++ b/src/live/http_platform_clients.cc
@@ -20,7 +20,7 @@
 constexpr unsigned kConflict = 409;
 constexpr unsigned kTooManyRequests = 429;
 
-/// Whether the service says that it did nothing.
+/// Whether the response states that the service did not execute the request.
 bool reportsNotRun(const HttpResponse& response) {
   return errorFromJson(response.body, base::ResultCode::kPlatformUnavailable).failure ==
          DispatchFailure::kRefusedNotRun;
--- a/src/live/http_platform_clients.h
+++ b/src/live/http_platform_clients.h
@@ -13,7 +13,7 @@
 
 namespace covewing::live {
 
-/// One platform service: where it is and how long an answer may take.
+/// Sends requests to one platform service; each call fails after `timeout`.
 class PlatformService {
  public:
   PlatformService(HttpClient& client, const base::Endpoint& endpoint, base::Duration timeout)
--- a/src/live/http_server.cc
+++ b/src/live/http_server.cc
@@ -32,7 +32,8 @@
 struct Listener {
   explicit Listener(asio::io_context& context) : acceptor(context), retryTimer(context) {}
   tcp::acceptor acceptor;
-  /// By the steady clock: a suspension makes the next try late by no more than its pause.
+  /// Uses the steady clock: a suspension of the machine delays the next attempt by no more than
+  /// kAcceptRetryDelay.
   asio::steady_timer retryTimer;
 };
 
@@ -58,7 +59,7 @@
   void accept(const std::shared_ptr<Listener>& listener) {
     listener->acceptor.async_accept(
         [self = shared_from_this(), listener](boost::system::error_code error, tcp::socket socket) {
-          // One that was accepted just before the stop is served like those that waited.
+          // A connection accepted just before the stop is served like those from the queue.
           if (!error && !self->closed) self->addConnection(std::move(socket));
           if (self->stopping) return;
           if (error) {
@@ -84,8 +85,8 @@
     connection->start();
   }
 
-  /// Takes in the connections that wait in the listener's queue: closing it would reset them, with
-  /// requests that may have been sent already.
+  /// Accepts the connections in the listener's queue: closing the listener would reset them, and
+  /// requests may already have been sent on them.
   void acceptPending(Listener& listener) {
     boost::system::error_code error;
     listener.acceptor.non_blocking(true, error);
--- a/src/live/http_server.h
+++ b/src/live/http_server.h
@@ -1,6 +1,7 @@
 /// \file
-/// HTTP/1.1 server for one io_context thread: keep-alive, bounded requests, whole and streamed
-/// answers with back-pressure, and notice of a peer that went away. Knows nothing of nodes.
+/// HTTP/1.1 server for one io_context thread: keep-alive, size limits for requests, whole and
+/// streamed responses with back-pressure, and detection of disconnected peers. Independent of the
+/// node's own types.
 #pragma once
 
 #include <cstddef>
@@ -22,71 +23,75 @@
 
 namespace covewing::live {
 
-/// Bounds of one server. A request over a size limit is answered 431 or 413 as soon as that is
-/// known, without reading the rest.
+/// Limits of one server. A request over a size limit is refused with 431 or 413 as soon as this is
+/// detected, without reading the remainder.
 struct HttpLimits {
   std::size_t headerBytes = 16U << 10U;
   std::size_t bodyBytes = 8U << 20U;
-  /// Bytes of an answer buffered before its producer is told to pause.
+  /// Buffered bytes of a response above which its producer is notified to pause.
   std::size_t responseBufferBytes = 64U << 10U;
-  /// Open connections; further ones are closed at once.
+  /// Maximum number of open connections; further ones are closed at once.
   std::size_t connections = 20'000;
-  /// Longest time from the first byte of a request to the end of its header section.
+  /// Maximum time from the first byte of a request to the end of its header section.
   base::Duration headerTimeout = std::chrono::seconds(30);
-  /// Longest time from the end of the header section to the last byte of the request.
+  /// Maximum time from the end of the header section to the last byte of the request.
   base::Duration requestTimeout = std::chrono::seconds(30);
-  /// Longest time that a connection stays open between requests.
+  /// Maximum time that a connection stays open between requests.
   base::Duration idleTimeout = std::chrono::seconds(75);
-  /// Longest time that a peer may leave an answer unread without taking a byte of it.
+  /// Maximum time for which a peer may accept no byte of a response that is being written.
   base::Duration stallTimeout = std::chrono::seconds(60);
 };
 
-/// One request and its answer. The answer is either one `respond`, or `beginStream`, any number of
-/// `write` and `end`. Calls after the answer is finished or the peer is gone do nothing. Destroying
-/// the last reference before the answer is finished closes the connection, so that the peer sees an
-/// incomplete answer. An `X-Request-Id` of the request is echoed unless the answer's headers hold
-/// one. Everything runs on the io_context's thread.
+/// One request and its response. A response is made either by one call of `respond`, or by
+/// `beginStream`, any number of calls of `write`, and `end`. Calls made after the response is
+/// finished or the peer has disconnected do nothing. Destroying the last reference before the
+/// response is finished closes the connection, so that the peer sees an incomplete response. The
+/// request's `X-Request-Id` header, if any, is echoed unless the response's headers contain one.
+/// All calls and callbacks are made on the io_context's thread.
 class HttpExchange {
  public:
   virtual ~HttpExchange() = default;
 
   virtual const HttpRequest& request() const = 0;
-  /// Takes the body out of the request without a copy.
+  /// Moves the body out of the request.
   virtual std::string takeBody() = 0;
   virtual base::Endpoint peer() const = 0;
-  /// When the request's first byte was read, by the boot-time clock.
+  /// Time at which the request's first byte was read, by the boot-time clock.
   virtual base::TimePoint startedAt() const = 0;
-  /// The answer announces that the connection closes after it, and it does.
+  /// Closes the connection after the response, which announces this with `Connection: close`.
   virtual void closeAfterResponse() = 0;
 
   virtual void respond(HttpResponse response) = 0;
 
-  /// Starts an answer in pieces: chunked, or of `length` bytes where that is given. An answer that
-  /// is ended short of its length closes the connection.
+  /// Starts a streamed response: chunked, or with a body of `length` bytes if that is given. If the
+  /// response is ended before `length` bytes were written, the connection is closed.
   virtual void beginStream(unsigned status, const std::vector<HeaderField>& headers,
                            std::optional<std::uint64_t> length = std::nullopt) = 0;
   virtual void write(std::string_view bytes) = 0;
-  /// Ends the answer in pieces as complete.
+  /// Ends a streamed response as complete.
   virtual void end() = 0;
-  /// Closes the connection at once, so that the peer sees an incomplete answer.
+  /// Closes the connection at once, so that the peer sees an incomplete response.
   virtual void abort() = 0;
 
-  /// Bytes written but not yet taken by the operating system.
+  /// Bytes written to the exchange but not yet accepted by the operating system.
   virtual std::size_t bufferedBytes() const = 0;
-  /// `listener(true)` when more than `responseBufferBytes` are buffered, `listener(false)` when
-  /// less than half of it is left. Never called from inside `write`.
+  /// Sets the back-pressure listener: it is called with true when more than `responseBufferBytes`
+  /// are buffered, and with false once at most half of that is left. Never called from within
+  /// `write`.
   virtual void onPressure(std::function<void(bool)> listener) = 0;
-  /// Called once when the peer closed or broke the connection before the answer was finished.
+  /// Sets the listener that is called once if the peer closes the connection, or it breaks, before
+  /// the response is finished.
   virtual void onDisconnect(std::function<void()> listener) = 0;
 };
 
 using HttpExchangePtr = std::shared_ptr<HttpExchange>;
-/// Called once for each whole request. It may answer at once or keep the exchange for later.
+/// Called once for each complete request. It may respond at once or keep the exchange and respond
+/// later.
 using HttpHandler = std::function<void(const HttpExchangePtr&)>;
-/// Writes the answer to a request that the server itself refuses (too large, malformed).
+/// Formats the response to a request that the server itself refuses (too large, malformed).
 using HttpRefusalFormatter = std::function<HttpResponse(const base::Reason&)>;
 
-/// A server with any number of listeners. Destroying it closes everything.
+/// A server with any number of listeners. Destroying it closes all listeners and connections.
 class HttpServer {
  public:
   HttpServer(boost::asio::io_context& context, HttpLimits limits, HttpHandler handler);
@@ -94,26 +99,28 @@
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
 
-  /// Replaces the default body of the server's own refusals.
+  /// Replaces the formatter of the server's own refusals.
   void setRefusalFormatter(HttpRefusalFormatter formatter);
-  /// Binds and accepts; port 0 takes a free one. Gives the bound endpoint, or `reason`.
+  /// Binds to the endpoint and starts accepting connections; port 0 selects a free port. Returns
+  /// the bound endpoint; if that fails, returns nothing and sets `reason`.
   std::optional<base::Endpoint> listen(const base::Endpoint& endpoint, base::Reason& reason);
-  /// Closes the listeners. Open connections go on, but each closes after its next answer.
+  /// Closes the listeners. Open connections remain, but each is closed after its next response.
   void stopAccepting();
-  /// Replaces the bounds; open connections keep to them from their next wait on.
+  /// Replaces the limits; open connections apply them from their next wait on.
   void setLimits(const HttpLimits& limits);
-  /// From now on each answer announces that its connection closes; new ones are still accepted.
+  /// From now on each response announces that its connection closes; new connections are still
+  /// accepted.
   void announceClose();
-  /// Closes connections that are between requests, now, and goes on accepting.
+  /// Closes the connections that are between requests at once; continues to accept new ones.
   void closeIdleConnections();
-  /// Stops accepting and closes connections that are between requests, now; the others close after
-  /// their answer.
+  /// Stops accepting and closes the connections that are between requests at once; the others are
+  /// closed after their responses.
   void stopAcceptingAndCloseIdle();
-  /// Closes every connection, finished or not.
+  /// Closes the listeners and all connections at once, including those with unfinished responses.
   void close();
 
   std::size_t openConnections() const;
-  /// Exchanges whose answer is not finished.
+  /// Number of exchanges whose response is not finished.
   std::size_t openExchanges() const;
 
  private:
--- a/src/live/lazy_deadline.h
+++ b/src/live/lazy_deadline.h
@@ -1,6 +1,7 @@
 /// \file
-/// A deadline that is moved often and expires rarely, such as a connection's: moving it later costs
-/// no timer operation. It counts the time that the machine is suspended (live/boot_clock.h).
+/// A deadline that is moved often and expires rarely, such as that of a connection: moving it to a
+/// later time needs no timer operation. Time for which the machine is suspended counts
+/// (live/boot_clock.h).
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -13,13 +14,13 @@
 
 class LazyDeadline {
  public:
-  /// `expired` runs when a deadline passes; not after this object is destroyed.
+  /// `expired` is called when a deadline expires, but not after this object is destroyed.
   LazyDeadline(const boost::asio::any_io_executor& executor, std::function<void()> expired);
   ~LazyDeadline();
   LazyDeadline(const LazyDeadline&) = delete;
   LazyDeadline& operator=(const LazyDeadline&) = delete;
 
-  /// Replaces the deadline by one `delay` from now.
+  /// Replaces the deadline with one that expires `delay` from now.
   void set(base::Duration delay);
   /// Removes the deadline.
   void clear();
--- a/src/live/relay_daemon.cc
+++ b/src/live/relay_daemon.cc
@@ -39,15 +39,16 @@
 
 constexpr unsigned kOk = 200;
 constexpr unsigned kServiceUnavailable = 503;
-/// After this a node that is asked for its readiness every second has been asked twice.
+/// Time from the start of draining until new requests are refused: by then, a client that polls
+/// the readiness every second has polled it twice.
 constexpr base::Duration kDrainNoticeTime = std::chrono::milliseconds(2600);
-/// Kept free at the end of the grace.
+/// The node stops this long before the end of the grace period.
 constexpr base::Duration kGraceMargin = std::chrono::milliseconds(350);
 constexpr base::Duration kDrainInterval = std::chrono::milliseconds(50);
-/// Nodes, about, that write the date of a version in the end where nobody did: enough for one of
-/// them to reach the table service where it turns most nodes away.
+/// Approximate number of nodes that write the announcement time of a version in the last check, if
+/// no node has written it: enough that one of them reaches a table service that refuses most nodes.
 constexpr std::size_t kFallbackAnnouncementWriters = 8;
-/// How often the sums of what was sent to other nodes are logged: a few lines each time.
+/// Interval at which the totals of the traffic to other nodes are logged, a few lines each time.
 constexpr base::Duration kTrafficReportInterval = std::chrono::seconds(10);
 }  // namespace
 
@@ -153,7 +154,7 @@
     });
   }
 
-  /// What a replica says of itself in an answer to an order or a report.
+  /// Records notices that a replica included in its reply to an order or a request for a report.
   void recordNotices(routing::ReplicaRecord& replica, const clients::WeightsCallNotices& notices) {
     const routing::NoticeSource source{notices.call, notices.status, {}};
     if (notices.leaving) routing::recordLeaving(replica, log, source);
@@ -186,7 +187,7 @@
     callerServer.setLimits(http);
   }
 
-  /// Tells the home of a long part who holds it.
+  /// Notifies the home node of a long prompt part when a holder gains or loses it.
   void onCacheChange(const routing::CacheChange& change) {
     const auto minimumTokens = request::RelayOptions{}.minimumLookupTokens;
     const bool before = change.previousTokens >= minimumTokens;
@@ -218,8 +219,9 @@
     return requestDurations.replicasForLongRuns(name, slots, nodes(), clock.now());
   }
 
-  /// Replicas that the work of all nodes fills, by slots or memory: as told by the others where
-  /// they are heard, else this node's own for each of them.
+  /// Number of replicas that the load of all nodes fills, by slots or cache memory. Uses the load
+  /// reports of the other nodes if more than half of all nodes report, counting this one; otherwise
+  /// this node's own load times the number of nodes.
   double replicasInUse(const std::string& name) {
     const auto table = configuration.table();
     const auto* found = table ? table->findService(name) : nullptr;
@@ -232,8 +234,8 @@
     }
     const auto count = nodes();
     const bool loadReported = 2 * (fleetLoad.reportingNodes(clock.now()) + 1) > count;
-    const auto inUse = [&](double ownWork, double othersWork, double each) {
-      return (loadReported ? ownWork + othersWork : ownWork * static_cast<double>(count)) /
+    const auto inUse = [&](double nodeLoad, double othersLoad, double each) {
+      return (loadReported ? nodeLoad + othersLoad : nodeLoad * static_cast<double>(count)) /
              std::max(1.0, each);
     };
     return std::max(inUse(own.requests, others.requests, found->engine->slots),
@@ -280,7 +282,8 @@
     return true;
   }
 
-  /// Everything that may be decided by what the node knew before a pause looks for one first.
+  /// Checks for a pause of the process first: decisions must not be based on state from before a
+  /// pause.
   void onCallerRequest(const HttpExchangePtr& exchange) {
     pauseDetector.check();
     if (!wakeGate.closed()) return gateway.handle(exchange);
@@ -291,14 +294,16 @@
     });
   }
 
-  /// What has lapsed meanwhile lapses by the clock; what others have changed is asked for.
+  /// Called after a pause of the process. Leases and deadlines that passed during it have expired
+  /// by the clock; changes made by others are fetched.
   void onWake(base::Duration pause) {
     const auto suspendedNow = suspendedTime();
     const auto suspended = suspendedNow - std::exchange(suspendedBefore, suspendedNow);
     metrics.onPause(pause);
-    // Before anything is decided: what had to begin meanwhile is taken back.
+    // First, before any decision: requests whose latest start passed during the pause are
+    // withdrawn.
     service.onWeightsChanged();
-    // Peers may have given these up while nothing answered here.
+    // Replicas may have closed these connections while this machine was suspended.
     if (suspended > node::PauseDetector::kPauseThreshold) replicaHttp.closeIdle();
     membership.onWake();
     configurationWatch.onWake();
@@ -306,7 +311,8 @@
     wakeGate.onWake(pause, suspended);
   }
 
-  /// What was known of the table service's former era is read, proved and written anew.
+  /// Called when the table service was restored from an older backup: state read from or written to
+  /// it in its former era is read, confirmed and written again.
   void onStoreReturned() {
     configurationWatch.onStoreReturned();
     replicaWatch.onStoreReturned();
@@ -315,11 +321,11 @@
     coordinator.onStoreReturned();
   }
 
-  /// The configuration was read, or proved current.
+  /// Called when the configuration has been read or confirmed as current.
   void onConfigurationCurrent() {
     configurationGossip.onFeedCurrent();
     const auto era = storeEras.current();
-    // Before that the service's clock of the new era is not known.
+    // These parts need the table service's clock, which for a new era is known only from now on.
     if (std::exchange(rowsWrittenEra, era) == era) return;
     announcementTimeResolver.onStoreReturned();
     quarantine.onStoreReturned();
@@ -427,7 +433,8 @@
   membership::GossipMembership membership;
   PeerTraffic traffic;
   node::NodeCount nodes;
-  /// What nodes take as their part of the slack must not grow while they are cut from each other.
+  /// Counts nodes for the shares of the retry slack, which must not grow while nodes are
+  /// partitioned from each other.
   node::NodeCount retryNodes;
   routing::WeightsTargets weightsTargets;
   routing::ReplicaDirectory replicas;
@@ -468,7 +475,7 @@
   HttpServer callerServer;
   HttpServer readinessServer;
   HttpServer metricsServer;
-  /// The era in which this node has seen to it that rows of its own are there.
+  /// Era of the table service for which this node has last ensured that its own rows exist.
   base::StoreEra rowsWrittenEra = 0;
   base::TimerId trafficTimer = 0;
   bool draining = false;
--- a/src/live/relay_daemon.h
+++ b/src/live/relay_daemon.h
@@ -1,10 +1,10 @@
 /// \file
-/// A relaying node as a process: listeners, feeds, membership, the relay of requests, and the
-/// planned stop.
+/// The process of a relaying node: listeners, table feeds, membership, the relay of requests, and
+/// the planned stop.
 ///
-/// States: starting -> serving (ready while the configuration is known and confirmed and the list
-/// of replicas is known) -> draining (not ready; answers close their connections; streams finish
-/// within the grace) -> stopped.
+/// States: starting -> serving (ready while the configuration is loaded and confirmed and the list
+/// of replicas is loaded) -> draining (not ready; connections are closed after their responses;
+/// streams finish within the grace period) -> stopped.
 #pragma once
 
 #include <functional>
@@ -27,8 +27,8 @@
 
 namespace covewing::live {
 
-/// What a deployment brings: names and formats of its clients, replicas and services. All must
-/// outlive the daemon.
+/// Parts that are specific to a deployment: names and formats used by its callers, replicas and
+/// services. All references must outlive the daemon.
 struct RelayDeployment {
   const RelayDialect& dialect;
   const node::ConfigurationRowReader& configurationRows;
@@ -37,7 +37,7 @@
   clients::TableClient& table;
   clients::WeightsClient& weights;
   clients::CacheFeedClient& cacheFeeds;
-  /// Names of the tables that are watched.
+  /// Names of the watched tables of the table service.
   std::string configurationTable;
   std::string replicaTable;
 };
@@ -50,9 +50,10 @@
   RelayDaemon(const RelayDaemon&) = delete;
   RelayDaemon& operator=(const RelayDaemon&) = delete;
 
-  /// Opens the listeners and begins; false with the reason.
+  /// Opens the listeners and starts all parts; on failure returns false and sets `reason`.
   bool start(base::Reason& reason);
-  /// Planned stop; `done` is called once when everything is finished or the grace is over.
+  /// Begins the planned stop. `done` is called once, when all requests have finished or the grace
+  /// period is over.
   void drain(std::function<void()> done);
 
  private:
--- a/src/live/relay_dialect.cc
+++ b/src/live/relay_dialect.cc
@@ -24,7 +24,7 @@
   return text.substr(first, text.find_last_not_of(" \t") - first + 1);
 }
 
-/// True when the list of names separated by commas holds the name.
+/// Whether the comma-separated list contains the header name.
 bool listContains(std::string_view list, std::string_view name) {
   while (!list.empty()) {
     const auto comma = list.find(',');
--- a/src/live/relay_dialect.h
+++ b/src/live/relay_dialect.h
@@ -1,6 +1,6 @@
 /// \file
-/// The names and formats in which callers and replicas speak HTTP with a node that relays their
-/// requests. An implementation translates and decides nothing.
+/// The header names and formats of HTTP messages between callers, a relaying node and replicas. An
+/// implementation only translates; it makes no decisions.
 #pragma once
 
 #include <optional>
@@ -15,26 +15,27 @@
  public:
   virtual ~RelayDialect() = default;
 
-  /// Header that names a request, in requests and in answers.
+  /// Header with the identifier of a request, in requests and in responses.
   virtual std::string_view requestIdHeader() const = 0;
-  /// Reads a caller's request; empty with the reason when it is malformed. `body` is moved in.
+  /// Parses a caller's request; if it is malformed, returns nothing and sets `reason`. `body` is
+  /// the request's body, passed separately so that it can be moved.
   virtual std::optional<request::IncomingRequest> readRequest(const HttpRequest& request,
                                                               std::string body,
                                                               base::TimePoint arrivedAt,
                                                               base::Reason& reason) const = 0;
-  /// The node's own final answer to a request.
+  /// Formats the response to a request that the node itself refuses.
   virtual HttpResponse refusal(const request::RelayRefusal& refusal,
                                std::string_view requestId) const = 0;
-  /// The request as it goes to a replica.
+  /// Formats the request that is sent to a replica.
   virtual HttpRequest dispatch(const clients::RelayedRequest& request,
                                const clients::DispatchTerms& terms) const = 0;
-  /// What the head of a replica's answer says.
+  /// Parses the status and headers of a replica's response.
   virtual clients::RelayedAnswer readAnswer(const HttpResponse& head,
                                             const clients::DispatchTerms& terms) const = 0;
 };
 
-/// Removes the headers that concern one connection only, as HTTP defines them, and those that the
-/// `Connection` header names.
+/// Removes the headers that by the rules of HTTP apply to a single connection, and those listed in
+/// the `Connection` header.
 std::vector<HeaderField> withoutConnectionHeaders(const std::vector<HeaderField>& headers);
 
 }  // namespace covewing::live
--- a/src/live/relay_gateway.h
+++ b/src/live/relay_gateway.h
@@ -1,6 +1,6 @@
 /// \file
-/// The callers' side of relayed requests: reads them in the dialect of a deployment, hands them to
-/// the relay service, and writes its answers.
+/// Entry point for callers of relayed requests: parses them in the dialect of a deployment, passes
+/// them to the relay service, and writes its responses.
 #pragma once
 
 #include "base/event_log.h"
@@ -16,7 +16,7 @@
   RelayGateway(request::RelayService& service, const RelayDialect& dialect, base::EventLog& log)
       : service_(service), dialect_(dialect), log_(log) {}
 
-  /// Handles one request of the callers' server.
+  /// Handles one request received by the callers' HTTP server.
   void handle(const HttpExchangePtr& exchange);
 
  private:
--- a/src/live/relay_metrics.cc
+++ b/src/live/relay_metrics.cc
@@ -84,7 +84,7 @@
 const prometheus::Histogram::BucketBoundaries kSecondsBuckets = {0.01, 0.025, 0.05, 0.1, 0.25, 0.5,
                                                                  0.8,  1,     2.5,  5,   10,   30};
 
-/// Priorities beyond the least urgent one that replicas know count as that one.
+/// Priorities less urgent than the least urgent one known to replicas are counted as that one.
 std::string priorityLabel(std::optional<std::uint32_t> priority) {
   constexpr std::uint32_t kLeastUrgent = 9;
   return priority ? std::to_string(std::min(*priority, kLeastUrgent)) : "none";
@@ -187,11 +187,11 @@
 }
 
 void RelayMetrics::Impl::renderQueues(const routing::PlacementCounters& placement) {
-  const auto raiseTo = [](prometheus::Counter& counter, double total) {
+  const auto raise = [](prometheus::Counter& counter, double total) {
     counter.Increment(total - counter.Value());
   };
   const auto event = [&](const char* name, std::uint64_t total) {
-    raiseTo(queueEvents.Add({{"event", name}}), static_cast<double>(total));
+    raise(queueEvents.Add({{"event", name}}), static_cast<double>(total));
   };
   queueLength.Set(static_cast<double>(placement.queuedHere));
   const auto& home = placement.home;
@@ -204,8 +204,8 @@
   for (std::size_t urgency = 0; urgency < home.waits.size(); ++urgency) {
     const Labels labels{{"urgency", std::to_string(urgency)}};
     const auto& waits = home.waits.at(urgency);
-    raiseTo(queueWaits.Add(labels), static_cast<double>(waits.count));
-    raiseTo(queueWaitSeconds.Add(labels), base::toSeconds(waits.total));
+    raise(queueWaits.Add(labels), static_cast<double>(waits.count));
+    raise(queueWaitSeconds.Add(labels), base::toSeconds(waits.total));
   }
 }
 
@@ -228,32 +228,31 @@
   set(impl_->replicas.Add({{"state", "limited"}}), snapshot.replicasRateLimited);
   set(impl_->replicas.Add({{"state", "ejected"}}), snapshot.replicasEjected);
   set(impl_->replicas.Add({{"state", "changing"}}), snapshot.replicasChanging);
-  const auto raiseTo = [](prometheus::Counter& counter, std::uint64_t total) {
+  const auto raise = [](prometheus::Counter& counter, std::uint64_t total) {
     counter.Increment(static_cast<double>(total) - counter.Value());
   };
   const auto& placement = snapshot.placement;
-  raiseTo(impl_->placementQueries.Add({{"outcome", "asked"}}), placement.queries);
-  raiseTo(impl_->placementQueries.Add({{"outcome", "granted"}}), placement.granted);
-  raiseTo(impl_->placementQueries.Add({{"outcome", "declined"}}), placement.declined);
-  raiseTo(impl_->placementQueries.Add({{"outcome", "timeout"}}), placement.timeouts);
-  raiseTo(impl_->placementQueries.Add({{"outcome", "queued"}}), placement.queued);
-  raiseTo(impl_->placementQueries.Add({{"outcome", "refused"}}), placement.refused);
-  raiseTo(impl_->placementQueries.Add({{"outcome", "promise_missed"}}),
-          placement.queueUpdatesMissed);
-  raiseTo(impl_->placementQueries.Add({{"outcome", "rate_limited"}}), placement.home.rateLimited);
+  raise(impl_->placementQueries.Add({{"outcome", "asked"}}), placement.queries);
+  raise(impl_->placementQueries.Add({{"outcome", "granted"}}), placement.granted);
+  raise(impl_->placementQueries.Add({{"outcome", "declined"}}), placement.declined);
+  raise(impl_->placementQueries.Add({{"outcome", "timeout"}}), placement.timeouts);
+  raise(impl_->placementQueries.Add({{"outcome", "queued"}}), placement.queued);
+  raise(impl_->placementQueries.Add({{"outcome", "refused"}}), placement.refused);
+  raise(impl_->placementQueries.Add({{"outcome", "promise_missed"}}), placement.queueUpdatesMissed);
+  raise(impl_->placementQueries.Add({{"outcome", "rate_limited"}}), placement.home.rateLimited);
   impl_->renderQueues(placement);
   const auto& quotas = snapshot.quotas;
-  raiseTo(impl_->quotaMessages.Add({{"kind", "question"}}), quotas.leaseRequests);
-  raiseTo(impl_->quotaMessages.Add({{"kind", "answer"}}), quotas.replies);
-  raiseTo(impl_->quotaMessages.Add({{"kind", "correction"}}), quotas.corrections);
-  raiseTo(impl_->quotaMessages.Add({{"kind", "silent_home"}}), quotas.unresponsiveHomes);
-  raiseTo(impl_->quotaMessages.Add({{"kind", "own_share"}}), quotas.localGrants);
+  raise(impl_->quotaMessages.Add({{"kind", "question"}}), quotas.leaseRequests);
+  raise(impl_->quotaMessages.Add({{"kind", "answer"}}), quotas.replies);
+  raise(impl_->quotaMessages.Add({{"kind", "correction"}}), quotas.corrections);
+  raise(impl_->quotaMessages.Add({{"kind", "silent_home"}}), quotas.unresponsiveHomes);
+  raise(impl_->quotaMessages.Add({{"kind", "own_share"}}), quotas.localGrants);
   for (std::size_t number = 1; number < kChannelArraySize; ++number) {
     const auto& traffic = snapshot.traffic.at(number);
     const std::string channel{channelName(static_cast<base::Channel>(number))};
-    raiseTo(impl_->peerBytes.Add({{"channel", channel}, {"zone", "own"}}), traffic.bytesInZone);
-    raiseTo(impl_->peerBytes.Add({{"channel", channel}, {"zone", "other"}}),
-            traffic.bytesToOtherZones);
+    raise(impl_->peerBytes.Add({{"channel", channel}, {"zone", "own"}}), traffic.bytesInZone);
+    raise(impl_->peerBytes.Add({{"channel", channel}, {"zone", "other"}}),
+          traffic.bytesToOtherZones);
   }
   impl_->age.Set(snapshot.configurationAge ? base::toSeconds(*snapshot.configurationAge) : -1);
   impl_->resident.Set(residentBytes());
--- a/src/live/relay_metrics.h
+++ b/src/live/relay_metrics.h
@@ -1,5 +1,5 @@
 /// \file
-/// Metrics of a relaying node, in Prometheus' text form. docs/RELAY.md holds the same table.
+/// Metrics of a relaying node, in the text format of Prometheus. docs/RELAY.md has the same table.
 #pragma once
 
 #include <array>
@@ -19,7 +19,7 @@
 
 namespace covewing::live {
 
-/// All metrics of a relaying node, ascending by name.
+/// All metrics of a relaying node, sorted by name.
 std::span<const MetricEntry> relayMetricTable();
 
 class RelayMetrics {
@@ -33,24 +33,24 @@
   void onEvent(base::Event event);
   void onPause(base::Duration duration);
 
-  /// State that is read when metrics are asked for.
+  /// State that is sampled when metrics are requested.
   struct Snapshot {
     bool ready = false;
     bool leaseHeld = false;
     std::uint64_t configurationVersion = 0;
-    /// Time since the configuration was last confirmed; empty when it never was.
+    /// Time since the configuration was last confirmed as current; empty if it never was.
     std::optional<base::Duration> configurationAge;
     std::size_t members = 0;
     std::size_t openRequests = 0;
     std::size_t callerConnections = 0;
     std::size_t knownParts = 0;
     std::size_t quarantinedRequests = 0;
-    /// Of the table service; 0 where it tells none.
+    /// Era of the table service; 0 if it reports none.
     base::StoreEra storeEra = 0;
     std::size_t replicasAvailable = 0;
     std::size_t replicasDraining = 0;
     std::size_t replicasBackingOff = 0;
-    /// Beside the others: those that name a rate limit.
+    /// Replicas that report a rate limit; they are also counted in one of the other states.
     std::size_t replicasRateLimited = 0;
     std::size_t replicasEjected = 0;
     std::size_t replicasChanging = 0;
--- a/src/live/relay_part_options.cc
+++ b/src/live/relay_part_options.cc
@@ -10,27 +10,32 @@
 
 namespace {
 
-/// Replicas that load weights change their entries in quick succession.
+/// Changes are collected for this long: replicas that load weights change their rows in quick
+/// succession.
 constexpr base::Duration kReplicaListPause = std::chrono::milliseconds(250);
-/// A node that restarts joins within a few milliseconds where a machine that it asks is up; one
-/// that has joined nobody by then reads the table service itself. Longer waits delay the serving.
+/// A restarting node joins within a few milliseconds if one of the machines it contacts is up; a
+/// node that has not joined any other within this time reads the table service itself. A longer
+/// wait delays the time from which the node serves requests.
 constexpr base::Duration kMaximumJoinTime = std::chrono::milliseconds(60);
-/// A third of the tolerance of limits that operators usually state, 10%: a home grants so much more
-/// than what belongs to the nodes that it sees.
+/// A home node grants this fraction more than the share of the nodes that it sees: a third of the
+/// tolerance that operators usually specify for limits, 10%.
 constexpr double kPartialViewTolerance = 0.03;
-/// Shorter than it takes to declare a node dead, so that two homes at once grant little.
+/// Shorter than the time to declare a node dead, so that two nodes acting as home at the same time
+/// grant little.
 constexpr base::Duration kUnresponsiveHomeBackoff = std::chrono::milliseconds(500);
-/// A new home starts with a quarter of a bucket: the former one may have granted a whole one.
+/// A new home node starts with a quarter of a bucket, because the former home may have granted a
+/// whole one already.
 constexpr double kInitialBucketShare = 0.25;
-/// Where a link loses 5% of the packets, a question in a thousand finds its home silent with two
-/// repeats, and one in a hundred with one; then two homes grant at once.
+/// On a link with 5% packet loss, one request in a thousand gets no reply from its home node with
+/// two retries, and one in a hundred with one retry; two homes then grant at the same time.
 constexpr std::uint32_t kQuotaRequestRetries = 2;
-/// A node that restarts with all others sees most of them after some 0.3 s.
+/// A node that restarts together with all others sees most of them after about 0.3 s.
 constexpr base::Duration kJoinPeriod = std::chrono::milliseconds(800);
-/// Nodes assumed by the limits of tenants meanwhile. Each node that has just started takes itself
-/// for the home of all tenants; where there are more nodes than are assumed, they grant more than
-/// the limit together: 72 nodes that assumed 32 let a tenant with 280,000 tokens a second use
-/// 600,000 more than that within 3 s of their start, and with 128 assumed 20,000.
+/// Number of nodes assumed for tenants' limits during kJoinPeriod. Each node that has just started
+/// acts as the home of all tenants; if there are more nodes than assumed, together they grant more
+/// than the limit. 72 nodes that assumed 32 let a tenant with a limit of 280,000 tokens per second
+/// use 600,000 tokens more than that within 3 s of their start; assuming 128, they let it use
+/// 20,000 more.
 constexpr std::size_t kAssumedNodesWhileJoining = 128;
 
 }  // namespace
@@ -61,7 +66,7 @@
   constexpr std::string_view kLeaseName = "weights";
   node::WeightsCoordinatorOptions options;
   options.lease.name = kLeaseName;
-  // The last renewal may be most of an interval older than the holder's last order.
+  // When the holder sends its last order, its last renewal may be almost one interval old.
   options.lease.duration = settings.lease * 6 / 5;
   options.lease.margin = settings.lease / 10;
   options.lease.renewInterval = settings.lease / 4;
@@ -75,7 +80,8 @@
 
 admission::QuotaOptions quotaOptions() {
   admission::QuotaOptions options;
-  // A node sees few requests of a tenant between two asks: what it leases ahead lapses unused.
+  // A node receives few requests of a tenant between two lease requests, so tokens leased in
+  // advance would expire unused.
   options.tokenBatch = {};
   options.requestRetries = kQuotaRequestRetries;
   options.unresponsiveHomeBackoff = kUnresponsiveHomeBackoff;
@@ -88,7 +94,8 @@
 }
 
 node::NodeCountOptions retryNodeCount() {
-  // Nodes that are cut off still send. A fleet that was made smaller has smaller parts for so long.
+  // Unreachable nodes may still send retries, so they are counted for this long. After the fleet
+  // was reduced, shares stay smaller for as long.
   constexpr base::Duration kMemory = std::chrono::minutes(10);
   node::NodeCountOptions options;
   options.memory = kMemory;
--- a/src/live/relay_part_options.h
+++ b/src/live/relay_part_options.h
@@ -1,5 +1,6 @@
 /// \file
-/// Options of the parts of a relaying node, by its settings and by what relaying needs of them.
+/// Options of the parts of a relaying node, derived from its settings and from the requirements of
+/// relaying.
 #pragma once
 
 #include <string>
@@ -20,7 +21,7 @@
 membership::GossipMembershipOptions membershipOptions(const RelaySettings& settings);
 node::WeightsCoordinatorOptions coordinatorOptions(const RelaySettings& settings);
 admission::QuotaOptions quotaOptions();
-/// How the nodes that share the slack of the bound on retries are counted.
+/// Options for counting the nodes among which the slack of the retry bound is divided.
 node::NodeCountOptions retryNodeCount();
 config::SharedFeedOptions feedOptions(const RelaySettings& settings);
 config::TableWatchOptions replicaWatchOptions(const std::string& table);
--- a/src/live/relay_settings.cc
+++ b/src/live/relay_settings.cc
@@ -13,7 +13,7 @@
 constexpr std::string_view kTextRule = "must be a text";
 constexpr std::string_view kNumberRule = "must be a number of 0 or more";
 
-/// Reads one value into the settings; false when it is not allowed.
+/// Stores one value in the settings; returns false if the value is invalid.
 using Apply = bool (*)(RelaySettings&, const toml::node&);
 
 struct Entry {
--- a/src/live/relay_settings.h
+++ b/src/live/relay_settings.h
@@ -1,5 +1,6 @@
 /// \file
-/// Settings of a relaying node: one TOML file, checked whole (docs/SETTINGS.md, "Relaying nodes").
+/// Settings of a relaying node, loaded from one TOML file; all mistakes in it are reported together
+/// (docs/SETTINGS.md, "Relaying nodes").
 #pragma once
 
 #include <cstdint>
@@ -24,45 +25,45 @@
   base::Endpoint readinessEndpoint;
   base::Endpoint peerEndpoint;
   base::Endpoint metricsEndpoint;
-  /// Machines of other nodes; their peer port is this node's own.
+  /// Addresses of other nodes' machines; this node's own peer port is used for all of them.
   std::vector<base::Endpoint> seeds;
   base::Endpoint tableEndpoint;
 
-  /// From SIGTERM until the process is killed.
+  /// Time from SIGTERM until the process is killed.
   base::Duration grace{};
-  /// From the acceptance of a configuration that takes a key away until no request runs under it;
-  /// zero: no bound.
+  /// Maximum time from the acceptance of a configuration that revokes a key until no request is in
+  /// progress under that key; zero: no bound.
   base::Duration revocation{};
   double retryRatio = 0;
   base::Duration retryWindow{};
   double retrySlack = 0;
-  /// How far a tenant's use may go beyond its limit within a window.
+  /// Window for tenants' limits; the next two values bound the use beyond a limit within it.
   base::Duration quotaWindow{};
   double quotaOvershoot = 0;
   double quotaSlack = 0;
-  /// From the acceptance of new weights until no request may begin on older ones.
+  /// Maximum time from the acceptance of new weights until no request may begin on older ones.
   base::Duration weightsInForce{};
-  /// Two nodes may not order within this time of each other.
+  /// Two nodes must not send orders to replicas within this time of each other.
   base::Duration lease{};
-  /// Replicas refuse orders with an older fencing token than they have seen.
+  /// Whether replicas refuse orders with an older fencing token than they have already seen.
   bool fencingEnforced = true;
 
   base::Severity logSeverity = base::Severity::kInfo;
 };
 
-/// One line of the documented table of settings.
+/// One row of the documented table of settings.
 struct RelaySettingEntry {
   std::string_view key;
   bool required = true;
-  /// What is allowed.
+  /// Rule for valid values, as reported for an invalid one.
   std::string_view rule;
   std::string_view meaning;
 };
 
-/// All settings in their order.
+/// All settings in the order of the documentation.
 std::vector<RelaySettingEntry> relaySettingTable();
 
-/// Parses and checks. Empty when `mistakes` is not.
+/// Parses and validates a settings file. Returns nothing if any mistakes are added to `mistakes`.
 std::optional<RelaySettings> loadRelaySettings(const SettingsSource& source,
                                                std::vector<SettingsMistake>& mistakes);
 
--- a/src/live/retry_after.cc
+++ b/src/live/retry_after.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Empty when the text is no span.
+/// Parses a number of seconds; empty if the text is not a valid value.
 std::optional<base::Duration> parseDelay(std::string_view text) {
   constexpr double kMicrosecondsPerSecond = 1'000'000;
   double seconds = 0;
--- a/src/live/retry_after.h
+++ b/src/live/retry_after.h
@@ -1,5 +1,5 @@
 /// \file
-/// The header `Retry-After` of an answer, as a span of time.
+/// Parses the `Retry-After` header of a response.
 #pragma once
 
 #include <chrono>
@@ -13,20 +13,20 @@
 
 inline constexpr std::string_view kRetryAfterHeader = "Retry-After";
 
-/// Longer spans count as this: what they would keep away has mostly been replaced by then, and a
-/// mistyped number must not keep it away for good.
+/// Longer values are reduced to this: the replica or service they would keep unused has mostly been
+/// replaced by then, and a mistyped number must not keep it unused forever.
 inline constexpr base::Duration kMaximumRetryAfter = std::chrono::hours(24);
 
-/// What the header fields of an answer ask for.
+/// Result of parsing all `Retry-After` fields of a response.
 struct RetryAfter {
-  /// The longest of the spans that can be read; zero where there is none.
+  /// The longest of the valid values; zero if there is none.
   base::Duration span{};
-  /// A field is there that cannot be read.
+  /// Whether at least one field is invalid.
   bool unreadable = false;
 };
 
-/// Seconds, fractions too. Negative numbers, dates and other texts cannot be read: a date would
-/// rest on a wall clock that agrees with the sender's.
+/// Values are in seconds, fractions allowed. Negative numbers, dates and other texts are invalid: a
+/// date would require a wall clock that agrees with the sender's.
 RetryAfter readRetryAfter(const std::vector<HeaderField>& headers);
 
 }  // namespace covewing::live
--- a/src/live/sse_parser.h
+++ b/src/live/sse_parser.h
@@ -1,6 +1,6 @@
 /// \file
-/// Incremental parser of server-sent events, as far as engines use them: `data:` lines, an empty
-/// line ends an event; comments and other fields are skipped.
+/// Incremental parser of server-sent events, limited to the part that engines use: an event
+/// consists of `data:` lines and ends with an empty line; comments and other fields are skipped.
 #pragma once
 
 #include <cstddef>
@@ -12,17 +12,17 @@
 
 class SseParser {
  public:
-  /// Largest event accepted, in bytes.
+  /// Maximum size of an event in bytes.
   static constexpr std::size_t kMaximumEventBytes = 1U << 20U;
 
   void feed(std::string_view bytes) { buffer_ += bytes; }
-  /// The data of the next whole event; empty when more bytes are needed.
+  /// Returns the data of the next complete event; empty if more bytes are needed.
   std::optional<std::string> next();
-  /// An event exceeded the limit; nothing more is parsed.
+  /// Whether an event exceeded the limit; nothing more is parsed then.
   bool failed() const { return failed_; }
 
  private:
-  /// Takes one line without its end; empty when there is none yet.
+  /// Consumes one line, returned without its line ending; empty if there is none yet.
   std::optional<std::string_view> takeLine();
 
   std::string buffer_;
