--- a/tests/live/crashing_request_test.cc
+++ b/tests/live/crashing_request_test.cc
@@ -1,8 +1,8 @@
-// One caller's request made each replica that began it crash within a tenth of a second, and its
-// caller sent it again, under new identifiers and through any node. No node remembered under which
-// request a replica had ended, so one such request ended eleven of twelve replicas within 11
-// seconds, and in some of these seconds 20 of 33 requests beside it failed. Of 129 runs that broke
-// off then, 12 were of this request, at all eleven replicas; no other request was at more than two.
+// Guards against a request that crashes every replica that begins it while its caller repeats it
+// under new identifiers and through any node. Without a record of which request was running when a
+// replica crashed, one such request crashed eleven of twelve replicas within 11 seconds, and in
+// some of these seconds 20 of 33 other requests failed. Of the 129 executions interrupted in that
+// time, 12 were of this request, at all eleven replicas; no other request was at more than two.
 #include <boost/test/unit_test.hpp>
 
 #include "relay_fleet.h"
@@ -14,15 +14,15 @@
 
 namespace {
 
-/// From the third crash on, all nodes that reach each other must know of it within this time.
+/// Maximum time from the third crash until all nodes that can reach each other refuse the request.
 constexpr base::Duration kPropagationBound = seconds(3);
-/// Arrivals after that which are borne.
+/// Maximum number of later arrivals of the request at replicas that is tolerated.
 constexpr std::ptrdiff_t kMaximumLateArrivals = 3;
 constexpr std::size_t kCrashesBeforeQuarantine = 3;
 
 using Responses = std::vector<std::shared_ptr<RelayFleet::Response>>;
 
-/// Requests of one tenant on one path: harmless ones with different bodies, and the deadly one.
+/// Requests of one tenant on one path: harmless ones with different bodies, and the crashing one.
 struct Traffic {
   explicit Traffic(RelayFleet& relayFleet) : fleet(relayFleet) {}
 
@@ -67,7 +67,7 @@
   BOOST_TEST(arrivalsAfter(fleet, quarantinedBy) <= kMaximumLateArrivals);
   for (const auto& response : traffic.crashing) {
     if (response->sentAt <= quarantinedBy) continue;
-    // Refused at once, as not run, with a time to come back.
+    // Refused at once, without being run, and with a Retry-After header.
     BOOST_TEST(response->status == 503U);
     BOOST_TEST(response->hasRetryAfter);
     BOOST_TEST((response->endedAt - response->sentAt < milliseconds(400)));
--- a/tests/live/http_client_test.cc
+++ b/tests/live/http_client_test.cc
@@ -12,7 +12,7 @@
 
 using clients::DispatchFailure;
 
-/// A server that answers each connection with the bytes that a test tells it to, then may close it.
+/// A server on whose last accepted connection a test sends exact bytes, and which it may close.
 class ScriptedServer {
  public:
   explicit ScriptedServer(boost::asio::io_context& context)
@@ -22,7 +22,7 @@
 
   base::Endpoint endpoint() const { return {kLoopback, acceptor_.local_endpoint().port()}; }
   std::size_t connections() const { return sockets_.size(); }
-  /// Requests received so far, by their empty line.
+  /// Number of requests received so far, counted by the empty line after the headers.
   std::size_t requests() const { return requests_; }
   void respond(std::string_view bytes) {
     boost::asio::write(sockets_.back(), boost::asio::buffer(bytes));
@@ -89,7 +89,7 @@
   void waitDone(const Recorder& recorder) {
     runUntil(context, [&recorder] { return recorder.done(); });
   }
-  /// One whole exchange, which leaves a kept connection.
+  /// Makes one complete call, after which the client has one idle connection in its pool.
   void warmUp() {
     Recorder recorder;
     const auto call = start(recorder);
--- a/tests/live/http_server_test.cc
+++ b/tests/live/http_server_test.cc
@@ -163,7 +163,7 @@
   exchange->onPressure([&pressures](bool high) { pressures.push_back(high); });
   exchange->beginStream(200, {});
   const std::string chunk(65536, 'x');
-  // The kernel's socket buffers take some megabytes before the server has to keep any.
+  // The kernel's socket buffers accept several megabytes before the server has to buffer any.
   runUntil(fixture.context, [&] {
     if (!pressures.empty()) return true;
     exchange->write(chunk);
--- a/tests/live/http_test_client.h
+++ b/tests/live/http_test_client.h
@@ -1,6 +1,6 @@
 /// \file
-/// A raw TCP client that shares the tested server's io_context: what it sends is exact bytes, what
-/// it received is kept as text.
+/// A raw TCP client that shares the io_context of the server under test. It sends exact bytes and
+/// keeps all received bytes as text.
 #pragma once
 
 #include <array>
@@ -14,7 +14,7 @@
 
 namespace covewing::live {
 
-/// Runs handlers until `done` holds. A test that waits for ever is ended by its time limit.
+/// Runs handlers until `done` returns true. A test that waits forever is ended by its time limit.
 template <class Condition>
 void runUntil(boost::asio::io_context& context, Condition done) {
   context.restart();
--- a/tests/live/relay_fleet.h
+++ b/tests/live/relay_fleet.h
@@ -1,5 +1,5 @@
-// Relaying nodes as users run them, on loopback, before application replicas that a request can
-// crash. Everything runs on one io_context and in real time.
+// Runs complete relaying nodes on loopback, with application replicas that a request can crash.
+// Everything runs on one io_context and in real time.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -26,7 +26,7 @@
 inline constexpr std::string_view kOwnTableName = "own";
 inline constexpr std::uint32_t kLoopback = 0x7f000001;
 
-/// Plain headers.
+/// Dialect that uses plain headers and passes requests and responses on unchanged.
 class PlainDialect final : public RelayDialect {
  public:
   std::string_view requestIdHeader() const override { return kRequestIdHeader; }
@@ -64,7 +64,7 @@
   }
 };
 
-/// One route to one service, without rows to read.
+/// Returns a fixed configuration with one route to one service, whatever the row contains.
 class SingleRouteReader final : public node::ConfigurationRowReader {
  public:
   bool isRouteTable(std::string_view key) const override { return key == "routes"; }
@@ -93,7 +93,7 @@
   }
 };
 
-/// Rows hold a replica's port.
+/// Reads rows that contain a replica's port.
 class PortRowReader final : public node::ReplicaRowReader {
  public:
   std::optional<routing::Replica> readReplica(std::string_view key, std::string_view value,
@@ -107,7 +107,7 @@
   }
 };
 
-/// No replica serves a model, so nothing is ordered or watched.
+/// No replica serves a model, so there are no weights orders and no cache feeds.
 class NullWeightsClient final : public clients::WeightsClient {
  public:
   void onNotices(NoticeListener /*listener*/) override {}
@@ -124,9 +124,9 @@
             std::function<void(clients::CacheFeedReply)> /*callback*/) override {}
 };
 
-/// An application replica. A request with the body `kCrashing` ends its process shortly after it
-/// has begun; it is back at the same address, as a new instance, after a while. One with the body
-/// `kUnanswered` is never answered.
+/// An application replica. A request with the body `kCrashing` crashes it kCrashAfter after the
+/// request has begun; kRestartAfter later it is back at the same address as a new instance. A
+/// request with the body `kUnanswered` never gets a response.
 class CrashingReplica {
  public:
   static constexpr std::string_view kCrashing = "deadly";
@@ -136,7 +136,7 @@
   static constexpr base::Duration kRestartAfter = std::chrono::milliseconds(900);
   static constexpr base::Duration kEntryRemovedAfter = std::chrono::milliseconds(1500);
 
-  /// What all replicas of a test have seen.
+  /// Events recorded by all replicas of a test.
   struct Record {
     std::vector<base::TimePoint> crashingArrivals;
     std::vector<base::TimePoint> crashes;
@@ -199,13 +199,13 @@
   int starts_ = 0;
 };
 
-/// Nodes and replicas, with callers of one tenant.
+/// Nodes and replicas, with a client that acts as the callers of one tenant.
 class RelayFleet {
  public:
   static constexpr std::size_t kNodes = 3;
   static constexpr std::size_t kReplicas = 6;
 
-  /// What a caller got; status 0: no whole answer.
+  /// Response received by a caller; `status` is 0 if it received no complete response.
   struct Response {
     std::string requestBody;
     base::TimePoint sentAt{};
@@ -225,7 +225,7 @@
     startNodes();
   }
 
-  /// Starts all nodes, which keep nothing from before, and waits until they serve.
+  /// Starts all nodes without any state from earlier runs and waits until they serve requests.
   void startNodes() {
     for (std::size_t index = 0; index < kNodes; ++index) {
       nodes_.push_back(std::make_unique<RelayDaemon>(context_, settings(index), log_, deployment_));
@@ -236,12 +236,12 @@
       run(std::chrono::milliseconds(100));
     BOOST_REQUIRE(allNodesServe());
   }
-  /// Ends all nodes at once, as by a kill.
+  /// Destroys all nodes at once, as if their processes were killed.
   void killNodes() { nodes_.clear(); }
 
   void run(base::Duration duration) { context_.run_for(duration); }
 
-  /// Sends a request to a node; the caller waits for `patience`.
+  /// Sends a request to a node; the caller waits for the response for `timeout`.
   std::shared_ptr<Response> send(std::size_t node, std::string body,
                                  base::Duration timeout = std::chrono::seconds(5)) {
     auto response = std::make_shared<Response>();
@@ -266,13 +266,13 @@
   }
 
   base::TimePoint now() const { return clock_.now(); }
-  /// Times that nodes have logged the event.
+  /// Number of times that any node has logged the event.
   std::size_t logged(base::Event event) const { return log_.count(event); }
 
   CrashingReplica::Record record;
 
  private:
-  /// Ports of a node's listeners, the same on each node.
+  /// Listeners of a node; their ports are the same on every node.
   enum Listener : std::size_t { kCallers, kReadiness, kPeers, kMetrics, kListeners };
 
   static std::uint32_t addressOf(std::size_t node) {
@@ -283,7 +283,7 @@
     return {addressOf(node), ports_[kCallers]};
   }
 
-  /// A port that was free a moment ago.
+  /// Returns a port that is free at the time of the call, but may be taken later.
   std::uint16_t freePort() {
     boost::asio::ip::tcp::acceptor acceptor(context_,
                                             {boost::asio::ip::address_v4(addressOf(0)), 0});
--- a/tests/live/relay_reference_test.cc
+++ b/tests/live/relay_reference_test.cc
@@ -1,4 +1,4 @@
-// docs/RELAY.md lists exactly the settings and metrics of the code.
+// Checks that docs/RELAY.md lists exactly the settings and metrics of the code.
 #include <fmt/core.h>
 
 #include <boost/test/unit_test.hpp>
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Lines of the page's table behind the marker.
+/// Rows of the table that follows the marker in docs/RELAY.md.
 std::vector<std::string> documentedTable(const std::string& marker) {
   std::ifstream input("docs/RELAY.md");
   std::vector<std::string> rows;
--- a/tests/live/suspended_machine_test.cc
+++ b/tests/live/suspended_machine_test.cc
@@ -1,5 +1,6 @@
-// A machine that is suspended: CLOCK_BOOTTIME counts the time, CLOCK_MONOTONIC does not. The
-// suspension is a stated offset of the boot-time clock, for the whole process.
+// Behaviour after the machine was suspended: CLOCK_BOOTTIME includes the time of the suspension,
+// CLOCK_MONOTONIC does not. A suspension is simulated by an offset of the boot-time clock, which
+// applies to the whole process.
 #include <boost/asio/io_context.hpp>
 #include <boost/test/unit_test.hpp>
 #include <functional>
@@ -23,11 +24,11 @@
 
 namespace {
 
-/// How late a timer may run after a wake: the loop's longest wait, and as much again for a busy
-/// machine.
+/// Maximum delay of a timer after the machine resumes: the maximum wait of the loop, and as much
+/// again for an overloaded machine.
 constexpr base::Duration kTimerTolerance = 2 * BootWaitTraits::kMaximumWait;
 
-/// The only member, and so the only candidate.
+/// Membership with a single node, which is thus the only candidate for the lease.
 struct SingleMemberDirectory final : membership::MemberDirectory {
   SingleMemberDirectory() {
     membership::Member member;
@@ -119,7 +120,7 @@
   lease.start();
   BOOST_REQUIRE(loop.runUntil(seconds(2), [&] { return lease.grant().has_value(); }));
   simulateSuspension(options.duration);
-  // Nothing has run since the wake.
+  // No handler has run since the machine resumed.
   BOOST_TEST(!lease.grant().has_value());
   BOOST_TEST(loop.runUntil(seconds(2), [&] { return events.acquired == 2; }));
   BOOST_TEST(events.lost == 1);
@@ -131,7 +132,7 @@
       fleet.send(0, std::string{CrashingReplica::kUnanswered}, /*timeout=*/std::chrono::minutes(1));
   fleet.run(milliseconds(200));
   BOOST_TEST(response->status == 0U);
-  // The route's time-out is 4 s.
+  // The timeout of the route is 4 s.
   simulateSuspension(seconds(10));
   fleet.run(2 * kTimerTolerance);
   BOOST_TEST(response->status == 504U);
@@ -140,7 +141,7 @@
 
 BOOST_AUTO_TEST_CASE(NodesServeSoonAfterResume) {
   RelayFleet fleet;
-  // Longer than keys are accepted without a confirmation.
+  // Longer than the time for which keys are accepted without a confirmed configuration.
   simulateSuspension(seconds(10));
   std::vector<std::shared_ptr<RelayFleet::Response>> responses;
   for (std::size_t node = 0; node < RelayFleet::kNodes; ++node)
