--- a/src/live/http_connection.h
+++ b/src/live/http_connection.h
@@ -1,9 +1,9 @@
 /// \file
-/// One connection of the HTTP server: reads requests, writes answers. Internal to the server.
+/// One connection of the HTTP server: reads requests and writes responses. Internal to the server.
 ///
-/// States: reading a request -> answering -> reading the next one, or lingering: the answer is
-/// written, the rest of an oversized request is thrown away for a bounded time so that the peer can
-/// read the refusal, then the socket is closed.
+/// States: reading a request -> responding -> reading the next request, or lingering. A lingering
+/// connection has written its response and discards the remainder of an oversized request for a
+/// bounded time, so that the peer can read the refusal; then the socket is closed.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -21,19 +21,19 @@
 
 class Connection;
 
-/// What a connection needs from its server. Must outlive the connection.
+/// Interface of the server that a connection uses. Must outlive the connection.
 class ConnectionOwner {
  public:
   virtual ~ConnectionOwner() = default;
   virtual const HttpLimits& limits() const = 0;
   virtual void onRequest(const HttpExchangePtr& exchange) = 0;
   virtual HttpResponse formatRefusal(const base::Reason& reason) const = 0;
-  /// The server is closing: answers carry `Connection: close`.
+  /// Whether the server is closing: responses then have the header `Connection: close`.
   virtual bool closing() const = 0;
   virtual void onClosed(Connection& connection) = 0;
 };
 
-/// The answer side of one request, handed to the server's user.
+/// A request and the interface to respond to it, as passed to the server's handler.
 class Exchange final : public HttpExchange {
  public:
   Exchange(std::shared_ptr<Connection> connection, HttpRequest request, bool chunkedAllowed,
@@ -46,7 +46,7 @@
   std::string takeBody() override { return std::move(request_.body); }
   base::Endpoint peer() const override;
   base::TimePoint startedAt() const override { return startedAt_; }
-  void closeAfterAnswer() override { closeAfterAnswer_ = true; }
+  void closeAfterResponse() override { closeAfterResponse_ = true; }
   void respond(HttpResponse response) override;
   void beginStream(unsigned status, const std::vector<HeaderField>& headers,
                    std::optional<std::uint64_t> length) override;
@@ -57,9 +57,9 @@
   void onPressure(std::function<void(bool)> listener) override;
   void onDisconnect(std::function<void()> listener) override;
 
-  /// Called by the connection.
-  void peerGone();
-  void pressure(bool high);
+  // Called by the connection.
+  void onPeerDisconnected();
+  void onBufferPressure(bool high);
 
  private:
   bool finished() const { return connection_ == nullptr; }
@@ -69,13 +69,13 @@
 
   std::shared_ptr<Connection> connection_;
   HttpRequest request_;
-  /// False for HTTP/1.0 peers: the stream's end is the end of the connection.
+  /// False for HTTP/1.0 peers: a stream then ends with the close of the connection.
   bool chunkedAllowed_;
   bool streaming_ = false;
   base::TimePoint startedAt_;
-  bool closeAfterAnswer_ = false;
-  /// Bytes of the body still due, where its length was announced.
-  std::optional<std::uint64_t> due_;
+  bool closeAfterResponse_ = false;
+  /// Bytes of the body still to be written, if its length was announced.
+  std::optional<std::uint64_t> remainingBytes_;
   std::function<void(bool)> pressureListener_;
   std::function<void()> disconnectListener_;
 };
@@ -87,22 +87,24 @@
   Connection(Socket socket, ConnectionOwner& owner);
 
   void start();
-  /// Closes at once; the exchange, if any, is told.
+  /// Closes the socket at once and notifies the exchange, if there is one.
   void close();
-  bool answering() const { return state_ == State::kAnswering; }
-  /// Closes the connection unless a byte of a request has come or an answer is not taken yet.
+  bool responding() const { return state_ == State::kResponding; }
+  /// Closes the connection unless a byte of a request was received or a response is not yet fully
+  /// written to the socket.
   void closeIfIdle();
   base::Endpoint peer() const { return peer_; }
 
-  // The exchange's side.
+  // Called by the exchange.
   void send(std::string bytes);
   std::size_t bufferedBytes() const { return writing_.size() - written_ + pending_.size(); }
   bool keepAlive() const { return keepAlive_ && !owner_.closing(); }
-  /// The answer is complete: go on with the next request, or close once all is written.
-  void answered(bool reusable);
+  /// The response is complete: continues with the next request if `reusable`, otherwise closes the
+  /// connection once all bytes are written.
+  void onResponseComplete(bool reusable);
 
  private:
-  enum class State { kReading, kAnswering, kLingering, kClosed };
+  enum class State { kReading, kResponding, kLingering, kClosed };
   using Parser = boost::beast::http::request_parser<boost::beast::http::string_body>;
 
   void resetParser();
@@ -114,9 +116,9 @@
   void refuse(boost::system::error_code error);
   void write();
   void onWritten(boost::system::error_code error, std::size_t bytes);
-  void notePressure();
+  void updatePressure();
   void linger();
-  void setDeadlineOfState();
+  void setDeadlineForState();
 
   Socket socket_;
   ConnectionOwner& owner_;
@@ -129,7 +131,7 @@
   base::TimePoint requestStartedAt_{};
   bool keepAlive_ = true;
   bool continueSent_ = false;
-  bool headerDone_ = false;
+  bool headerComplete_ = false;
   bool closeWhenWritten_ = false;
   bool lingerWhenWritten_ = false;
   std::size_t lingeredBytes_ = 0;
@@ -137,7 +139,7 @@
   std::string pending_;
   std::size_t written_ = 0;
   bool writeActive_ = false;
-  bool pressured_ = false;
+  bool underPressure_ = false;
   std::weak_ptr<Exchange> exchange_;
   LazyDeadline deadline_;
 };
--- a/src/live/http_engine_client.cc
+++ b/src/live/http_engine_client.cc
@@ -22,14 +22,14 @@
                                               : base::ResultCode::kBackEndLost;
 }
 
-/// One stream. Chunks that arrive while it is paused wait in a queue, which is bounded by one read
-/// of the connection.
+/// One stream. Chunks received while it is paused are queued; the queue holds at most the chunks
+/// of one read from the connection.
 class StreamState final : public HttpCallHandler, public std::enable_shared_from_this<StreamState> {
  public:
   StreamState(base::TimerService& timers, clients::EngineStreamHandler& handler)
       : timers_(timers), handler_(&handler) {}
 
-  void adopt(std::unique_ptr<HttpCall> call) { call_ = std::move(call); }
+  void setCall(std::unique_ptr<HttpCall> call) { call_ = std::move(call); }
 
   void abandon() {
     handler_ = nullptr;
@@ -85,7 +85,8 @@
   }
 
  private:
-  /// The connection has nothing more; `error` counts unless the terminal marker is here.
+  /// Called when no more bytes follow on the connection. `error` is reported unless the terminal
+  /// marker was received.
   void finish(DispatchError error) {
     error_ = std::move(error);
     deliver();
@@ -101,7 +102,8 @@
       handler_->onChunk(std::move(taken));
     }
     if (handler_ == nullptr || paused_) return;
-    // The end waits for the whole answer, so that the connection can be kept.
+    // The end of the stream is delivered only after the whole response, so that the connection can
+    // be kept.
     if (!error_) return;
     auto* handler = std::exchange(handler_, nullptr);
     if (events_.empty()) {
@@ -150,7 +152,7 @@
                           {std::string{kRequestIdHeader}, request.requestId.value}},
                          engineRequestToJson(request)};
   auto state = std::make_shared<StreamState>(timers_, handler);
-  state->adopt(client_.start(engine.endpoint, call, timeouts_.streamSilence, *state));
+  state->setCall(client_.start(engine.endpoint, call, timeouts_.streamInactivityTimeout, *state));
   return std::make_unique<HttpEngineStream>(std::move(state));
 }
 
@@ -169,8 +171,8 @@
   client_.fetch(engine.endpoint, controlRequest("GET", std::move(target), {}), timeouts_.report,
                 [callback = std::move(callback)](const HttpResult& result) {
                   const auto* response = std::get_if<HttpResponse>(&result);
-                  const bool answered = response != nullptr && response->status == kOk;
-                  callback(answered ? engineReportFromJson(response->body) : std::nullopt);
+                  const bool succeeded = response != nullptr && response->status == kOk;
+                  callback(succeeded ? engineReportFromJson(response->body) : std::nullopt);
                 });
 }
 
--- a/src/live/relay_metrics.cc
+++ b/src/live/relay_metrics.cc
@@ -84,7 +84,7 @@
 const prometheus::Histogram::BucketBoundaries kSecondsBuckets = {0.01, 0.025, 0.05, 0.1, 0.25, 0.5,
                                                                  0.8,  1,     2.5,  5,   10,   30};
 
-/// Priorities beyond the least urgent one that replicas know count as that one.
+/// Priorities less urgent than the least urgent one known to replicas are counted as that one.
 std::string priorityLabel(std::optional<std::uint32_t> priority) {
   constexpr std::uint32_t kLeastUrgent = 9;
   return priority ? std::to_string(std::min(*priority, kLeastUrgent)) : "none";
@@ -111,12 +111,12 @@
   prometheus::Gauge& quarantinedRequests = families.gauges("covewing_quarantined_requests").Add({});
   prometheus::Gauge& leaseHeld = families.gauges("covewing_lease_held").Add({});
   prometheus::Gauge& members = families.gauges("covewing_members").Add({});
-  prometheus::Gauge& open = families.gauges("covewing_open_requests").Add({});
+  prometheus::Gauge& openRequests = families.gauges("covewing_open_requests").Add({});
   prometheus::Histogram& pauses =
       families.histograms("covewing_pause_seconds").Add({}, kSecondsBuckets);
   prometheus::Family<prometheus::Counter>& peerBytes =
       families.counters("covewing_peer_sent_bytes_total");
-  prometheus::Family<prometheus::Counter>& questions =
+  prometheus::Family<prometheus::Counter>& placementQueries =
       families.counters("covewing_placement_questions_total");
   prometheus::Counter& processor = families.counters("covewing_process_cpu_seconds_total").Add({});
   prometheus::Gauge& resident = families.gauges("covewing_process_resident_bytes").Add({});
@@ -151,7 +151,8 @@
 RelayMetrics::RelayMetrics() : impl_(std::make_unique<Impl>()) {}
 RelayMetrics::~RelayMetrics() = default;
 
-void RelayMetrics::onRelayed(const config::Route& route, const request::RelayOutcome& outcome) {
+void RelayMetrics::onRelayFinished(const config::Route& route,
+                                   const request::RelayOutcome& outcome) {
   auto labels = kindLabel(route);
   impl_->attempts.Add(labels).Increment(outcome.attempts);
   impl_->countRetries(outcome);
@@ -181,8 +182,8 @@
   impl_->events.Add({{"event", std::string{base::describe(event).name}}}).Increment();
 }
 
-void RelayMetrics::onPause(base::Duration silence) {
-  impl_->pauses.Observe(base::toSeconds(silence));
+void RelayMetrics::onPause(base::Duration duration) {
+  impl_->pauses.Observe(base::toSeconds(duration));
 }
 
 void RelayMetrics::Impl::renderQueues(const routing::PlacementCounters& placement) {
@@ -219,26 +220,26 @@
   set(impl_->storeEra, snapshot.storeEra);
   set(impl_->leaseHeld, snapshot.leaseHeld ? 1 : 0);
   set(impl_->members, snapshot.members);
-  set(impl_->open, snapshot.openRequests);
+  set(impl_->openRequests, snapshot.openRequests);
   set(impl_->ready, snapshot.ready ? 1 : 0);
   set(impl_->replicas.Add({{"state", "available"}}), snapshot.replicasAvailable);
   set(impl_->replicas.Add({{"state", "draining"}}), snapshot.replicasDraining);
-  set(impl_->replicas.Add({{"state", "resting"}}), snapshot.replicasResting);
-  set(impl_->replicas.Add({{"state", "limited"}}), snapshot.replicasLimited);
+  set(impl_->replicas.Add({{"state", "resting"}}), snapshot.replicasBackingOff);
+  set(impl_->replicas.Add({{"state", "limited"}}), snapshot.replicasRateLimited);
   set(impl_->replicas.Add({{"state", "ejected"}}), snapshot.replicasEjected);
   set(impl_->replicas.Add({{"state", "changing"}}), snapshot.replicasChanging);
   const auto raise = [](prometheus::Counter& counter, std::uint64_t total) {
     counter.Increment(static_cast<double>(total) - counter.Value());
   };
   const auto& placement = snapshot.placement;
-  raise(impl_->questions.Add({{"outcome", "asked"}}), placement.queries);
-  raise(impl_->questions.Add({{"outcome", "granted"}}), placement.granted);
-  raise(impl_->questions.Add({{"outcome", "declined"}}), placement.declined);
-  raise(impl_->questions.Add({{"outcome", "timeout"}}), placement.timeouts);
-  raise(impl_->questions.Add({{"outcome", "queued"}}), placement.queued);
-  raise(impl_->questions.Add({{"outcome", "refused"}}), placement.refused);
-  raise(impl_->questions.Add({{"outcome", "promise_missed"}}), placement.queueUpdatesMissed);
-  raise(impl_->questions.Add({{"outcome", "rate_limited"}}), placement.home.rateLimited);
+  raise(impl_->placementQueries.Add({{"outcome", "asked"}}), placement.queries);
+  raise(impl_->placementQueries.Add({{"outcome", "granted"}}), placement.granted);
+  raise(impl_->placementQueries.Add({{"outcome", "declined"}}), placement.declined);
+  raise(impl_->placementQueries.Add({{"outcome", "timeout"}}), placement.timeouts);
+  raise(impl_->placementQueries.Add({{"outcome", "queued"}}), placement.queued);
+  raise(impl_->placementQueries.Add({{"outcome", "refused"}}), placement.refused);
+  raise(impl_->placementQueries.Add({{"outcome", "promise_missed"}}), placement.queueUpdatesMissed);
+  raise(impl_->placementQueries.Add({{"outcome", "rate_limited"}}), placement.home.rateLimited);
   impl_->renderQueues(placement);
   const auto& quotas = snapshot.quotas;
   raise(impl_->quotaMessages.Add({{"kind", "question"}}), quotas.leaseRequests);
--- a/tests/live/relay_fleet.h
+++ b/tests/live/relay_fleet.h
@@ -1,5 +1,5 @@
-// Relaying nodes as users run them, on loopback, before application replicas that a request can
-// crash. Everything runs on one io_context and in real time.
+// Runs complete relaying nodes on loopback, with application replicas that a request can crash.
+// Everything runs on one io_context and in real time.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -26,7 +26,7 @@
 inline constexpr std::string_view kOwnTableName = "own";
 inline constexpr std::uint32_t kLoopback = 0x7f000001;
 
-/// Plain headers.
+/// Dialect that uses plain headers and passes requests and responses on unchanged.
 class PlainDialect final : public RelayDialect {
  public:
   std::string_view requestIdHeader() const override { return kRequestIdHeader; }
@@ -64,8 +64,8 @@
   }
 };
 
-/// One route to one service, without rows to read.
-class OneRoute final : public node::ConfigurationRowReader {
+/// Returns a fixed configuration with one route to one service, whatever the row contains.
+class SingleRouteReader final : public node::ConfigurationRowReader {
  public:
   bool isRouteTable(std::string_view key) const override { return key == "routes"; }
   bool isAnnouncedWeights(std::string_view /*key*/) const override { return false; }
@@ -93,8 +93,8 @@
   }
 };
 
-/// Rows hold a replica's port.
-class PortRows final : public node::ReplicaRowReader {
+/// Reads rows that contain a replica's port.
+class PortRowReader final : public node::ReplicaRowReader {
  public:
   std::optional<routing::Replica> readReplica(std::string_view key, std::string_view value,
                                               base::Reason& /*reason*/) const override {
@@ -107,8 +107,8 @@
   }
 };
 
-/// No replica serves a model, so nothing is ordered or watched.
-class NoWeights final : public clients::WeightsClient {
+/// No replica serves a model, so there are no weights orders and no cache feeds.
+class NullWeightsClient final : public clients::WeightsClient {
  public:
   void onNotices(NoticeListener /*listener*/) override {}
   void order(const base::Endpoint& /*replica*/, const std::string& /*instance*/,
@@ -118,27 +118,27 @@
               const std::string& /*model*/,
               std::function<void(std::optional<clients::WeightsReport>)> /*callback*/) override {}
 };
-class NoCacheFeed final : public clients::CacheFeedClient {
+class NullCacheFeedClient final : public clients::CacheFeedClient {
  public:
   void poll(const base::Endpoint& /*replica*/, std::uint64_t /*since*/, base::Duration /*wait*/,
             std::function<void(clients::CacheFeedReply)> /*callback*/) override {}
 };
 
-/// An application replica. A request with the body `kDeadly` ends its process shortly after it has
-/// begun; it is back at the same address, as a new instance, after a while. One with the body
-/// `kSilent` is never answered.
+/// An application replica. A request with the body `kCrashing` crashes it kCrashAfter after the
+/// request has begun; kRestartAfter later it is back at the same address as a new instance. A
+/// request with the body `kUnanswered` never gets a response.
 class CrashingReplica {
  public:
-  static constexpr std::string_view kDeadly = "deadly";
-  static constexpr std::string_view kSilent = "silent";
+  static constexpr std::string_view kCrashing = "deadly";
+  static constexpr std::string_view kUnanswered = "silent";
   static constexpr base::Duration kRunTime = std::chrono::milliseconds(60);
   static constexpr base::Duration kCrashAfter = std::chrono::milliseconds(40);
-  static constexpr base::Duration kBackAfter = std::chrono::milliseconds(900);
-  static constexpr base::Duration kEntryLapses = std::chrono::milliseconds(1500);
+  static constexpr base::Duration kRestartAfter = std::chrono::milliseconds(900);
+  static constexpr base::Duration kEntryRemovedAfter = std::chrono::milliseconds(1500);
 
-  /// What all replicas of a test have seen.
+  /// Events recorded by all replicas of a test.
   struct Record {
-    std::vector<base::TimePoint> deadlyArrivals;
+    std::vector<base::TimePoint> crashingArrivals;
     std::vector<base::TimePoint> crashes;
   };
 
@@ -161,14 +161,14 @@
   }
 
   void onRequest(const HttpExchangePtr& exchange) {
-    if (exchange->request().body == kDeadly) {
-      record_.deadlyArrivals.push_back(clock_.now());
+    if (exchange->request().body == kCrashing) {
+      record_.crashingArrivals.push_back(clock_.now());
       timers_.schedule(kCrashAfter, [this, instance = instance_] { crash(instance); });
-      running_.push_back(exchange);
+      openExchanges_.push_back(exchange);
       return;
     }
-    if (exchange->request().body == kSilent) {
-      running_.push_back(exchange);
+    if (exchange->request().body == kUnanswered) {
+      openExchanges_.push_back(exchange);
       return;
     }
     timers_.schedule(kRunTime, [exchange] { exchange->respond({200, {}, "done"}); });
@@ -179,11 +179,11 @@
     record_.crashes.push_back(clock_.now());
     server_->close();
     server_.reset();
-    running_.clear();
-    timers_.schedule(kEntryLapses, [this, instance] {
+    openExchanges_.clear();
+    timers_.schedule(kEntryRemovedAfter, [this, instance] {
       table_.put(std::string{kReplicaTableName}, instance, std::nullopt);
     });
-    timers_.schedule(kBackAfter, [this] { start(); });
+    timers_.schedule(kRestartAfter, [this] { start(); });
   }
 
   boost::asio::io_context& context_;
@@ -193,27 +193,27 @@
   Record& record_;
   AsioClock clock_;
   std::unique_ptr<HttpServer> server_;
-  std::vector<HttpExchangePtr> running_;
+  std::vector<HttpExchangePtr> openExchanges_;
   std::uint16_t port_ = 0;
   std::string instance_;
   int starts_ = 0;
 };
 
-/// Nodes and replicas, with callers of one tenant.
+/// Nodes and replicas, with a client that acts as the callers of one tenant.
 class RelayFleet {
  public:
   static constexpr std::size_t kNodes = 3;
   static constexpr std::size_t kReplicas = 6;
 
-  /// What a caller got; status 0: no whole answer.
-  struct Answer {
-    std::string body;
+  /// Response received by a caller; `status` is 0 if it received no complete response.
+  struct Response {
+    std::string requestBody;
     base::TimePoint sentAt{};
     base::TimePoint endedAt{};
     unsigned status = 0;
-    std::string answer;
-    bool saysWhenToComeBack = false;
-    int answers = 0;
+    std::string responseBody;
+    bool hasRetryAfter = false;
+    int completions = 0;
   };
 
   RelayFleet() {
@@ -225,53 +225,54 @@
     startNodes();
   }
 
-  /// Starts all nodes, which keep nothing from before, and waits until they serve.
+  /// Starts all nodes without any state from earlier runs and waits until they serve requests.
   void startNodes() {
     for (std::size_t index = 0; index < kNodes; ++index) {
       nodes_.push_back(std::make_unique<RelayDaemon>(context_, settings(index), log_, deployment_));
       base::Reason reason;
       BOOST_REQUIRE_MESSAGE(nodes_.back()->start(reason), reason.detail);
     }
-    for (int round = 0; round < 100 && !allServe(); ++round) run(std::chrono::milliseconds(100));
-    BOOST_REQUIRE(allServe());
+    for (int round = 0; round < 100 && !allNodesServe(); ++round)
+      run(std::chrono::milliseconds(100));
+    BOOST_REQUIRE(allNodesServe());
   }
-  /// Ends all nodes at once, as by a kill.
+  /// Destroys all nodes at once, as if their processes were killed.
   void killNodes() { nodes_.clear(); }
 
   void run(base::Duration duration) { context_.run_for(duration); }
 
-  /// Sends a request to a node; the caller waits for `patience`.
-  std::shared_ptr<Answer> send(std::size_t node, std::string body,
-                               base::Duration patience = std::chrono::seconds(5)) {
-    auto answer = std::make_shared<Answer>();
-    answer->body = body;
-    answer->sentAt = clock_.now();
+  /// Sends a request to a node; the caller waits for the response for `timeout`.
+  std::shared_ptr<Response> send(std::size_t node, std::string body,
+                                 base::Duration timeout = std::chrono::seconds(5)) {
+    auto response = std::make_shared<Response>();
+    response->requestBody = body;
+    response->sentAt = clock_.now();
     const HttpRequest request{"POST",
                               "/work",
                               {{"Host", "example"},
                                {"X-Key", "key"},
                                {std::string{kRequestIdHeader}, "id-" + std::to_string(++sent_)}},
                               std::move(body)};
-    http_.fetch(callerEndpoint(node), request, patience, [this, answer](const HttpResult& result) {
-      ++answer->answers;
-      answer->endedAt = clock_.now();
-      const auto* response = std::get_if<HttpResponse>(&result);
-      if (response == nullptr) return;
-      answer->status = response->status;
-      answer->answer = response->body;
-      answer->saysWhenToComeBack = !response->header("Retry-After").empty();
+    http_.fetch(callerEndpoint(node), request, timeout, [this, response](const HttpResult& result) {
+      ++response->completions;
+      response->endedAt = clock_.now();
+      const auto* httpResponse = std::get_if<HttpResponse>(&result);
+      if (httpResponse == nullptr) return;
+      response->status = httpResponse->status;
+      response->responseBody = httpResponse->body;
+      response->hasRetryAfter = !httpResponse->header("Retry-After").empty();
     });
-    return answer;
+    return response;
   }
 
   base::TimePoint now() const { return clock_.now(); }
-  /// Times that nodes have logged the event.
+  /// Number of times that any node has logged the event.
   std::size_t logged(base::Event event) const { return log_.count(event); }
 
   CrashingReplica::Record record;
 
  private:
-  /// Ports of a node's listeners, the same on each node.
+  /// Listeners of a node; their ports are the same on every node.
   enum Listener : std::size_t { kCallers, kReadiness, kPeers, kMetrics, kListeners };
 
   static std::uint32_t addressOf(std::size_t node) {
@@ -282,7 +283,7 @@
     return {addressOf(node), ports_[kCallers]};
   }
 
-  /// A port that was free a moment ago.
+  /// Returns a port that is free at the time of the call, but may be taken later.
   std::uint16_t freePort() {
     boost::asio::ip::tcp::acceptor acceptor(context_,
                                             {boost::asio::ip::address_v4(addressOf(0)), 0});
@@ -311,11 +312,12 @@
     return settings;
   }
 
-  bool allServe() {
-    std::vector<std::shared_ptr<Answer>> answers;
-    for (std::size_t node = 0; node < kNodes; ++node) answers.push_back(send(node, "hello"));
+  bool allNodesServe() {
+    std::vector<std::shared_ptr<Response>> responses;
+    for (std::size_t node = 0; node < kNodes; ++node) responses.push_back(send(node, "hello"));
     run(std::chrono::milliseconds(300));
-    return std::ranges::all_of(answers, [](const auto& answer) { return answer->status == 200; });
+    return std::ranges::all_of(responses,
+                               [](const auto& response) { return response->status == 200; });
   }
 
   boost::asio::io_context context_;
@@ -324,10 +326,10 @@
   test_support::RecordingLog log_;
   MemoryTableService table_{clock_, timers_, std::string{kOwnTableName}};
   PlainDialect dialect_;
-  OneRoute configurationRows_;
-  PortRows replicaRows_;
-  NoWeights weights_;
-  NoCacheFeed cacheFeeds_;
+  SingleRouteReader configurationRows_;
+  PortRowReader replicaRows_;
+  NullWeightsClient weights_;
+  NullCacheFeedClient cacheFeeds_;
   RelayDeployment deployment_{dialect_,
                               configurationRows_,
                               replicaRows_,
