--- a/src/node/announcement_time_resolver.cc
+++ b/src/node/announcement_time_resolver.cc
@@ -7,62 +7,67 @@
 namespace {
 
 /// Versions of a model whose dates are written again. Those before them have long been in force.
-constexpr std::size_t kMostKept = 4;
+constexpr std::size_t kMaximumVersions = 4;
 
 }  // namespace
 
 void AnnouncementTimeResolver::onStoreReturned() {
   const auto now = clock_.now();
-  for (const auto& [model, versions] : kept_) {
-    for (const auto& [version, namedAt] : versions)
-      dates_.writeWhenResponsible(model, version, now - namedAt);
+  for (const auto& [model, versions] : announcementTimes_) {
+    for (const auto& [version, announcedAt] : versions)
+      store_.writeWhenResponsible(model, version, now - announcedAt);
   }
 }
 
-void AnnouncementTimeResolver::keep(const std::string& model, base::WeightsVersion version,
-                                    base::TimePoint namedAt) {
-  auto& versions = kept_[model];
-  const auto [known, added] = versions.try_emplace(version, namedAt);
+void AnnouncementTimeResolver::recordTime(const std::string& model, base::WeightsVersion version,
+                                          base::TimePoint announcedAt) {
+  auto& versions = announcementTimes_[model];
+  const auto [known, added] = versions.try_emplace(version, announcedAt);
   // The earlier date is that of who knew more.
-  if (!added) known->second = std::min(known->second, namedAt);
-  if (versions.size() > kMostKept) versions.erase(versions.begin());
+  if (!added) known->second = std::min(known->second, announcedAt);
+  if (versions.size() > kMaximumVersions) versions.erase(versions.begin());
 }
 
-void AnnouncementTimeResolver::onVersionAnnounced(const AnnouncedWeights& named,
-                                                  const AnnouncementTime& news) {
-  if (news.announcedAfter) {
-    if (!news.provisional) keep(named.model, named.version, *news.announcedAfter);
-    dates_.writeWhenResponsible(named.model, named.version, clock_.now() - *news.announcedAfter);
+void AnnouncementTimeResolver::onVersionAnnounced(const AnnouncedWeights& weights,
+                                                  const AnnouncementTime& announcement) {
+  if (announcement.announcedAfter) {
+    if (!announcement.provisional)
+      recordTime(weights.model, weights.version, *announcement.announcedAfter);
+    store_.writeWhenResponsible(weights.model, weights.version,
+                                clock_.now() - *announcement.announcedAfter);
     // The service may have turned this node away and served others, who saw the version come: dated
     // by the own failed calls alone, requests were sent to the older version up to 2.9 s too long.
-    if (!news.provisional) return;
+    if (!announcement.provisional) return;
   }
-  dates_.lookUp(
-      named.model, named.version,
-      [this, named, news](const std::vector<VersionAge>& ages) { onDates(named, news, ages); });
+  store_.lookUp(weights.model, weights.version,
+                [this, weights, announcement](const std::vector<VersionAge>& ages) {
+                  onStoredAges(weights, announcement, ages);
+                });
 }
 
-void AnnouncementTimeResolver::onDates(const AnnouncedWeights& named, const AnnouncementTime& news,
-                                       const std::vector<VersionAge>& ages) {
-  const bool nobodyWrote = ages.empty();
-  if (nobodyWrote && news.unreachableAt) {
+void AnnouncementTimeResolver::onStoredAges(const AnnouncedWeights& weights,
+                                            const AnnouncementTime& announcement,
+                                            const std::vector<VersionAge>& ages) {
+  const bool noStoredTime = ages.empty();
+  if (noStoredTime && announcement.unreachableAt) {
     // It was named while nodes could not learn of it, and its time counts from when they could:
     // forbidden at once, the older version left a fleet that restarted in an outage without
     // replicas (some 800 requests refused).
     const auto countsFrom =
-        std::max(*news.unreachableAt, news.announcedAfter.value_or(*news.unreachableAt));
+        std::max(*announcement.unreachableAt,
+                 announcement.announcedAfter.value_or(*announcement.unreachableAt));
     const auto age = clock_.now() - countsFrom;
-    date(named.model, named.version, age);
-    dates_.writeWhenResponsible(named.model, named.version, age);
+    setAge(weights.model, weights.version, age);
+    store_.writeWhenResponsible(weights.model, weights.version, age);
     return;
   }
-  for (const auto& dated : ages) date(named.model, dated.version, dated.age);
+  for (const auto& stored : ages) setAge(weights.model, stored.version, stored.age);
 }
 
-void AnnouncementTimeResolver::date(const std::string& model, base::WeightsVersion version,
-                                    base::Duration age) {
+void AnnouncementTimeResolver::setAge(const std::string& model, base::WeightsVersion version,
+                                      base::Duration age) {
   targets_.onDated(model, version, clock_.now() - age);
-  keep(model, version, clock_.now() - age);
+  recordTime(model, version, clock_.now() - age);
   log_.write(base::Event::kWeightsDated, {{"model", model},
                                           {"version", std::to_string(version)},
                                           {"age_ms", base::millisecondsText(age)}});
--- a/src/node/announcement_time_resolver.h
+++ b/src/node/announcement_time_resolver.h
@@ -18,28 +18,29 @@
  public:
   /// All must outlive the dating and share its thread.
   AnnouncementTimeResolver(base::Clock& clock, base::EventLog& log,
-                           routing::WeightsTargets& targets, AnnouncementTimeStore& dates)
-      : clock_(clock), log_(log), targets_(targets), dates_(dates) {}
+                           routing::WeightsTargets& targets, AnnouncementTimeStore& store)
+      : clock_(clock), log_(log), targets_(targets), store_(store) {}
 
   /// A newer version was named (RouteConfiguration::setWeightsListener).
-  void onVersionAnnounced(const AnnouncedWeights& named, const AnnouncementTime& news);
+  void onVersionAnnounced(const AnnouncedWeights& weights, const AnnouncementTime& announcement);
   /// The table service came back from a copy, which may lack dates: writes those again that this
   /// node knows.
   void onStoreReturned();
 
  private:
-  void onDates(const AnnouncedWeights& named, const AnnouncementTime& news,
-               const std::vector<VersionAge>& ages);
-  void date(const std::string& model, base::WeightsVersion version, base::Duration age);
+  void onStoredAges(const AnnouncedWeights& weights, const AnnouncementTime& announcement,
+                    const std::vector<VersionAge>& ages);
+  void setAge(const std::string& model, base::WeightsVersion version, base::Duration age);
   /// Keeps the date for as long as somebody may ask for it.
-  void keep(const std::string& model, base::WeightsVersion version, base::TimePoint namedAt);
+  void recordTime(const std::string& model, base::WeightsVersion version,
+                  base::TimePoint announcedAt);
 
   base::Clock& clock_;
   base::EventLog& log_;
   routing::WeightsTargets& targets_;
-  AnnouncementTimeStore& dates_;
+  AnnouncementTimeStore& store_;
   /// From when the time of the latest versions counts, by model and version.
-  std::map<std::string, std::map<base::WeightsVersion, base::TimePoint>> kept_;
+  std::map<std::string, std::map<base::WeightsVersion, base::TimePoint>> announcementTimes_;
 };
 
 }  // namespace covewing::node
--- a/src/node/announcement_time_store.cc
+++ b/src/node/announcement_time_store.cc
@@ -9,55 +9,57 @@
 
 namespace {
 
-constexpr int kAttempts = 6;
-constexpr int kReads = 7;
+constexpr int kMaximumWriteAttempts = 6;
+constexpr int kMaximumReads = 7;
 /// Others take the place of lost nodes within about a second; twice that and some margin is looked.
 constexpr int kResponsibilityChecks = 5;
 constexpr base::Duration kResponsibilityInterval = std::chrono::milliseconds(600);
-constexpr base::Duration kRetry = std::chrono::milliseconds(300);
+constexpr base::Duration kRetryInterval = std::chrono::milliseconds(300);
 /// The pause before the next read doubles with each one.
-base::Duration pauseAfter(int attempts) { return kRetry * (1 << (attempts - 1)); }
+base::Duration retryDelayAfter(int attempts) { return kRetryInterval * (1 << (attempts - 1)); }
 /// Versions kept in a row: more than can be named within the time that one has.
-constexpr std::size_t kKept = 8;
-constexpr std::uint32_t kFields = 2;
+constexpr std::size_t kMaximumVersions = 8;
+constexpr std::uint32_t kFieldCount = 2;
 
 std::string keyOf(const std::string& model) { return "weights-named/" + model; }
 
-struct NamedVersion {
+struct AnnouncedVersion {
   base::WeightsVersion version = 0;
   /// By the table service's clock.
-  base::Duration namedAt{};
+  base::Duration announcedAt{};
 };
 
 /// The versions named lately, ascending.
-using DateRow = std::vector<NamedVersion>;
+using AnnouncementRow = std::vector<AnnouncedVersion>;
 
-std::string encode(const DateRow& row) {
+std::string encode(const AnnouncementRow& row) {
   base::Writer writer;
   writer.array(static_cast<std::uint32_t>(row.size()));
-  for (const NamedVersion& named : row)
-    writer.array(kFields).unsignedInteger(named.version).signedInteger(named.namedAt.count());
+  for (const AnnouncedVersion& announced : row)
+    writer.array(kFieldCount)
+        .unsignedInteger(announced.version)
+        .signedInteger(announced.announcedAt.count());
   return writer.take();
 }
 
-std::optional<DateRow> decode(std::string_view value) {
+std::optional<AnnouncementRow> decode(std::string_view value) {
   base::Reader reader(value);
-  DateRow row;
+  AnnouncementRow row;
   const auto count = reader.beginArray();
   for (std::uint32_t index = 0; index < count && reader.ok(); ++index) {
     reader.beginArray();
-    NamedVersion named;
-    named.version = reader.unsignedInteger();
-    named.namedAt = base::Duration{reader.signedInteger()};
+    AnnouncedVersion announced;
+    announced.version = reader.unsignedInteger();
+    announced.announcedAt = base::Duration{reader.signedInteger()};
     reader.endArray();
-    row.push_back(named);
+    row.push_back(announced);
   }
   if (!reader.ok() || row.empty()) return std::nullopt;
   return row;
 }
 
 /// The dates in a reply; empty when there are none.
-std::optional<DateRow> dateIn(const clients::TableReply& reply) {
+std::optional<AnnouncementRow> rowIn(const clients::TableReply& reply) {
   return reply.rows.empty() ? std::nullopt : decode(reply.rows.front().value);
 }
 
@@ -65,71 +67,75 @@
 std::vector<VersionAge> agesIn(const clients::TableReply& reply,
                                std::optional<base::Duration> now) {
   std::vector<VersionAge> ages;
-  const auto dates = dateIn(reply);
-  if (!dates || !now) return ages;
-  for (const NamedVersion& named : *dates) {
+  const auto announcements = rowIn(reply);
+  if (!announcements || !now) return ages;
+  for (const AnnouncedVersion& announced : *announcements) {
     // Written by another run of the service's clock. Taken for a version named just now, it would
     // give the older weights their whole time again.
-    if (named.namedAt <= *now) ages.push_back({named.version, *now - named.namedAt});
+    if (announced.announcedAt <= *now)
+      ages.push_back({announced.version, *now - announced.announcedAt});
   }
   return ages;
 }
 
 }  // namespace
 
-struct AnnouncementTimeStore::Write {
+struct AnnouncementTimeStore::PendingWrite {
   std::string model;
-  NamedVersion named;
+  AnnouncedVersion announced;
   /// What the row holds besides, and its revision.
-  DateRow before;
+  AnnouncementRow existing;
   base::Revision expected = 0;
   int attempts = 0;
 };
 
-struct AnnouncementTimeStore::LookUp {
+struct AnnouncementTimeStore::PendingLookUp {
   std::string model;
   base::WeightsVersion version = 0;
-  Found found;
+  Callback callback;
   int attempts = 0;
   base::TimePoint sentAt{};
-  bool absenceTold = false;
+  bool absenceReported = false;
 };
 
 void AnnouncementTimeStore::write(const std::string& model, base::WeightsVersion version,
                                   base::Duration age) {
-  if (const auto prepared = prepare(model, version, age)) step(prepared);
+  if (const auto prepared = prepare(model, version, age)) attempt(prepared);
 }
 
 void AnnouncementTimeStore::writeWhenResponsible(const std::string& model,
                                                  base::WeightsVersion version, base::Duration age) {
-  if (const auto prepared = prepare(model, version, age)) check(prepared, kResponsibilityChecks);
+  if (const auto prepared = prepare(model, version, age))
+    checkResponsibility(prepared, kResponsibilityChecks);
 }
 
-std::shared_ptr<AnnouncementTimeStore::Write> AnnouncementTimeStore::prepare(
+std::shared_ptr<AnnouncementTimeStore::PendingWrite> AnnouncementTimeStore::prepare(
     const std::string& model, base::WeightsVersion version, base::Duration age) const {
   const auto now = serviceClock_();
   if (!now) return nullptr;
-  auto write = std::make_shared<Write>();
+  auto write = std::make_shared<PendingWrite>();
   write->model = model;
-  write->named = {version, *now - age};
+  write->announced = {version, *now - age};
   return write;
 }
 
-void AnnouncementTimeStore::check(const std::shared_ptr<Write>& write, int checksLeft) {
-  if (responsible_(checksLeft == 0)) return step(write);
-  if (checksLeft == 0) return;
+void AnnouncementTimeStore::checkResponsibility(const std::shared_ptr<PendingWrite>& write,
+                                                int remainingChecks) {
+  if (responsible_(remainingChecks == 0)) return attempt(write);
+  if (remainingChecks == 0) return;
   timers_.schedule(kResponsibilityInterval,
-                   [this, write, checksLeft, alive = std::weak_ptr(lifetime_)] {
-                     if (!alive.expired()) check(write, checksLeft - 1);
+                   [this, write, remainingChecks, alive = std::weak_ptr(lifetime_)] {
+                     if (!alive.expired()) checkResponsibility(write, remainingChecks - 1);
                    });
 }
 
-void AnnouncementTimeStore::step(const std::shared_ptr<Write>& write) {
-  if (++write->attempts > kAttempts) return;
-  DateRow row = write->before;
-  row.insert(std::ranges::lower_bound(row, write->named.version, {}, &NamedVersion::version),
-             write->named);
-  if (row.size() > kKept) row.erase(row.begin());
+void AnnouncementTimeStore::attempt(const std::shared_ptr<PendingWrite>& write) {
+  if (++write->attempts > kMaximumWriteAttempts) return;
+  AnnouncementRow row = write->existing;
+  row.insert(
+      std::ranges::lower_bound(row, write->announced.version, {}, &AnnouncedVersion::version),
+      write->announced);
+  if (row.size() > kMaximumVersions) row.erase(row.begin());
   clients::TableTransaction transaction;
   transaction.conditions = {{keyOf(write->model), write->expected}};
   transaction.writes = {{keyOf(write->model), encode(row)}};
@@ -139,33 +145,34 @@
                 });
 }
 
-void AnnouncementTimeStore::onWritten(const std::shared_ptr<Write>& write,
+void AnnouncementTimeStore::onWritten(const std::shared_ptr<PendingWrite>& write,
                                       const clients::TableReply& reply) {
   if (reply.status == clients::TableStatus::kOk) return;
   if (reply.status != clients::TableStatus::kConflict) {
-    timers_.schedule(kRetry, [this, write, alive = std::weak_ptr(lifetime_)] {
-      if (!alive.expired()) step(write);
+    timers_.schedule(kRetryInterval, [this, write, alive = std::weak_ptr(lifetime_)] {
+      if (!alive.expired()) attempt(write);
     });
     return;
   }
-  write->before = dateIn(reply).value_or(DateRow{});
-  const auto dated = std::ranges::find(write->before, write->named.version, &NamedVersion::version);
-  if (dated != write->before.end()) {
+  write->existing = rowIn(reply).value_or(AnnouncementRow{});
+  const auto recorded =
+      std::ranges::find(write->existing, write->announced.version, &AnnouncedVersion::version);
+  if (recorded != write->existing.end()) {
     // The earlier date is that of who knew more.
-    if (dated->namedAt <= write->named.namedAt) return;
-    write->before.erase(dated);
+    if (recorded->announcedAt <= write->announced.announcedAt) return;
+    write->existing.erase(recorded);
   }
   write->expected = reply.rows.empty() ? 0 : reply.rows.front().revision;
-  step(write);
+  attempt(write);
 }
 
 void AnnouncementTimeStore::lookUp(const std::string& model, base::WeightsVersion version,
-                                   Found found) {
-  step(std::make_shared<LookUp>(LookUp{model, version, std::move(found)}));
+                                   Callback callback) {
+  attempt(std::make_shared<PendingLookUp>(PendingLookUp{model, version, std::move(callback)}));
 }
 
-void AnnouncementTimeStore::step(const std::shared_ptr<LookUp>& lookUp) {
-  if (++lookUp->attempts > kReads) return;
+void AnnouncementTimeStore::attempt(const std::shared_ptr<PendingLookUp>& lookUp) {
+  if (++lookUp->attempts > kMaximumReads) return;
   lookUp->sentAt = clock_.now();
   table_.read({keyOf(lookUp->model)},
               [this, lookUp, alive = std::weak_ptr(lifetime_)](const clients::TableReply& reply) {
@@ -181,19 +188,20 @@
   return serviceClock_();
 }
 
-void AnnouncementTimeStore::onRead(const std::shared_ptr<LookUp>& lookUp,
+void AnnouncementTimeStore::onRead(const std::shared_ptr<PendingLookUp>& lookUp,
                                    const clients::TableReply& reply) {
   const auto ages = agesIn(reply, latestServiceTime(reply, lookUp->sentAt));
   if (!ages.empty() && ages.back().version >= lookUp->version) {
-    lookUp->found(ages);
+    lookUp->callback(ages);
     return;
   }
   const bool absent = reply.status == clients::TableStatus::kOk;
-  if (absent && !std::exchange(lookUp->absenceTold, true)) lookUp->found({});
+  if (absent && !std::exchange(lookUp->absenceReported, true)) lookUp->callback({});
   // Not there yet, or not readable now.
-  timers_.schedule(pauseAfter(lookUp->attempts), [this, lookUp, alive = std::weak_ptr(lifetime_)] {
-    if (!alive.expired()) step(lookUp);
-  });
+  timers_.schedule(retryDelayAfter(lookUp->attempts),
+                   [this, lookUp, alive = std::weak_ptr(lifetime_)] {
+                     if (!alive.expired()) attempt(lookUp);
+                   });
 }
 
 }  // namespace covewing::node
--- a/src/node/announcement_time_store.h
+++ b/src/node/announcement_time_store.h
@@ -36,7 +36,7 @@
   using Responsible = std::function<bool(bool lastCheck)>;
   /// The versions named lately, ascending; empty when the table service answered and has no date of
   /// the version.
-  using Found = std::function<void(const std::vector<VersionAge>&)>;
+  using Callback = std::function<void(const std::vector<VersionAge>&)>;
 
   /// All must outlive the dates.
   AnnouncementTimeStore(
@@ -57,23 +57,23 @@
   /// Calls `found` when the version's date is known, with those of the versions before it, and once
   /// before that when it is not there; repeats a read that failed or found nothing, with growing
   /// pauses, for some 19 s: a version that has not been dated by then is in force in any case.
-  void lookUp(const std::string& model, base::WeightsVersion version, Found found);
+  void lookUp(const std::string& model, base::WeightsVersion version, Callback callback);
 
  private:
-  struct Write;
-  struct LookUp;
+  struct PendingWrite;
+  struct PendingLookUp;
 
   /// Null while the service's clock is not known.
-  std::shared_ptr<Write> prepare(const std::string& model, base::WeightsVersion version,
-                                 base::Duration age) const;
-  void check(const std::shared_ptr<Write>& write, int checksLeft);
-  void step(const std::shared_ptr<Write>& write);
-  void onWritten(const std::shared_ptr<Write>& write, const clients::TableReply& reply);
-  void step(const std::shared_ptr<LookUp>& lookUp);
+  std::shared_ptr<PendingWrite> prepare(const std::string& model, base::WeightsVersion version,
+                                        base::Duration age) const;
+  void checkResponsibility(const std::shared_ptr<PendingWrite>& write, int remainingChecks);
+  void attempt(const std::shared_ptr<PendingWrite>& write);
+  void onWritten(const std::shared_ptr<PendingWrite>& write, const clients::TableReply& reply);
+  void attempt(const std::shared_ptr<PendingLookUp>& lookUp);
   /// The service's clock now, at the latest that it can be.
   std::optional<base::Duration> latestServiceTime(const clients::TableReply& reply,
                                                   base::TimePoint sentAt) const;
-  void onRead(const std::shared_ptr<LookUp>& lookUp, const clients::TableReply& reply);
+  void onRead(const std::shared_ptr<PendingLookUp>& lookUp, const clients::TableReply& reply);
 
   clients::TableClient& table_;
   base::Clock& clock_;
--- a/src/node/cache_store_gossip.cc
+++ b/src/node/cache_store_gossip.cc
@@ -9,8 +9,8 @@
 /// Records are keyed by this, the store's name, a separator and the node's name.
 constexpr std::string_view kRecordPrefix = "cache-store/";
 constexpr char kSeparator = '|';
-constexpr std::string_view kAnswered = "1";
-constexpr std::string_view kSilent = "0";
+constexpr std::string_view kAvailable = "1";
+constexpr std::string_view kUnavailable = "0";
 /// Bits of a record's version below the node's incarnation.
 constexpr unsigned kCounterBits = 12;
 
@@ -21,7 +21,7 @@
                                    routing::CacheStores& stores)
     : members_(members), records_(records), stores_(stores) {
   stores_.onLocalAvailabilityChanged(
-      [this](const std::string& store, bool answered) { publish(store, answered); });
+      [this](const std::string& store, bool available) { publish(store, available); });
 }
 
 void CacheStoreGossip::start() {
@@ -29,20 +29,20 @@
                      [this](const membership::GossipRecord& record) { onRecord(record); });
 }
 
-void CacheStoreGossip::publish(const std::string& store, bool answered) {
+void CacheStoreGossip::publish(const std::string& store, bool available) {
   const auto& self = members_.self();
   std::string key{kRecordPrefix};
   key.append(store).append(1, kSeparator).append(self.name);
-  const std::uint64_t version = (self.incarnation << kCounterBits) + ++published_;
-  records_.publish({std::move(key), version, std::string{answered ? kAnswered : kSilent}});
+  const std::uint64_t version = (self.incarnation << kCounterBits) + ++recordCounter_;
+  records_.publish({std::move(key), version, std::string{available ? kAvailable : kUnavailable}});
 }
 
 void CacheStoreGossip::onRecord(const membership::GossipRecord& record) {
-  const auto rest = std::string_view{record.key}.substr(kRecordPrefix.size());
-  const auto separator = rest.rfind(kSeparator);
+  const auto storeAndNode = std::string_view{record.key}.substr(kRecordPrefix.size());
+  const auto separator = storeAndNode.rfind(kSeparator);
   if (separator == std::string_view::npos) return;
-  stores_.onReportedAvailability(rest.substr(0, separator), rest.substr(separator + 1),
-                                 record.value == kAnswered);
+  stores_.onReportedAvailability(storeAndNode.substr(0, separator),
+                                 storeAndNode.substr(separator + 1), record.value == kAvailable);
 }
 
 }  // namespace covewing::node
--- a/src/node/cache_store_gossip.h
+++ b/src/node/cache_store_gossip.h
@@ -21,13 +21,13 @@
   void start();
 
  private:
-  void publish(const std::string& store, bool answered);
+  void publish(const std::string& store, bool available);
   void onRecord(const membership::GossipRecord& record);
 
   const membership::MemberDirectory& members_;
   membership::RecordDissemination& records_;
   routing::CacheStores& stores_;
-  std::uint32_t published_ = 0;
+  std::uint32_t recordCounter_ = 0;
 };
 
 }  // namespace covewing::node
--- a/src/node/call_counting_weights_client.cc
+++ b/src/node/call_counting_weights_client.cc
@@ -4,7 +4,7 @@
 
 namespace covewing::node {
 
-void CallCountingWeightsClient::count(const std::string& instance) {
+void CallCountingWeightsClient::countCall(const std::string& instance) {
   const auto replica = replicas_.find(instance);
   if (replica && replica->notices().rateLimit().perSecond()) placement_.countControlCall(*replica);
 }
@@ -16,14 +16,14 @@
 void CallCountingWeightsClient::order(const base::Endpoint& replica, const std::string& instance,
                                       clients::WeightsOrder order,
                                       std::function<void(clients::WeightsOrderStatus)> callback) {
-  count(instance);
+  countCall(instance);
   client_.order(replica, instance, std::move(order), std::move(callback));
 }
 
 void CallCountingWeightsClient::report(
     const base::Endpoint& replica, const std::string& instance, const std::string& model,
     std::function<void(std::optional<clients::WeightsReport>)> callback) {
-  count(instance);
+  countCall(instance);
   client_.report(replica, instance, model, std::move(callback));
 }
 
--- a/src/node/call_counting_weights_client.h
+++ b/src/node/call_counting_weights_client.h
@@ -29,7 +29,7 @@
               std::function<void(std::optional<clients::WeightsReport>)> callback) override;
 
  private:
-  void count(const std::string& instance);
+  void countCall(const std::string& instance);
 
   clients::WeightsClient& client_;
   const routing::ReplicaDirectory& replicas_;
--- a/src/node/configuration_gossip.cc
+++ b/src/node/configuration_gossip.cc
@@ -37,7 +37,7 @@
   records.subscribe(std::string{kEraKey},
                     [this](const membership::GossipRecord& record) { onEraRecord(record); });
   records.subscribe(std::string{kTableKey}, [this](const membership::GossipRecord& record) {
-    environment_.configuration.onTableKnown(record.version);
+    environment_.configuration.onPeerTableVersion(record.version);
   });
   records.subscribe(std::string{kWeightsPrefix},
                     [this](const membership::GossipRecord& record) { onWeightsRecord(record); });
@@ -47,52 +47,54 @@
   environment_.records.publish({std::string{kTableKey}, version, {}});
 }
 
-void ConfigurationGossip::publishWeightsVersion(const AnnouncedWeights& named) {
-  environment_.records.publish({std::string{kWeightsPrefix} + named.model, named.version, {}});
+void ConfigurationGossip::publishWeightsVersion(const AnnouncedWeights& weights) {
+  environment_.records.publish({std::string{kWeightsPrefix} + weights.model, weights.version, {}});
 }
 
 void ConfigurationGossip::onWeightsRecord(const membership::GossipRecord& record) {
-  environment_.configuration.onWeightsKnown(
+  environment_.configuration.onPeerWeightsVersion(
       {record.key.substr(kWeightsPrefix.size()), record.version});
 }
 
 void ConfigurationGossip::onEraRecord(const membership::GossipRecord& record) {
   const auto era = eraOfRecord(record.version);
   if (!era || !environment_.eras.note(*era, "gossip")) return;
-  toldReturnedAt_ = parseDuration(record.value);
-  takeReturnTime();
+  reportedRestoreTime_ = parseDuration(record.value);
+  applyReportedRestoreTime();
 }
 
-void ConfigurationGossip::takeReturnTime() {
+void ConfigurationGossip::applyReportedRestoreTime() {
   const auto now = environment_.serviceClock();
-  if (!toldReturnedAt_ || !now || !toldEra_ || *toldEra_ != environment_.eras.current()) return;
-  environment_.eras.onReturnTold(*now - *toldReturnedAt_);
+  if (!reportedRestoreTime_ || !now || !publishedEra_ ||
+      *publishedEra_ != environment_.eras.current())
+    return;
+  environment_.eras.onReturnTold(*now - *reportedRestoreTime_);
 }
 
 void ConfigurationGossip::onStoreReturned() {
-  toldReturnedAt_.reset();
+  reportedRestoreTime_.reset();
   // The others learn of it before this node has read anything anew.
-  tellEra(std::nullopt);
+  publishEra(std::nullopt);
 }
 
 void ConfigurationGossip::onFeedCurrent() {
   const auto era = environment_.eras.known();
   if (!era) return;
-  const bool first = toldEra_ != era;
-  if (first) tellEra(std::nullopt);
-  takeReturnTime();
-  const auto returnedAt = environment_.eras.returnedAt();
+  const bool first = publishedEra_ != era;
+  if (first) publishEra(std::nullopt);
+  applyReportedRestoreTime();
+  const auto restoredAt = environment_.eras.returnedAt();
   const auto serviceNow = environment_.serviceClock();
-  if (!returnedAt || !serviceNow || toldReturnOf_ == era) return;
-  toldReturnOf_ = era;
-  tellEra(*serviceNow - environment_.eras.sinceReturn());
+  if (!restoredAt || !serviceNow || publishedRestoreEra_ == era) return;
+  publishedRestoreEra_ = era;
+  publishEra(*serviceNow - environment_.eras.sinceReturn());
 }
 
-void ConfigurationGossip::tellEra(std::optional<base::Duration> returnedAt) {
+void ConfigurationGossip::publishEra(std::optional<base::Duration> restoredAt) {
   const auto era = environment_.eras.current();
-  toldEra_ = era;
-  environment_.records.publish({std::string{kEraKey}, recordVersion(era, returnedAt.has_value()),
-                                returnedAt ? std::to_string(returnedAt->count()) : ""});
+  publishedEra_ = era;
+  environment_.records.publish({std::string{kEraKey}, recordVersion(era, restoredAt.has_value()),
+                                restoredAt ? std::to_string(restoredAt->count()) : ""});
 }
 
 }  // namespace covewing::node
--- a/src/node/configuration_gossip.h
+++ b/src/node/configuration_gossip.h
@@ -37,7 +37,7 @@
   void start();
   /// This node has seen a version of the route table, or of a model's weights.
   void publishTableVersion(std::uint64_t version);
-  void publishWeightsVersion(const AnnouncedWeights& named);
+  void publishWeightsVersion(const AnnouncedWeights& weights);
   /// This node has noticed a return.
   void onStoreReturned();
   /// The feed was read in the era that is known: the service's clock is that era's.
@@ -47,16 +47,16 @@
   void onEraRecord(const membership::GossipRecord& record);
   void onWeightsRecord(const membership::GossipRecord& record);
   /// Tells the era, with the service's time of the return where that is known.
-  void tellEra(std::optional<base::Duration> returnedAt);
+  void publishEra(std::optional<base::Duration> restoredAt);
   /// Takes what another node says of when the service returned, once its clock is known here.
-  void takeReturnTime();
+  void applyReportedRestoreTime();
 
   ConfigurationGossipEnvironment environment_;
   /// The service's time of the return to the era that is known, as another node said it.
-  std::optional<base::Duration> toldReturnedAt_;
+  std::optional<base::Duration> reportedRestoreTime_;
   /// The era whose return, or whose number at least, this node has told.
-  std::optional<base::StoreEra> toldEra_;
-  std::optional<base::StoreEra> toldReturnOf_;
+  std::optional<base::StoreEra> publishedEra_;
+  std::optional<base::StoreEra> publishedRestoreEra_;
 };
 
 }  // namespace covewing::node
--- a/src/node/confirmation_log.h
+++ b/src/node/confirmation_log.h
@@ -24,20 +24,20 @@
 
  private:
   /// Least time between two lines.
-  static constexpr base::Duration kLeastInterval = std::chrono::seconds(1);
+  static constexpr base::Duration kMinimumInterval = std::chrono::seconds(1);
   /// Without anything unusual.
-  static constexpr base::Duration kQuietInterval = std::chrono::seconds(15);
+  static constexpr base::Duration kRoutineInterval = std::chrono::seconds(15);
   /// Proofs of a fleet without faults are younger when they arrive.
   static constexpr base::Duration kUnusualAge = std::chrono::milliseconds(1000);
 
-  bool worthALine(const config::Confirmation& confirmation, base::TimePoint now) const;
+  bool shouldLog(const config::Confirmation& confirmation, base::TimePoint now) const;
 
   base::Clock& clock_;
   base::EventLog& log_;
-  std::optional<base::TimePoint> writtenAt_;
-  std::optional<base::Endpoint> writtenNode_;
+  std::optional<base::TimePoint> lastLoggedAt_;
+  std::optional<base::Endpoint> lastLoggedNode_;
   /// Confirmations since the last line.
-  std::uint64_t unwritten_ = 0;
+  std::uint64_t unloggedCount_ = 0;
 };
 
 }  // namespace covewing::node
--- a/src/node/feed_outage.h
+++ b/src/node/feed_outage_log.h
@@ -10,10 +10,10 @@
 
 namespace covewing::node {
 
-class FeedOutage {
+class FeedOutageLog {
  public:
   /// `feed` is its name in the log.
-  FeedOutage(base::EventLog& log, std::string feed) : log_(log), feed_(std::move(feed)) {}
+  FeedOutageLog(base::EventLog& log, std::string feed) : log_(log), feed_(std::move(feed)) {}
 
   void onCurrent();
   void onFailure(clients::FeedStatus status);
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -13,7 +13,7 @@
 #include "node/fleet_catalogue.h"
 #include "node/operator_service.h"
 #include "node/pause_detector.h"
-#include "node/zone_watch.h"
+#include "node/zone_reachability_tracker.h"
 #include "request/claim_expiry.h"
 #include "request/claim_store.h"
 #include "request/request_manager.h"
@@ -96,7 +96,7 @@
   request::RequestService& requests() override { return requests_; }
   OperatorService& operators() override { return *operators_; }
   bool ready() const override { return store_.loaded() && !requests_.draining(); }
-  void drain(base::Duration bound, std::function<void()> drained) override;
+  void drain(base::Duration timeout, std::function<void()> drained) override;
 
   const config::ConfigurationView& configuration() const override { return store_; }
   const membership::MemberDirectory& members() const override { return members_; }
@@ -113,7 +113,7 @@
   void logReadiness();
   void onWake();
   /// The lease is given up and no request is open.
-  bool mayFinishDraining() const;
+  bool canFinishDraining() const;
   void finishDraining();
 
   NodeOptions options_;
@@ -127,7 +127,7 @@
   request::ClaimStore claims_;
   request::ClaimExpiry claimExpiry_;
   ExplainLog explainLog_;
-  ZoneWatch zones_;
+  ZoneReachabilityTracker zones_;
   DispatchFeedback feedback_;
   request::RequestManager requests_;
   FleetCatalogue catalogue_;
@@ -135,8 +135,8 @@
   std::unique_ptr<OperatorService> operators_;
   PauseDetector pauseDetector_;
   std::array<base::PeerHandler*, kChannelCount> handlers_{};
-  std::function<void()> drained_;
-  bool handedOver_ = false;
+  std::function<void()> onDrained_;
+  bool leaseReleased_ = false;
   request::OneShotTimer drainTimer_;
   request::OneShotTimer readyTimer_;
 };
@@ -173,7 +173,7 @@
            environment.peers, environment.table, environment.engines, members_, catalogue_}),
       operators_(makeOperatorService(operatorDependencies())),
       pauseDetector_(environment.clock, environment.timers, environment.log,
-                     [this](base::Duration /*silence*/) { onWake(); }),
+                     [this](base::Duration /*pause*/) { onWake(); }),
       drainTimer_(environment.timers),
       readyTimer_(environment.timers) {
   registerHandler(Channel::kMembership, members_);
@@ -184,7 +184,7 @@
   registerHandler(Channel::kRequest, claims_);
   requests_.setBeforeRequest([this] { pauseDetector_.check(); });
   requests_.setOnFinished([this] {
-    if (drained_ != nullptr && mayFinishDraining()) finishDraining();
+    if (onDrained_ != nullptr && canFinishDraining()) finishDraining();
   });
 }
 
@@ -242,9 +242,9 @@
 }
 
 void NodeImpl::logReadiness() {
-  constexpr base::Duration kReadinessCheck = std::chrono::milliseconds(20);
+  constexpr base::Duration kReadinessCheckInterval = std::chrono::milliseconds(20);
   if (!ready()) {
-    readyTimer_.start(kReadinessCheck, [this] { logReadiness(); });
+    readyTimer_.start(kReadinessCheckInterval, [this] { logReadiness(); });
     return;
   }
   environment_.log.write(base::Event::kNodeReady, {{"node", options_.name}});
@@ -266,22 +266,22 @@
   distributor_.onWake();
 }
 
-void NodeImpl::drain(base::Duration bound, std::function<void()> drained) {
+void NodeImpl::drain(base::Duration timeout, std::function<void()> drained) {
   environment_.log.write(base::Event::kNodeDraining, {{"node", options_.name}});
   requests_.startDraining();
   members_.setDraining(true);
-  drained_ = std::move(drained);
-  drainTimer_.start(bound, [this] { finishDraining(); });
+  onDrained_ = std::move(drained);
+  drainTimer_.start(timeout, [this] { finishDraining(); });
   coordinator_.drain([this] {
-    handedOver_ = true;
+    leaseReleased_ = true;
     // Never from inside `drain`.
-    if (drained_ != nullptr && mayFinishDraining()) {
+    if (onDrained_ != nullptr && canFinishDraining()) {
       drainTimer_.start(base::Duration::zero(), [this] { finishDraining(); });
     }
   });
 }
 
-bool NodeImpl::mayFinishDraining() const { return handedOver_ && requests_.openRequests() == 0; }
+bool NodeImpl::canFinishDraining() const { return leaseReleased_ && requests_.openRequests() == 0; }
 
 void NodeImpl::finishDraining() {
   drainTimer_.stop();
@@ -289,7 +289,7 @@
       {base::ResultCode::kNodeDraining, "the bound of the planned stop passed"});
   members_.leave();
   environment_.log.write(base::Event::kNodeStopped, {{"node", options_.name}});
-  if (drained_ != nullptr) std::exchange(drained_, nullptr)();
+  if (onDrained_ != nullptr) std::exchange(onDrained_, nullptr)();
 }
 
 }  // namespace
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -89,7 +89,7 @@
   virtual bool ready() const = 0;
   /// Planned stop: refuse new requests, hand over roles, finish streams; `drained` is called once
   /// when none is left or `bound` has passed.
-  virtual void drain(base::Duration bound, std::function<void()> drained) = 0;
+  virtual void drain(base::Duration timeout, std::function<void()> drained) = 0;
 
   virtual const config::ConfigurationView& configuration() const = 0;
   virtual const membership::MemberDirectory& members() const = 0;
--- a/src/node/node_count.h
+++ b/src/node/node_count.h
@@ -31,13 +31,13 @@
   std::size_t operator()() {
     const auto now = clock_.now();
     const auto live = members_.liveMembers().size();
-    if (live >= most_ || now - mostAt_ > options_.memory) {
-      most_ = live;
-      mostAt_ = now;
+    if (live >= maximumSeen_ || now - maximumSeenAt_ > options_.memory) {
+      maximumSeen_ = live;
+      maximumSeenAt_ = now;
     }
-    const bool unsure = most_ <= 1 && !options_.trustsSingleNodeView;
-    const bool assumes = unsure || now - startedAt_ < options_.clusterFormationTime;
-    return assumes ? std::max(most_, options_.assumedNodes) : most_;
+    const bool possiblyIsolated = maximumSeen_ <= 1 && !options_.trustsSingleNodeView;
+    const bool useAssumption = possiblyIsolated || now - startedAt_ < options_.clusterFormationTime;
+    return useAssumption ? std::max(maximumSeen_, options_.assumedNodes) : maximumSeen_;
   }
 
  private:
@@ -45,8 +45,8 @@
   const base::Clock& clock_;
   NodeCountOptions options_;
   base::TimePoint startedAt_;
-  std::size_t most_ = 1;
-  base::TimePoint mostAt_{};
+  std::size_t maximumSeen_ = 1;
+  base::TimePoint maximumSeenAt_{};
 };
 
 }  // namespace covewing::node
--- a/src/node/operator_service.cc
+++ b/src/node/operator_service.cc
@@ -3,8 +3,8 @@
 #include <memory>
 #include <utility>
 
-#include "node/operator_service_answer.h"
 #include "node/operator_service_orders.h"
+#include "node/operator_service_response.h"
 #include "node/operator_service_status.h"
 #include "node/operator_service_target.h"
 #include "node/operator_service_templates.h"
@@ -25,17 +25,18 @@
 
   void call(OperatorRequest request, std::function<void(OperatorResponse)> callback) override {
     // Answers never come from inside the call.
-    auto later = [&timers = timers_, callback = std::move(callback)](OperatorResponse response) {
+    auto respondLater = [&timers = timers_,
+                         callback = std::move(callback)](OperatorResponse response) {
       timers.schedule(base::Duration::zero(),
                       [callback, response = std::move(response)] { callback(response); });
     };
     base::Reason reason;
     const auto target = OperatorTarget::parse(request.target, reason);
     if (!target) {
-      later(refusal(reason));
+      respondLater(errorResponse(reason));
       return;
     }
-    dispatch(*target, request, std::move(later));
+    dispatch(*target, request, std::move(respondLater));
   }
 
  private:
@@ -51,7 +52,8 @@
     } else if (resource == "expand" && request.method == "POST") {
       callback(templates_.expand(target, request.body));
     } else {
-      callback(refusal(base::ResultCode::kUnknownPath, "no such resource: " + request.target));
+      callback(
+          errorResponse(base::ResultCode::kUnknownPath, "no such resource: " + request.target));
     }
   }
 
--- a/src/node/operator_service_orders.cc
+++ b/src/node/operator_service_orders.cc
@@ -22,9 +22,9 @@
 constexpr std::size_t kMaximumName = 128;
 constexpr std::size_t kMaximumEngines = 1024;
 constexpr std::size_t kMaximumAdapters = 64;
-constexpr std::uint64_t kLargestCount = 100'000;
+constexpr std::uint64_t kMaximumCount = 100'000;
 /// 2^53: a whole number that every JSON reader keeps.
-constexpr std::uint64_t kLargestVersion = 1ULL << 53U;
+constexpr std::uint64_t kMaximumVersion = 1ULL << 53U;
 
 Json jsonOf(const OrderStep& step) {
   return {
@@ -75,21 +75,21 @@
 OperatorResponse responseOf(const OrderCallResult& result) {
   switch (result.status) {
     case OrderCallStatus::kOk:
-      return answerOf(detailOf(*result.order));
+      return okResponse(detailOf(*result.order));
     case OrderCallStatus::kConflict:
-      return conflict(result.reason.detail, {{"id", result.order->id},
-                                             {"version", result.order->revision},
-                                             {"holder", result.order->author}});
+      return conflictResponse(result.reason.detail, {{"id", result.order->id},
+                                                     {"version", result.order->revision},
+                                                     {"holder", result.order->author}});
     case OrderCallStatus::kUnknown:
-      return refusal(result.reason.code, result.reason.detail, OperatorOutcome::kUnknown);
+      return errorResponse(result.reason.code, result.reason.detail, OperatorOutcome::kUnknown);
     default:
-      return refusal(result.reason);
+      return errorResponse(result.reason);
   }
 }
 
 std::optional<std::uint32_t> optionalCount(config::FieldReader& reader, std::string_view name) {
   if (reader.find(name) == nullptr) return std::nullopt;
-  return static_cast<std::uint32_t>(reader.unsignedInteger(name, 0, 0, kLargestCount));
+  return static_cast<std::uint32_t>(reader.unsignedInteger(name, 0, 0, kMaximumCount));
 }
 
 /// Reads the body; mistakes are appended.
@@ -109,7 +109,7 @@
         static_cast<clients::EngineRole>(reader.choice("role", 0, {"serving", "standby"}));
   } else {
     request.model = reader.text("model", "", kMaximumName);
-    request.version = reader.unsignedInteger("version", 0, 1, kLargestVersion);
+    request.version = reader.unsignedInteger("version", 0, 1, kMaximumVersion);
     request.adapters = reader.texts("adapters", kMaximumAdapters, kMaximumName);
     request.parallel = optionalCount(reader, "parallel").value_or(0);
   }
@@ -126,29 +126,29 @@
   if (segments.size() == 2) {
     callOne(segments[1], target, request, std::move(callback));
   } else if (segments.size() > 2) {
-    callback(refusal(base::ResultCode::kUnknownPath, "no such resource under /v1/orders"));
+    callback(errorResponse(base::ResultCode::kUnknownPath, "no such resource under /v1/orders"));
   } else if (request.method == "GET") {
     list(std::move(callback));
   } else if (request.method == "POST") {
     create(target, request.body, std::move(callback));
   } else {
-    callback(refusal(base::ResultCode::kMethodNotAllowed, "orders take GET and POST"));
+    callback(errorResponse(base::ResultCode::kMethodNotAllowed, "orders take GET and POST"));
   }
 }
 
 void OrderCalls::callOne(const std::string& id, const OperatorTarget& /*target*/,
                          const OperatorRequest& request, OperatorCallback callback) {
-  auto answer = [callback = std::move(callback)](const OrderCallResult& result) {
+  auto respond = [callback = std::move(callback)](const OrderCallResult& result) {
     callback(responseOf(result));
   };
   if (request.method == "GET") {
-    store_.find(id, std::move(answer));
+    store_.find(id, std::move(respond));
   } else if (request.method == "DELETE") {
-    store_.cancel(id, std::move(answer));
+    store_.cancel(id, std::move(respond));
   } else {
-    answer({OrderCallStatus::kNotFound,
-            std::nullopt,
-            {base::ResultCode::kMethodNotAllowed, "an order takes GET and DELETE"}});
+    respond({OrderCallStatus::kNotFound,
+             std::nullopt,
+             {base::ResultCode::kMethodNotAllowed, "an order takes GET and DELETE"}});
   }
 }
 
@@ -157,7 +157,7 @@
   std::vector<config::FieldMistake> mistakes;
   const auto json = config::parseBoundedJson(body, kBodyBounds, mistakes);
   if (!json) {
-    callback(refusal(base::ResultCode::kMalformedJson, mistakes));
+    callback(errorResponse(base::ResultCode::kMalformedJson, mistakes));
     return;
   }
   OrderRequest request = readRequest(*json, mistakes);
@@ -172,7 +172,7 @@
   std::optional<Order> order;
   if (mistakes.empty()) order = coordination::makeOrder(request, catalogue_.engines(), mistakes);
   if (!order) {
-    callback(refusal(base::ResultCode::kOrderInvalid, mistakes));
+    callback(errorResponse(base::ResultCode::kOrderInvalid, mistakes));
     return;
   }
   store_.create(std::move(*order), [callback = std::move(callback)](const OrderCallResult& result) {
@@ -183,12 +183,12 @@
 void OrderCalls::list(OperatorCallback callback) {
   store_.list([callback = std::move(callback)](const coordination::OrderListResult& result) {
     if (!result.orders) {
-      callback(refusal(result.reason));
+      callback(errorResponse(result.reason));
       return;
     }
     Json orders = Json::array();
     for (const Order& order : *result.orders) orders.push_back(summaryOf(order));
-    callback(answerOf({{"orders", std::move(orders)}}));
+    callback(okResponse({{"orders", std::move(orders)}}));
   });
 }
 
--- a/src/node/operator_service_orders.h
+++ b/src/node/operator_service_orders.h
@@ -7,7 +7,7 @@
 #include "coordination/engine_catalogue.h"
 #include "coordination/order_store.h"
 #include "node/operator_api.h"
-#include "node/operator_service_answer.h"
+#include "node/operator_service_response.h"
 #include "node/operator_service_target.h"
 
 namespace covewing::node {
--- a/src/node/operator_service_answer.cc
+++ b/src/node/operator_service_response.cc
@@ -1,4 +1,4 @@
-#include "node/operator_service_answer.h"
+#include "node/operator_service_response.h"
 
 namespace covewing::node {
 
@@ -19,15 +19,18 @@
 
 }  // namespace
 
-OperatorResponse answerOf(const Json& body) { return {base::ResultCode::kOk, textOf(body)}; }
+OperatorResponse okResponse(const Json& body) { return {base::ResultCode::kOk, textOf(body)}; }
 
-OperatorResponse refusal(base::ResultCode code, std::string detail, OperatorOutcome outcome) {
+OperatorResponse errorResponse(base::ResultCode code, std::string detail, OperatorOutcome outcome) {
   return {code, textOf(errorBody(code, std::move(detail), outcome))};
 }
 
-OperatorResponse refusal(const base::Reason& reason) { return refusal(reason.code, reason.detail); }
+OperatorResponse errorResponse(const base::Reason& reason) {
+  return errorResponse(reason.code, reason.detail);
+}
 
-OperatorResponse refusal(base::ResultCode code, const std::vector<config::FieldMistake>& mistakes) {
+OperatorResponse errorResponse(base::ResultCode code,
+                               const std::vector<config::FieldMistake>& mistakes) {
   Json body = errorBody(code, config::toText(mistakes), OperatorOutcome::kNotRun);
   if (!mistakes.empty()) body["field"] = mistakes.front().path;
   Json list = Json::array();
@@ -38,7 +41,7 @@
   return {code, textOf(body)};
 }
 
-OperatorResponse conflict(std::string detail, Json current) {
+OperatorResponse conflictResponse(std::string detail, Json current) {
   Json body =
       errorBody(base::ResultCode::kVersionConflict, std::move(detail), OperatorOutcome::kNotRun);
   body["current"] = std::move(current);
--- a/src/node/operator_service_answer.h
+++ b/src/node/operator_service_response.h
@@ -18,13 +18,14 @@
 /// Whether a refused call may have changed something.
 enum class OperatorOutcome : std::uint8_t { kNotRun, kUnknown };
 
-OperatorResponse answerOf(const nlohmann::json& body);
-OperatorResponse refusal(base::ResultCode code, std::string detail,
-                         OperatorOutcome outcome = OperatorOutcome::kNotRun);
-OperatorResponse refusal(const base::Reason& reason);
+OperatorResponse okResponse(const nlohmann::json& body);
+OperatorResponse errorResponse(base::ResultCode code, std::string detail,
+                               OperatorOutcome outcome = OperatorOutcome::kNotRun);
+OperatorResponse errorResponse(const base::Reason& reason);
 /// A refusal that names each field in `mistakes`, the first one in `field` too.
-OperatorResponse refusal(base::ResultCode code, const std::vector<config::FieldMistake>& mistakes);
+OperatorResponse errorResponse(base::ResultCode code,
+                               const std::vector<config::FieldMistake>& mistakes);
 /// A lost race: what is in force, and who put it there.
-OperatorResponse conflict(std::string detail, nlohmann::json current);
+OperatorResponse conflictResponse(std::string detail, nlohmann::json current);
 
 }  // namespace covewing::node
--- a/src/node/operator_service_status.cc
+++ b/src/node/operator_service_status.cc
@@ -4,7 +4,7 @@
 
 #include "coordination/order.h"
 #include "node/explain_json.h"
-#include "node/operator_service_answer.h"
+#include "node/operator_service_response.h"
 #include "routing/engine_homes.h"
 
 namespace covewing::node {
@@ -41,14 +41,14 @@
   return list;
 }
 
-Json loadOf(const routing::ReceivedLoad& known, base::TimePoint now) {
+Json loadOf(const routing::ReceivedLoad& received, base::TimePoint now) {
   std::uint32_t waiting = 0;
-  for (const std::uint32_t count : known.load.waiting) waiting += count;
-  return {{"running", known.load.running},
+  for (const std::uint32_t count : received.load.waiting) waiting += count;
+  return {{"running", received.load.running},
           {"waiting", waiting},
-          {"cached_blocks", known.load.cachedBlocks},
-          {"capacity_blocks", known.load.capacityBlocks},
-          {"age_ms", base::toMilliseconds(now - known.receivedAt)}};
+          {"cached_blocks", received.load.cachedBlocks},
+          {"capacity_blocks", received.load.capacityBlocks},
+          {"age_ms", base::toMilliseconds(now - received.receivedAt)}};
 }
 
 Json homesOf(const routing::EngineState& engine, const membership::MemberDirectory& members) {
@@ -104,7 +104,7 @@
     if (engine.load) json["load"] = loadOf(*engine.load, clock_.now());
     engines.push_back(std::move(json));
   }
-  return answerOf({{"engines", std::move(engines)}});
+  return okResponse({{"engines", std::move(engines)}});
 }
 
 OperatorResponse StatusCalls::node() const {
@@ -113,28 +113,28 @@
   const NodeActivity activity = activity_();
   Json list = Json::array();
   for (const membership::Member& member : members_.liveMembers()) list.push_back(jsonOf(member));
-  return answerOf({{"name", self.name},
-                   {"zone", self.zone},
-                   {"region", self.region},
-                   {"incarnation", self.incarnation},
-                   {"ready", activity.ready},
-                   {"draining", activity.draining},
-                   {"open_requests", activity.openRequests},
-                   {"configuration",
-                    {{"revision", freshness.revision},
-                     {"confirmed", freshness.confirmed},
-                     {"age_ms", base::toMilliseconds(freshness.age)},
-                     {"templates", configuration_.size()}}},
-                   {"lease", leaseOf(coordinator_)},
-                   {"members", std::move(list)}});
+  return okResponse({{"name", self.name},
+                     {"zone", self.zone},
+                     {"region", self.region},
+                     {"incarnation", self.incarnation},
+                     {"ready", activity.ready},
+                     {"draining", activity.draining},
+                     {"open_requests", activity.openRequests},
+                     {"configuration",
+                      {{"revision", freshness.revision},
+                       {"confirmed", freshness.confirmed},
+                       {"age_ms", base::toMilliseconds(freshness.age)},
+                       {"templates", configuration_.size()}}},
+                     {"lease", leaseOf(coordinator_)},
+                     {"members", std::move(list)}});
 }
 
 OperatorResponse StatusCalls::explain(const std::string& requestId) const {
   const request::RequestTrace* trace = explainLog_.find(base::RequestId{requestId});
   if (trace == nullptr) {
-    return refusal(base::ResultCode::kRequestNotFound,
-                   "this node keeps no record of " + requestId +
-                       "; the node that served it does, for its last requests");
+    return errorResponse(base::ResultCode::kRequestNotFound,
+                         "this node keeps no record of " + requestId +
+                             "; the node that served it does, for its last requests");
   }
   return {base::ResultCode::kOk, explainJson(*trace)};
 }
--- a/src/node/operator_service_target.cc
+++ b/src/node/operator_service_target.cc
@@ -47,9 +47,9 @@
 std::optional<OperatorTarget> OperatorTarget::parse(std::string_view target, base::Reason& reason) {
   reason = {base::ResultCode::kUnknownPath, "malformed target"};
   if (target.size() > kMaximumTarget) return std::nullopt;
-  const std::size_t mark = std::min(target.find('?'), target.size());
+  const std::size_t questionMark = std::min(target.find('?'), target.size());
   OperatorTarget result;
-  for (const std::string_view segment : split(target.substr(0, mark), '/')) {
+  for (const std::string_view segment : split(target.substr(0, questionMark), '/')) {
     auto decoded = decode(segment);
     if (!decoded) return std::nullopt;
     result.segments_.push_back(std::move(*decoded));
@@ -59,7 +59,7 @@
     return std::nullopt;
   }
   result.segments_.erase(result.segments_.begin());
-  const std::string_view query = target.substr(std::min(mark + 1, target.size()));
+  const std::string_view query = target.substr(std::min(questionMark + 1, target.size()));
   for (const std::string_view pair : split(query, '&')) {
     const std::size_t equals = std::min(pair.find('='), pair.size());
     auto name = decode(pair.substr(0, equals));
--- a/src/node/operator_service_templates.cc
+++ b/src/node/operator_service_templates.cc
@@ -40,25 +40,26 @@
 OperatorResponse responseOf(const config::TemplateEdit& edit, const config::EditResult& result) {
   switch (result.status) {
     case config::EditStatus::kAccepted:
-      return answerOf({{"name", edit.name},
-                       {"version", result.version},
-                       {"operation", edit.operationId},
-                       {"author", edit.author}});
+      return okResponse({{"name", edit.name},
+                         {"version", result.version},
+                         {"operation", edit.operationId},
+                         {"author", edit.author}});
     case config::EditStatus::kConflict:
-      return conflict(
+      return conflictResponse(
           result.reason.detail,
           {{"name", edit.name}, {"version", result.version}, {"holder", result.holder}});
     case config::EditStatus::kInvalid:
-      return refusal(base::ResultCode::kTemplateInvalid, result.mistakes);
+      return errorResponse(base::ResultCode::kTemplateInvalid, result.mistakes);
     case config::EditStatus::kNotFound:
-      return refusal(base::ResultCode::kTemplateNotFound, "no template is named " + edit.name);
+      return errorResponse(base::ResultCode::kTemplateNotFound,
+                           "no template is named " + edit.name);
     case config::EditStatus::kUnavailable:
-      return refusal(base::ResultCode::kPlatformUnavailable, result.reason.detail);
+      return errorResponse(base::ResultCode::kPlatformUnavailable, result.reason.detail);
     case config::EditStatus::kUnknown:
       break;
   }
-  return refusal(base::ResultCode::kPlatformOutcomeUnknown, result.reason.detail,
-                 OperatorOutcome::kUnknown);
+  return errorResponse(base::ResultCode::kPlatformOutcomeUnknown, result.reason.detail,
+                       OperatorOutcome::kUnknown);
 }
 
 /// Fills in who asks and under which operation identifier; false with the mistakes.
@@ -86,7 +87,8 @@
   const auto& segments = target.segments();
   if (segments.size() == 1) {
     if (request.method != "GET") {
-      callback(refusal(base::ResultCode::kMethodNotAllowed, "the list of templates takes GET"));
+      callback(
+          errorResponse(base::ResultCode::kMethodNotAllowed, "the list of templates takes GET"));
       return;
     }
     callback(list(target));
@@ -100,7 +102,7 @@
     callOne(segments[1], target, request, std::move(callback));
     return;
   }
-  callback(refusal(base::ResultCode::kUnknownPath, "no such resource under /v1/templates"));
+  callback(errorResponse(base::ResultCode::kUnknownPath, "no such resource under /v1/templates"));
 }
 
 void TemplateCalls::callOne(const std::string& name, const OperatorTarget& target,
@@ -112,8 +114,8 @@
   } else if (request.method == "DELETE") {
     retire(name, target, std::move(callback));
   } else {
-    callback(
-        refusal(base::ResultCode::kMethodNotAllowed, "a template takes GET, PUT, POST and DELETE"));
+    callback(errorResponse(base::ResultCode::kMethodNotAllowed,
+                           "a template takes GET, PUT, POST and DELETE"));
   }
 }
 
@@ -127,9 +129,9 @@
     if (row && (withRetired || !row->retired)) templates.push_back(summaryOf(*row));
   }
   const config::Freshness freshness = store_.freshness();
-  return answerOf({{"revision", freshness.revision},
-                   {"confirmed", freshness.confirmed},
-                   {"templates", std::move(templates)}});
+  return okResponse({{"revision", freshness.revision},
+                     {"confirmed", freshness.confirmed},
+                     {"templates", std::move(templates)}});
 }
 
 OperatorResponse TemplateCalls::get(const std::string& name) const {
@@ -137,14 +139,14 @@
   base::Reason reason;
   const auto row = stored ? config::parseTemplateRow(*stored, reason) : std::nullopt;
   if (!row) {
-    return refusal(base::ResultCode::kTemplateNotFound, "no template is named " + name);
+    return errorResponse(base::ResultCode::kTemplateNotFound, "no template is named " + name);
   }
   Json body = versionOf(*row);
   body["confirmed"] = store_.freshness().confirmed;
   if (const auto expanded = store_.findByName(name)) {
     body["expansion"] = Json::parse(config::toJson(*expanded), nullptr, false);
   }
-  return answerOf(body);
+  return okResponse(body);
 }
 
 void TemplateCalls::submit(const config::TemplateEdit& edit, OperatorCallback callback) {
@@ -158,7 +160,7 @@
   base::Reason reason;
   const auto version = target.number("version", reason);
   if (reason.code != base::ResultCode::kOk) {
-    callback(refusal(reason));
+    callback(errorResponse(reason));
     return;
   }
   config::TemplateEdit edit;
@@ -168,7 +170,7 @@
   edit.expectedVersion = version.value_or(0);
   std::vector<config::FieldMistake> mistakes;
   if (!readOperation(target, edit, mistakes)) {
-    callback(refusal(base::ResultCode::kInvalidField, mistakes));
+    callback(errorResponse(base::ResultCode::kInvalidField, mistakes));
     return;
   }
   submit(edit, std::move(callback));
@@ -185,38 +187,38 @@
   std::vector<config::FieldMistake> mistakes;
   if (!version) mistakes.push_back({"version", "must be given as a whole number"});
   if (!readOperation(target, edit, mistakes)) {
-    callback(refusal(base::ResultCode::kInvalidField, mistakes));
+    callback(errorResponse(base::ResultCode::kInvalidField, mistakes));
     return;
   }
   submit(edit, std::move(callback));
 }
 
 void TemplateCalls::history(const std::string& name, OperatorCallback callback) {
-  editor_.history(
-      name, [name, callback = std::move(callback)](const config::HistoryResult& result) {
-        if (!result.versions) {
-          callback(refusal(result.reason));
-          return;
-        }
-        if (result.versions->empty()) {
-          callback(refusal(base::ResultCode::kTemplateNotFound, "no template is named " + name));
-          return;
-        }
-        Json versions = Json::array();
-        for (const config::TemplateRow& row : *result.versions) versions.push_back(versionOf(row));
-        callback(answerOf({{"name", name}, {"versions", std::move(versions)}}));
-      });
+  editor_.history(name, [name,
+                         callback = std::move(callback)](const config::HistoryResult& result) {
+    if (!result.versions) {
+      callback(errorResponse(result.reason));
+      return;
+    }
+    if (result.versions->empty()) {
+      callback(errorResponse(base::ResultCode::kTemplateNotFound, "no template is named " + name));
+      return;
+    }
+    Json versions = Json::array();
+    for (const config::TemplateRow& row : *result.versions) versions.push_back(versionOf(row));
+    callback(okResponse({{"name", name}, {"versions", std::move(versions)}}));
+  });
 }
 
 OperatorResponse TemplateCalls::expand(const OperatorTarget& target,
                                        const std::string& document) const {
   std::vector<config::FieldMistake> mistakes;
   const auto parsed = config::parseTemplateDocument(document, mistakes);
-  if (!parsed) return refusal(base::ResultCode::kTemplateInvalid, mistakes);
+  if (!parsed) return errorResponse(base::ResultCode::kTemplateInvalid, mistakes);
   if (parsed->isBase) {
     config::checkBaseDocument(*parsed, mistakes);
-    if (!mistakes.empty()) return refusal(base::ResultCode::kTemplateInvalid, mistakes);
-    return answerOf({{"kind", "base"}, {"valid", true}});
+    if (!mistakes.empty()) return errorResponse(base::ResultCode::kTemplateInvalid, mistakes);
+    return okResponse({{"kind", "base"}, {"valid", true}});
   }
   std::optional<config::TemplateDocument> base;
   if (const auto stored = store_.findRow(parsed->base)) {
@@ -227,10 +229,10 @@
   }
   const auto expanded =
       config::expandTemplate(target.text("name"), *parsed, base ? &*base : nullptr, mistakes);
-  if (!expanded) return refusal(base::ResultCode::kTemplateInvalid, mistakes);
-  return answerOf({{"kind", "tenant"},
-                   {"valid", true},
-                   {"expansion", Json::parse(config::toJson(*expanded), nullptr, false)}});
+  if (!expanded) return errorResponse(base::ResultCode::kTemplateInvalid, mistakes);
+  return okResponse({{"kind", "tenant"},
+                     {"valid", true},
+                     {"expansion", Json::parse(config::toJson(*expanded), nullptr, false)}});
 }
 
 }  // namespace covewing::node
--- a/src/node/operator_service_templates.h
+++ b/src/node/operator_service_templates.h
@@ -7,7 +7,7 @@
 #include "config/configuration_store.h"
 #include "config/template_editor.h"
 #include "node/operator_api.h"
-#include "node/operator_service_answer.h"
+#include "node/operator_service_response.h"
 #include "node/operator_service_target.h"
 
 namespace covewing::node {
--- a/src/node/pause_detector.cc
+++ b/src/node/pause_detector.cc
@@ -11,27 +11,27 @@
     : clock_(clock),
       log_(log),
       onWake_(std::move(onWake)),
-      lastSeen_(clock.now()),
+      lastCheckedAt_(clock.now()),
       timer_(timers) {}
 
 void PauseDetector::start() {
-  lastSeen_ = clock_.now();
+  lastCheckedAt_ = clock_.now();
   tick();
 }
 
 void PauseDetector::check() {
   const base::TimePoint now = clock_.now();
-  const base::Duration silence = now - lastSeen_;
-  lastSeen_ = now;
-  if (silence <= kPauseThreshold) return;
+  const base::Duration pause = now - lastCheckedAt_;
+  lastCheckedAt_ = now;
+  if (pause <= kPauseThreshold) return;
   log_.write(base::Event::kNodeWokeFromPause,
-             {{"silence_ms", fmt::format("{:.0f}", base::toMilliseconds(silence))}});
-  onWake_(silence);
+             {{"silence_ms", fmt::format("{:.0f}", base::toMilliseconds(pause))}});
+  onWake_(pause);
 }
 
 void PauseDetector::tick() {
   check();
-  timer_.start(kTick, [this] { tick(); });
+  timer_.start(kCheckInterval, [this] { tick(); });
 }
 
 }  // namespace covewing::node
--- a/src/node/pause_detector.h
+++ b/src/node/pause_detector.h
@@ -13,7 +13,7 @@
 
 class PauseDetector {
  public:
-  static constexpr base::Duration kTick = std::chrono::milliseconds(250);
+  static constexpr base::Duration kCheckInterval = std::chrono::milliseconds(250);
   /// A longer silence than this between two ticks counts as a pause.
   static constexpr base::Duration kPauseThreshold = std::chrono::seconds(1);
 
@@ -32,7 +32,7 @@
   base::Clock& clock_;
   base::EventLog& log_;
   std::function<void(base::Duration)> onWake_;
-  base::TimePoint lastSeen_;
+  base::TimePoint lastCheckedAt_;
   request::OneShotTimer timer_;
 };
 
--- a/src/node/peer_frame.cc
+++ b/src/node/peer_frame.cc
@@ -9,7 +9,7 @@
 constexpr auto kFirstChannel = static_cast<std::uint64_t>(base::Channel::kMembership);
 constexpr auto kLastChannel = static_cast<std::uint64_t>(base::kLastChannel);
 
-std::nullopt_t refused(base::Reason& reason, base::ResultCode code, std::string detail) {
+std::nullopt_t reject(base::Reason& reason, base::ResultCode code, std::string detail) {
   reason = {code, std::move(detail)};
   return std::nullopt;
 }
@@ -34,9 +34,9 @@
   base::Reader reader(bytes);
   const auto fields = reader.beginArray();
   const auto version = reader.unsignedInteger();
-  if (!reader.ok()) return refused(reason, ResultCode::kMessageMalformed, "not a frame");
+  if (!reader.ok()) return reject(reason, ResultCode::kMessageMalformed, "not a frame");
   if (version != base::kPeerProtocolVersion)
-    return refused(reason, ResultCode::kMessageVersion, "version " + std::to_string(version));
+    return reject(reason, ResultCode::kMessageVersion, "version " + std::to_string(version));
   const auto channel = reader.unsignedInteger();
   PeerFrame frame;
   frame.sender.node.value = reader.unsignedInteger();
@@ -45,11 +45,11 @@
   const auto port = reader.unsignedInteger();
   frame.payload = reader.binary();
   if (!reader.ok() || fields < kFieldCount)
-    return refused(reason, ResultCode::kMessageMalformed, "a field is missing or of another type");
+    return reject(reason, ResultCode::kMessageMalformed, "a field is missing or of another type");
   if (channel < kFirstChannel || channel > kLastChannel)
-    return refused(reason, ResultCode::kMessageMalformed, "channel " + std::to_string(channel));
+    return reject(reason, ResultCode::kMessageMalformed, "channel " + std::to_string(channel));
   if (address > UINT32_MAX || port > UINT16_MAX)
-    return refused(reason, ResultCode::kMessageMalformed, "sender's endpoint out of range");
+    return reject(reason, ResultCode::kMessageMalformed, "sender's endpoint out of range");
   frame.channel = static_cast<base::Channel>(channel);
   frame.sender.endpoint = {static_cast<std::uint32_t>(address), static_cast<std::uint16_t>(port)};
   return frame;
--- a/src/node/replica_list.cc
+++ b/src/node/replica_list.cc
@@ -11,20 +11,20 @@
 constexpr base::Duration kFeedDelay = std::chrono::seconds(1);
 /// Ended runs that are remembered of each key: more than can follow each other within the age of a
 /// copy that the service comes back from.
-constexpr std::size_t kMostEndedRuns = 8;
+constexpr std::size_t kMaximumEndedInstances = 8;
 
 }  // namespace
 
 void ReplicaList::onRow(const clients::FeedRow& row, config::RowSource /*source*/) {
-  missing_.erase(row.key);
+  missingRows_.erase(row.key);
   base::Reason reason;
   auto replica = reader_.readReplica(row.key, *row.value, reason);
   if (!replica) {
-    withdraw(row, reason);
+    onUnreadableRow(row, reason);
     return;
   }
-  if (!tellsAsOthersDo(*replica)) {
-    withdraw(row, {base::ResultCode::kInvalidField, "the start is missing"});
+  if (!hasExpectedStartTime(*replica)) {
+    onUnreadableRow(row, {base::ResultCode::kInvalidField, "the start is missing"});
     return;
   }
   if (hasEnded(row.key, replica->instance)) {
@@ -44,104 +44,107 @@
               {"state", replica->state == routing::ReplicaState::kReady ? "ready" : "draining"},
               {"weights", model.empty() ? "" : std::to_string(model.front().version)},
               {"revision", base::revisionText(row.revision)}});
-  list(row.key, std::move(*replica));
+  listInstance(row.key, std::move(*replica));
 }
 
-bool ReplicaList::tellsAsOthersDo(const routing::Replica& replica) {
-  if (!replica.hasStartTime) return !servicesWithStarts_.contains(replica.service);
-  const bool first = servicesWithStarts_.insert(replica.service).second;
+bool ReplicaList::hasExpectedStartTime(const routing::Replica& replica) {
+  if (!replica.hasStartTime) return !servicesWithStartTimes_.contains(replica.service);
+  const bool first = servicesWithStartTimes_.insert(replica.service).second;
   if (!first) return true;
   // Entries that were read before the first one that tells a start.
-  for (const auto& [key, run] : runs_) {
-    const auto record = directory_.find(run);
+  for (const auto& [key, instance] : instances_) {
+    const auto record = directory_.find(instance);
     if (record && record->facts().service == replica.service && !record->facts().hasStartTime)
-      directory_.onUnreadable(run);
+      directory_.onUnreadable(instance);
   }
   return true;
 }
 
-void ReplicaList::list(const std::string& key, routing::Replica replica) {
-  auto& run = runs_[key];
+void ReplicaList::listInstance(const std::string& key, routing::Replica replica) {
+  auto& instance = instances_[key];
   base::TimePoint backOffUntil{};
-  if (!run.empty() && run != replica.instance) {
-    log_.write(base::Event::kReplicaRestarted, {{"replica", replica.instance}, {"before", run}});
-    if (const auto before = directory_.find(run)) backOffUntil = before->notices().backOffUntil();
-    onRestarted(run);
-    noteEnded(key, run);
+  if (!instance.empty() && instance != replica.instance) {
+    log_.write(base::Event::kReplicaRestarted,
+               {{"replica", replica.instance}, {"before", instance}});
+    if (const auto previous = directory_.find(instance))
+      backOffUntil = previous->notices().backOffUntil();
+    onRestarted(instance);
+    recordEnded(key, instance);
   }
-  if (run != replica.instance) replicaEnds_.onListed(replica.instance);
-  run = replica.instance;
+  if (instance != replica.instance) crashDetector_.onListed(replica.instance);
+  instance = replica.instance;
   const bool draining = replica.state == routing::ReplicaState::kDraining;
   directory_.onListed(std::move(replica));
-  const auto record = directory_.find(run);
+  const auto record = directory_.find(instance);
   if (draining) routing::recordLeaving(*record, log_, {"entry", 0, {}});
   // Entries tell of a restart late: it may have been the new run that asked for the rest.
   if (clock_.now() < backOffUntil) record->notices().startBackOff(backOffUntil);
 }
 
-void ReplicaList::onRestarted(const std::string& run) {
-  const auto record = directory_.find(run);
+void ReplicaList::onRestarted(const std::string& instance) {
+  const auto record = directory_.find(instance);
   const bool planned = record && record->leaving();
-  if (!planned) replicaEnds_.onRestarted(run);
+  if (!planned) crashDetector_.onRestarted(instance);
   // Requests and changes of weights that still hold the record must not go on with it.
   if (record) record->setTerminated();
-  forget(run);
-  directory_.onEnded(run);
+  forgetInstance(instance);
+  directory_.onEnded(instance);
 }
 
-void ReplicaList::withdraw(const clients::FeedRow& row, const base::Reason& reason) {
+void ReplicaList::onUnreadableRow(const clients::FeedRow& row, const base::Reason& reason) {
   log_.write(
       base::Event::kReplicaEntryRejected,
       {{"row", row.key}, {"revision", base::revisionText(row.revision)}, {"why", reason.detail}});
-  const auto named = runs_.find(row.key);
-  if (named != runs_.end()) directory_.onUnreadable(named->second);
+  const auto listed = instances_.find(row.key);
+  if (listed != instances_.end()) directory_.onUnreadable(listed->second);
 }
 
 void ReplicaList::onRemoved(const clients::FeedRow& row) {
-  if (mayBeWrittenAgain()) {
-    missing_[row.key] = row.revision;
+  if (mayBeRewritten()) {
+    missingRows_[row.key] = row.revision;
   } else {
     remove(row.key, row.revision);
   }
 }
 
-bool ReplicaList::mayBeWrittenAgain() const {
-  const auto writtenAgainBy = eras_.writtenAgainBy();
-  return writtenAgainBy && clock_.now() < *writtenAgainBy + kFeedDelay;
+bool ReplicaList::mayBeRewritten() const {
+  const auto rewrittenBy = eras_.writtenAgainBy();
+  return rewrittenBy && clock_.now() < *rewrittenBy + kFeedDelay;
 }
 
 void ReplicaList::remove(const std::string& key, base::Revision revision) {
   log_.write(base::Event::kReplicaRemoved,
              {{"replica", key}, {"revision", base::revisionText(revision)}});
-  endedRuns_.erase(key);
-  const auto named = runs_.extract(key);
-  if (!named.empty()) forget(named.mapped());
+  endedInstances_.erase(key);
+  const auto listed = instances_.extract(key);
+  if (!listed.empty()) forgetInstance(listed.mapped());
 }
 
-void ReplicaList::noteEnded(const std::string& key, const std::string& run) {
-  auto& ended = endedRuns_[key];
-  ended.push_back(run);
-  if (ended.size() > kMostEndedRuns) ended.pop_front();
+void ReplicaList::recordEnded(const std::string& key, const std::string& instance) {
+  auto& ended = endedInstances_[key];
+  ended.push_back(instance);
+  if (ended.size() > kMaximumEndedInstances) ended.pop_front();
 }
 
-bool ReplicaList::hasEnded(const std::string& key, const std::string& run) const {
-  const auto ended = endedRuns_.find(key);
-  return ended != endedRuns_.end() && std::ranges::find(ended->second, run) != ended->second.end();
+bool ReplicaList::hasEnded(const std::string& key, const std::string& instance) const {
+  const auto ended = endedInstances_.find(key);
+  return ended != endedInstances_.end() &&
+         std::ranges::find(ended->second, instance) != ended->second.end();
 }
 
-void ReplicaList::forget(const std::string& run) {
-  directory_.onRemoved(run);
-  replicaEnds_.onRemoved(run);
-  holders_.remove(base::engineIdOf(run));
+void ReplicaList::forgetInstance(const std::string& instance) {
+  directory_.onRemoved(instance);
+  crashDetector_.onRemoved(instance);
+  holders_.remove(base::engineIdOf(instance));
 }
 
 void ReplicaList::onCurrent() {
   loaded_ = true;
-  outage_.onCurrent();
-  if (missing_.empty() || mayBeWrittenAgain()) return;
-  for (const auto& [key, revision] : std::exchange(missing_, {})) remove(key, revision);
+  outageLog_.onCurrent();
+  if (missingRows_.empty() || mayBeRewritten()) return;
+  for (const auto& [key, revision] : std::exchange(missingRows_, {})) remove(key, revision);
 }
 
-void ReplicaList::onFailure(clients::FeedStatus status) { outage_.onFailure(status); }
+void ReplicaList::onFailure(clients::FeedStatus status) { outageLog_.onFailure(status); }
 
 }  // namespace covewing::node
--- a/src/node/replica_list.h
+++ b/src/node/replica_list.h
@@ -20,7 +20,7 @@
 #include "base/event_log.h"
 #include "config/store_eras.h"
 #include "config/table_watch.h"
-#include "node/feed_outage.h"
+#include "node/feed_outage_log.h"
 #include "routing/prefix_holders.h"
 #include "routing/replica_crash_detector.h"
 #include "routing/replica_directory.h"
@@ -41,13 +41,13 @@
   /// All must outlive the list.
   ReplicaList(const ReplicaRowReader& reader, base::Clock& clock, base::EventLog& log,
               routing::ReplicaDirectory& directory, routing::PrefixHolders& holders,
-              routing::ReplicaCrashDetector& replicaEnds, const config::StoreEras& eras)
+              routing::ReplicaCrashDetector& crashDetector, const config::StoreEras& eras)
       : reader_(reader),
         clock_(clock),
         log_(log),
         directory_(directory),
         holders_(holders),
-        replicaEnds_(replicaEnds),
+        crashDetector_(crashDetector),
         eras_(eras) {}
 
   /// The list was copied at least once.
@@ -60,39 +60,39 @@
 
  private:
   /// Lists the run that the row names, in place of the one that it named before.
-  void list(const std::string& key, routing::Replica replica);
-  void withdraw(const clients::FeedRow& row, const base::Reason& reason);
+  void listInstance(const std::string& key, routing::Replica replica);
+  void onUnreadableRow(const clients::FeedRow& row, const base::Reason& reason);
   /// False when others of its service tell their starts and this one does not: all of a service do
   /// or none does, so the entry is not a replica's own.
-  bool tellsAsOthersDo(const routing::Replica& replica);
+  bool hasExpectedStartTime(const routing::Replica& replica);
   /// The run has ended, as another one of its replica is listed.
-  void onRestarted(const std::string& run);
+  void onRestarted(const std::string& instance);
   /// Forgets a run that is no longer listed.
-  void forget(const std::string& run);
+  void forgetInstance(const std::string& instance);
   void remove(const std::string& key, base::Revision revision);
   /// A row that is missing may be written again.
-  bool mayBeWrittenAgain() const;
-  void noteEnded(const std::string& key, const std::string& run);
-  bool hasEnded(const std::string& key, const std::string& run) const;
+  bool mayBeRewritten() const;
+  void recordEnded(const std::string& key, const std::string& instance);
+  bool hasEnded(const std::string& key, const std::string& instance) const;
 
   const ReplicaRowReader& reader_;
   base::Clock& clock_;
   base::EventLog& log_;
   routing::ReplicaDirectory& directory_;
   routing::PrefixHolders& holders_;
-  routing::ReplicaCrashDetector& replicaEnds_;
+  routing::ReplicaCrashDetector& crashDetector_;
   const config::StoreEras& eras_;
   /// The run that each row named last, by key.
-  std::map<std::string, std::string> runs_;
+  std::map<std::string, std::string> instances_;
   /// Runs that others have followed under the same key, the latest at the end.
-  std::map<std::string, std::deque<std::string>> endedRuns_;
+  std::map<std::string, std::deque<std::string>> endedInstances_;
   /// Rows that went with a return of the service and may be written again, by key: the revision at
   /// which they were missed.
-  std::map<std::string, base::Revision> missing_;
+  std::map<std::string, base::Revision> missingRows_;
   /// Services whose replicas tell their starts.
-  std::set<std::string, std::less<>> servicesWithStarts_;
+  std::set<std::string, std::less<>> servicesWithStartTimes_;
   bool loaded_ = false;
-  FeedOutage outage_{log_, "replica list feed"};
+  FeedOutageLog outageLog_{log_, "replica list feed"};
 };
 
 }  // namespace covewing::node
--- a/src/node/route_configuration.h
+++ b/src/node/route_configuration.h
@@ -24,7 +24,7 @@
 #include "config/store_eras.h"
 #include "config/table_watch.h"
 #include "node/confirmation_log.h"
-#include "node/feed_outage.h"
+#include "node/feed_outage_log.h"
 #include "request/relay_service.h"
 #include "routing/weights_targets.h"
 
@@ -81,14 +81,16 @@
   void setWeightsListener(WeightsListener listener) { weightsListener_ = std::move(listener); }
   /// Called when the feed has brought the copy up to date, before that proves anything.
   void setFeedCurrentListener(std::function<void()> listener) {
-    copiedListener_ = std::move(listener);
+    feedCurrentListener_ = std::move(listener);
   }
   /// Another node has seen this version of the route table.
-  void onTableKnown(std::uint64_t version) { newestKnown_ = std::max(newestKnown_, version); }
+  void onPeerTableVersion(std::uint64_t version) {
+    newestPeerTable_ = std::max(newestPeerTable_, version);
+  }
   /// Another node has seen this version of a model's weights.
-  void onWeightsKnown(const AnnouncedWeights& named);
+  void onPeerWeightsVersion(const AnnouncedWeights& weights);
   /// The service came back from a copy, which may lack weights that other nodes have seen named.
-  void onStoreReturned() { takeKnownWeights(); }
+  void onStoreReturned() { applyPeerWeights(); }
 
   config::RouteTablePtr table() const override { return table_; }
   std::optional<base::TimePoint> confirmedAt() const override;
@@ -99,29 +101,29 @@
   void onFailure(clients::FeedStatus status) override;
 
  private:
-  void takeTable(const clients::FeedRow& row);
-  void takeWeights(const clients::FeedRow& row, config::RowSource source);
+  void applyTable(const clients::FeedRow& row);
+  void applyWeights(const clients::FeedRow& row, config::RowSource source);
   /// When the feed last proved that this node knows all rows that the service has now.
   std::optional<base::TimePoint> feedConfirmedAt() const;
   /// The same while the service had all rows that operators had written.
-  std::optional<base::TimePoint> completeAt() const;
+  std::optional<base::TimePoint> lastCompleteAt() const;
   /// The proof was made in the era that is known, before operators had written again what the
   /// service had lost.
-  bool isDoubtful(const config::Confirmation& proof) const;
+  bool mayBeIncomplete(const config::Confirmation& confirmation) const;
   /// Whether the table in force is the one that the service holds, and no node knows a newer one.
   bool isNewest() const;
   /// Logs when proofs of the feed begin to prove nothing, and when they do so again; `complete`:
   /// the service had all rows that operators had written.
-  void noteProof(bool complete);
-  std::string_view whyUnproved(bool complete) const;
+  void logConfirmationState(bool complete);
+  std::string_view unconfirmedReason(bool complete) const;
   /// While rows may be missing from the copy, what other nodes know counts for them.
-  void takeKnownWeights();
+  void applyPeerWeights();
   /// The row's change was made after this moment; empty when nobody knows.
   std::optional<base::TimePoint> changedAfter(const clients::FeedRow& row) const;
-  AnnouncementTime newsOf(const AnnouncedWeights& named, const clients::FeedRow& row,
-                          config::RowSource source) const;
+  AnnouncementTime announcementTimeOf(const AnnouncedWeights& weights, const clients::FeedRow& row,
+                                      config::RowSource source) const;
   /// Takes the version into the targets; false when it is not newer.
-  bool take(const AnnouncedWeights& named, const AnnouncementTime& news);
+  bool registerVersion(const AnnouncedWeights& weights, const AnnouncementTime& announcement);
 
   const ConfigurationRowReader& reader_;
   base::Clock& clock_;
@@ -131,24 +133,24 @@
   const config::TableWatch* watch_ = nullptr;
   config::RouteTablePtr table_;
   /// The newest version cannot be read here, and the one before it stays in force.
-  bool newestUnread_ = false;
+  bool newestUnreadable_ = false;
   /// The version that the service holds, as far as the feed tells; empty while it holds none.
-  std::optional<std::uint64_t> versionInService_;
+  std::optional<std::uint64_t> storedVersion_;
   /// The newest version that another node has seen.
-  std::uint64_t newestKnown_ = 0;
+  std::uint64_t newestPeerTable_ = 0;
   /// The newest versions of weights that other nodes have seen, by model.
-  std::map<std::string, base::WeightsVersion> newestWeightsKnown_;
+  std::map<std::string, base::WeightsVersion> newestPeerWeights_;
   /// The last proof that this node knew all rows that operators had written, and the last that the
   /// table in force was the newest.
-  std::optional<config::Confirmation> complete_;
-  std::optional<config::Confirmation> confirmed_;
+  std::optional<config::Confirmation> completeConfirmation_;
+  std::optional<config::Confirmation> tableConfirmation_;
   /// When proofs of the feed began to prove nothing; empty while they do.
-  std::optional<base::TimePoint> unprovedSince_;
+  std::optional<base::TimePoint> unconfirmedSince_;
   TableListener tableListener_;
   WeightsListener weightsListener_;
-  std::function<void()> copiedListener_ = [] {};
-  FeedOutage outage_{log_, "configuration feed"};
-  ConfirmationLog confirmations_{clock_, log_};
+  std::function<void()> feedCurrentListener_ = [] {};
+  FeedOutageLog outageLog_{log_, "configuration feed"};
+  ConfirmationLog confirmationLog_{clock_, log_};
 };
 
 }  // namespace covewing::node
--- a/src/node/weights_coordinator.cc
+++ b/src/node/weights_coordinator.cc
@@ -62,12 +62,12 @@
     lease_.onReleaseHint();
   if (message->announcement) lease_.onAnnouncement(*message->announcement);
   if (message->record && message->record->key.starts_with(kRecordPrefix))
-    onSentRecord(*message->record);
+    onDirectRecord(*message->record);
 }
 
-void WeightsCoordinator::onSentRecord(const membership::GossipRecord& record) {
+void WeightsCoordinator::onDirectRecord(const membership::GossipRecord& record) {
   // Datagrams may overtake each other.
-  auto& known = sentVersions_[record.key];
+  auto& known = directRecordVersions_[record.key];
   if (record.version <= known) return;
   known = record.version;
   onRecord(record);
@@ -80,8 +80,8 @@
 
 void WeightsCoordinator::onLeaseAcquired(const coordination::LeaseGrant& grant) {
   token_ = grant.token;
-  published_ = 0;
-  changingToldAt_.clear();
+  recordCounter_ = 0;
+  loadingPublishedAt_.clear();
   settleTimer_ = environment_.timers.schedule(grant.settleTime, [this] { rollout_.start(); });
 }
 
@@ -91,16 +91,16 @@
 }
 
 void WeightsCoordinator::publish(const std::string& instance, std::string value) {
-  const std::uint64_t version = (token_ << kCounterBits) + ++published_;
+  const std::uint64_t version = (token_ << kCounterBits) + ++recordCounter_;
   const membership::GossipRecord record{std::string{kRecordPrefix} + instance, version,
                                         std::move(value)};
-  if (environment_.members.liveMembers().size() <= options_.mostMembersForGossip)
+  if (environment_.members.liveMembers().size() <= options_.maximumMembersForGossip)
     environment_.records.publish(record);
   onRecord(record);
-  tellHome(record);
+  sendToHome(record);
 }
 
-void WeightsCoordinator::tellHome(const membership::GossipRecord& record) {
+void WeightsCoordinator::sendToHome(const membership::GossipRecord& record) {
   const auto instance = std::string_view{record.key}.substr(kRecordPrefix.size());
   const auto replica = environment_.replicas.find(instance);
   if (replica == nullptr) return;
@@ -112,16 +112,17 @@
 
 void WeightsCoordinator::onReplicaChanging(const std::string& instance) {
   const auto now = environment_.clock.now();
-  auto& toldAt = changingToldAt_[instance];
+  auto& publishedAt = loadingPublishedAt_[instance];
   // What was told lately still holds at all nodes; each record costs every node several messages.
-  if (toldAt != base::TimePoint{} && now - toldAt < options_.changingFor / 2) return;
-  toldAt = now;
+  if (publishedAt != base::TimePoint{} && now - publishedAt < options_.loadingStateLifetime / 2)
+    return;
+  publishedAt = now;
   publish(instance, {});
 }
 
 void WeightsCoordinator::onReplicaServing(const std::string& instance, const std::string& model,
                                           base::WeightsVersion version) {
-  changingToldAt_.erase(instance);
+  loadingPublishedAt_.erase(instance);
   publish(instance, std::to_string(version) + ' ' + model);
 }
 
@@ -130,7 +131,7 @@
   const auto replica = environment_.replicas.find(instance);
   if (replica == nullptr) return;
   if (record.value.empty()) {
-    replica->setLoadingWeights(environment_.clock.now() + options_.changingFor);
+    replica->setLoadingWeights(environment_.clock.now() + options_.loadingStateLifetime);
     return;
   }
   base::WeightsVersion version = 0;
--- a/src/node/weights_coordinator.h
+++ b/src/node/weights_coordinator.h
@@ -20,10 +20,10 @@
   coordination::LeaseOptions lease;
   coordination::WeightsRolloutOptions rollout;
   /// News that a replica is changing holds for so long unless it is renewed.
-  base::Duration changingFor = std::chrono::milliseconds(2500);
+  base::Duration loadingStateLifetime = std::chrono::milliseconds(2500);
   /// In larger fleets changes are told to the homes of replicas alone: every node passes a record
   /// on some nine times, so that records of many replicas take longer than what they tell of.
-  std::size_t mostMembersForGossip = 32;
+  std::size_t maximumMembersForGossip = 32;
 };
 
 /// All must outlive the coordinator and share its thread.
@@ -77,10 +77,10 @@
   void publish(const std::string& instance, std::string value);
   /// Tells the replica's home at once: gossip takes a second in a fleet of hundreds, and requests
   /// ask the home (routing/placement.h).
-  void tellHome(const membership::GossipRecord& record);
+  void sendToHome(const membership::GossipRecord& record);
   void onRecord(const membership::GossipRecord& record);
   /// A record that the lease holder sent straight to this node.
-  void onSentRecord(const membership::GossipRecord& record);
+  void onDirectRecord(const membership::GossipRecord& record);
 
   WeightsCoordinatorOptions options_;
   WeightsCoordinatorEnvironment environment_;
@@ -89,11 +89,11 @@
   coordination::WeightsRollout rollout_;
   base::TimerId settleTimer_ = 0;
   base::FencingToken token_ = 0;
-  std::uint32_t published_ = 0;
+  std::uint32_t recordCounter_ = 0;
   /// When the other nodes were last told that a replica changes.
-  std::map<std::string, base::TimePoint> changingToldAt_;
+  std::map<std::string, base::TimePoint> loadingPublishedAt_;
   /// Versions of the records that lease holders sent straight to this node, by key.
-  std::map<std::string, std::uint64_t> sentVersions_;
+  std::map<std::string, std::uint64_t> directRecordVersions_;
 };
 
 }  // namespace covewing::node
--- a/src/node/zone_watch.cc
+++ b/src/node/zone_reachability_tracker.cc
@@ -1,8 +1,8 @@
-#include "node/zone_watch.h"
+#include "node/zone_reachability_tracker.h"
 
 namespace covewing::node {
 
-bool ZoneWatch::cutOff(std::string_view homeZone) const {
+bool ZoneReachabilityTracker::cutOff(std::string_view homeZone) const {
   refresh();
   if (!seenZones_.contains(homeZone)) return false;
   const bool inside = members_.self().zone == homeZone;
@@ -12,12 +12,12 @@
   return othersKnown && !othersLive;
 }
 
-bool ZoneWatch::reachable(std::string_view zone) const {
+bool ZoneReachabilityTracker::reachable(std::string_view zone) const {
   refresh();
   return !seenZones_.contains(zone) || liveZones_.contains(zone);
 }
 
-void ZoneWatch::refresh() const {
+void ZoneReachabilityTracker::refresh() const {
   if (refreshed_ && version_ == members_.version()) return;
   refreshed_ = true;
   version_ = members_.version();
--- a/src/node/zone_watch.h
+++ b/src/node/zone_reachability_tracker.h
@@ -13,9 +13,10 @@
 
 /// Remembers the zones that live members were seen in: a zone that never had a member is not
 /// called cut off.
-class ZoneWatch final : public request::ZoneReachability {
+class ZoneReachabilityTracker final : public request::ZoneReachability {
  public:
-  explicit ZoneWatch(const membership::MemberDirectory& members) : members_(members) {}
+  explicit ZoneReachabilityTracker(const membership::MemberDirectory& members)
+      : members_(members) {}
 
   bool cutOff(std::string_view homeZone) const override;
   bool reachable(std::string_view zone) const override;
--- a/tests/node/announcement_time_resolver_test.cc
+++ b/tests/node/announcement_time_resolver_test.cc
@@ -39,15 +39,15 @@
   }
   std::optional<AnnouncedWeights> readWeights(std::string_view value,
                                               base::Reason& /*reason*/) const override {
-    AnnouncedWeights named{std::string{kModel}, 0};
-    std::from_chars(value.data(), value.data() + value.size(), named.version);
-    return named;
+    AnnouncedWeights weights{std::string{kModel}, 0};
+    std::from_chars(value.data(), value.data() + value.size(), weights.version);
+    return weights;
   }
 };
 
 /// What one node makes of the versions that its feed tells.
-struct Watching {
-  Watching(Fleet& fleet, FleetNode& node)
+struct WatchingNode {
+  WatchingNode(Fleet& fleet, FleetNode& node)
       : configuration(reader, fleet.time, node.log, targets, node.eras),
         watch({"t"}, fleet.time, fleet.time, node.random, node.feed, configuration) {
     configuration.setWatch(watch);
@@ -61,21 +61,21 @@
 };
 
 /// A node that has just started and reaches no other one.
-struct Started {
-  Started(Fleet& fleet, request::FakeTable& table)
+struct StartedNode {
+  StartedNode(Fleet& fleet, request::FakeTable& table)
       : node(*fleet.nodes.front()),
         time(fleet.time),
         feed({}, {time, time, node.random, node.log, node.wire, node.directory, node.service,
                   node.eras}),
-        dates(table, time, time, [this] { return watch.serviceTime(); }),
-        dating(time, node.log, targets, dates),
+        store(table, time, time, [this] { return watch.serviceTime(); }),
+        resolver(time, node.log, targets, store),
         configuration(reader, time, node.log, targets, node.eras),
         watch({"t"}, time, time, node.random, feed, configuration) {
     node.silent = true;
     configuration.setWatch(watch);
     configuration.setWeightsListener(
-        [this](const AnnouncedWeights& named, const AnnouncementTime& news) {
-          dating.onVersionAnnounced(named, news);
+        [this](const AnnouncedWeights& weights, const AnnouncementTime& announcement) {
+          resolver.onVersionAnnounced(weights, announcement);
         });
     watch.start();
   }
@@ -85,8 +85,8 @@
   config::SharedFeed feed;
   WeightsReader reader;
   routing::WeightsTargets targets{{seconds(8), milliseconds(1200)}};
-  AnnouncementTimeStore dates;
-  AnnouncementTimeResolver dating;
+  AnnouncementTimeStore store;
+  AnnouncementTimeResolver resolver;
   RouteConfiguration configuration;
   config::TableWatch watch;
 };
@@ -107,35 +107,35 @@
 struct WatchingFleet {
   WatchingFleet() {
     fleet.service.put(kWeightsRow, "1");
-    for (auto& node : fleet.nodes) nodes.push_back(std::make_unique<Watching>(fleet, *node));
+    for (auto& node : fleet.nodes) nodes.push_back(std::make_unique<WatchingNode>(fleet, *node));
     fleet.time.advance(seconds(20));
   }
   /// Names the version; gives the last moment at which a request may begin on an older one.
-  base::TimePoint name(const std::string& version) {
+  base::TimePoint announce(const std::string& version) {
     fleet.service.put(kWeightsRow, version);
     return fleet.time.now() + seconds(8);
   }
 
   Fleet fleet{6, 3};
-  std::vector<std::unique_ptr<Watching>> nodes;
+  std::vector<std::unique_ptr<WatchingNode>> nodes;
 };
 
 }  // namespace
 
 BOOST_FIXTURE_TEST_SUITE(WeightsDatingTest, WatchingFleet)
 
-BOOST_AUTO_TEST_CASE(NodeThatHearsLateGivesTheOlderVersionNoMoreTime) {
+BOOST_AUTO_TEST_CASE(NodeInformedLateGivesTheOlderVersionNoMoreTime) {
   for (auto* reader : fleet.with({config::FeedWatchers::Role::kReader})) reader->silent = true;
-  const auto due = name("2");
+  const auto deadline = announce("2");
   fleet.time.advance(seconds(4));
   for (std::size_t index = 0; index < nodes.size(); ++index) {
     BOOST_TEST_CONTEXT("node " << index) {
       const auto& targets = nodes[index]->targets;
       BOOST_REQUIRE(targets.newest(kModel) == 2U);
-      const auto before = targets.startDeadline(kModel, 1);
-      BOOST_REQUIRE(before.has_value());
-      BOOST_TEST((*before <= due));
-      BOOST_TEST(targets.oldestAllowed(kModel, due - milliseconds(600)) == 2U);
+      const auto startDeadlineOfOlder = targets.startDeadline(kModel, 1);
+      BOOST_REQUIRE(startDeadlineOfOlder.has_value());
+      BOOST_TEST((*startDeadlineOfOlder <= deadline));
+      BOOST_TEST(targets.oldestAllowed(kModel, deadline - milliseconds(600)) == 2U);
     }
   }
 }
@@ -145,12 +145,13 @@
 BOOST_AUTO_TEST_CASE(OlderVersionKeepsMostOfItsTime) {
   for (int step = 0; step < 20; ++step) {
     fleet.time.advance(milliseconds(570));
-    const auto due = name(std::to_string(step + 2));
+    const auto deadline = announce(std::to_string(step + 2));
     fleet.time.advance(seconds(2));
     for (const auto& node : nodes) {
-      const auto before = node->targets.startDeadline(kModel, static_cast<unsigned>(step) + 1);
-      BOOST_REQUIRE(before.has_value());
-      BOOST_TEST((*before > due - milliseconds(1300)));
+      const auto startDeadlineOfOlder =
+          node->targets.startDeadline(kModel, static_cast<unsigned>(step) + 1);
+      BOOST_REQUIRE(startDeadlineOfOlder.has_value());
+      BOOST_TEST((*startDeadlineOfOlder > deadline - milliseconds(1300)));
     }
   }
 }
@@ -163,32 +164,32 @@
   follower->silent = true;
   follower->service.refused = true;
   fleet.time.advance(milliseconds(500));
-  const auto due = name("2");
+  const auto deadline = announce("2");
   fleet.time.advance(seconds(2));
-  const auto nextDue = name("3");
+  const auto nextDue = announce("3");
   fleet.time.advance(milliseconds(500));
   follower->silent = false;
   fleet.time.advance(seconds(10));
   const auto& targets = nodes[static_cast<std::size_t>(index)]->targets;
   BOOST_REQUIRE(targets.newest(kModel) == 3U);
-  BOOST_TEST((targets.startDeadline(kModel, 1) <= due));
+  BOOST_TEST((targets.startDeadline(kModel, 1) <= deadline));
   BOOST_TEST((targets.startDeadline(kModel, 2) <= nextDue));
 }
 
 // The newest version tells nothing of one that was named shortly before it, which may be in force.
-BOOST_AUTO_TEST_CASE(NodeThatHasJustStartedAllowsNoOlderVersionUntilTheDatesAreKnown) {
-  name("2");
+BOOST_AUTO_TEST_CASE(StartedNodeAllowsNoOlderVersionUntilTheTimesAreKnown) {
+  announce("2");
   fleet.time.advance(seconds(4));
-  name("3");
+  announce("3");
   fleet.time.advance(seconds(1));
-  Watching started(fleet, *fleet.nodes.front());
-  bool dateKnown = true;
+  WatchingNode started(fleet, *fleet.nodes.front());
+  bool timeKnown = true;
   started.configuration.setWeightsListener(
-      [&](const AnnouncedWeights& /*named*/, const AnnouncementTime& news) {
-        dateKnown = news.announcedAfter.has_value();
+      [&](const AnnouncedWeights& /*weights*/, const AnnouncementTime& announcement) {
+        timeKnown = announcement.announcedAfter.has_value();
       });
   fleet.time.advance(milliseconds(100));
-  BOOST_TEST(!dateKnown);
+  BOOST_TEST(!timeKnown);
   const auto now = fleet.time.now();
   BOOST_TEST(started.targets.oldestAllowed(kModel, now) == 3U);
   started.targets.onDated(std::string{kModel}, 2, now - seconds(5));
@@ -205,77 +206,77 @@
 //     event=5000 name=RequestRefused why="no replica has the version in force"   (831 requests)
 //
 // Its time counts from when nodes could learn of it.
-BOOST_AUTO_TEST_CASE(VersionNamedWhileTheServiceCouldNotBeReachedCountsFromThen) {
+BOOST_AUTO_TEST_CASE(VersionAnnouncedDuringAnOutageCountsFromItsEnd) {
   request::FakeTable table{fleet.time};
   fleet.nodes.front()->service.refused = true;
-  name("2");
-  Started started(fleet, table);
+  announce("2");
+  StartedNode started(fleet, table);
   fleet.time.advance(seconds(3));
   fleet.nodes.front()->service.refused = false;
-  const auto due = fleet.time.now() + seconds(8);
+  const auto deadline = fleet.time.now() + seconds(8);
   fleet.time.advance(seconds(3));
   const auto& targets = started.targets;
   BOOST_REQUIRE(targets.newest(kModel) == 2U);
   BOOST_TEST(targets.oldestAllowed(kModel, fleet.time.now()) == 0U);
-  BOOST_TEST((targets.startDeadline(kModel, 1) <= due));
+  BOOST_TEST((targets.startDeadline(kModel, 1) <= deadline));
   // Nodes that start later find the date.
   BOOST_TEST(!table.commits.empty());
 }
 
-BOOST_AUTO_TEST_CASE(DateThatWasWrittenBeforeTheServiceWasLostPrevails) {
+BOOST_AUTO_TEST_CASE(TimeWrittenBeforeTheOutagePrevails) {
   request::FakeTable table{fleet.time};
-  AnnouncementTimeStore seeing{table, fleet.time, fleet.time,
-                               [this] { return nodes.back()->watch.serviceTime(); }};
-  const auto due = name("2");
-  seeing.write(std::string{kModel}, 2);
+  AnnouncementTimeStore observer{table, fleet.time, fleet.time,
+                                 [this] { return nodes.back()->watch.serviceTime(); }};
+  const auto deadline = announce("2");
+  observer.write(std::string{kModel}, 2);
   fleet.time.advance(milliseconds(100));
   fleet.nodes.front()->service.refused = true;
-  Started started(fleet, table);
+  StartedNode started(fleet, table);
   fleet.time.advance(seconds(3));
   fleet.nodes.front()->service.refused = false;
   fleet.time.advance(seconds(3));
   BOOST_REQUIRE(started.targets.newest(kModel) == 2U);
-  BOOST_TEST((started.targets.startDeadline(kModel, 1) <= due));
+  BOOST_TEST((started.targets.startDeadline(kModel, 1) <= deadline));
 }
 
 // The service turned some nodes away and served others: these saw the version come and wrote its
 // date. One that was turned away dated it by its own failed calls, 2.9 s late:
 //
 //     6.581 s  event=3008 name=WeightsNamed version="2" from="feed" age_at_most_ms="1658"
-BOOST_AUTO_TEST_CASE(DateOfThoseThatSawTheVersionPrevailsOverTheOwnOutage) {
+BOOST_AUTO_TEST_CASE(TimeWrittenByObserversPrevailsOverTheOwnOutage) {
   request::FakeTable table{fleet.time};
-  AnnouncementTimeStore seeing{table, fleet.time, fleet.time,
-                               [this] { return nodes.back()->watch.serviceTime(); }};
-  Started running(fleet, table);
+  AnnouncementTimeStore observer{table, fleet.time, fleet.time,
+                                 [this] { return nodes.back()->watch.serviceTime(); }};
+  StartedNode running(fleet, table);
   fleet.time.advance(seconds(30));
   BOOST_REQUIRE(running.targets.newest(kModel) == 1U);
   fleet.nodes.front()->service.refused = true;
   fleet.time.advance(seconds(1));
-  const auto due = name("2");
-  seeing.write(std::string{kModel}, 2);
+  const auto deadline = announce("2");
+  observer.write(std::string{kModel}, 2);
   fleet.time.advance(seconds(4));
   fleet.nodes.front()->service.refused = false;
   fleet.time.advance(seconds(3));
   BOOST_REQUIRE(running.targets.newest(kModel) == 2U);
-  BOOST_TEST((running.targets.startDeadline(kModel, 1) <= due));
+  BOOST_TEST((running.targets.startDeadline(kModel, 1) <= deadline));
 }
 
 // After an outage nodes were told of a version by others and knew only their proofs from before it.
-BOOST_AUTO_TEST_CASE(NodeThatIsToldLateTakesTheDateOfTheTableService) {
+BOOST_AUTO_TEST_CASE(NodeInformedLateUsesTheStoredTime) {
   request::FakeTable table{fleet.time};
   const auto serviceTime = [this] { return nodes.back()->watch.serviceTime(); };
-  AnnouncementTimeStore firstBack{table, fleet.time, fleet.time, serviceTime};
+  AnnouncementTimeStore recoveredFirst{table, fleet.time, fleet.time, serviceTime};
   PausedFeed feed;
   WeightsReader reader;
   test_support::RecordingLog log;
   routing::WeightsTargets targets{{seconds(8), milliseconds(1200)}};
-  AnnouncementTimeStore dates{table, fleet.time, fleet.time, serviceTime};
-  AnnouncementTimeResolver dating(fleet.time, log, targets, dates);
+  AnnouncementTimeStore store{table, fleet.time, fleet.time, serviceTime};
+  AnnouncementTimeResolver resolver(fleet.time, log, targets, store);
   const config::StoreEras eras{fleet.time, log};
   RouteConfiguration configuration(reader, fleet.time, log, targets, eras);
   configuration.setWeightsListener(
-      [&dating](const AnnouncedWeights& named, const AnnouncementTime& news) {
-        dating.onVersionAnnounced(named, news);
+      [&resolver](const AnnouncedWeights& weights, const AnnouncementTime& announcement) {
+        resolver.onVersionAnnounced(weights, announcement);
       });
   base::SeededRandom random{1};
   config::TableWatch watch({"t"}, fleet.time, fleet.time, random, feed, configuration);
@@ -285,42 +286,42 @@
   fleet.time.advance(seconds(30));
   feed.answer({clients::FeedStatus::kOk, {}, 5});
   fleet.time.advance(seconds(5));
-  firstBack.write(std::string{kModel}, 2, milliseconds(300));
-  const auto due = fleet.time.now() + seconds(8);
+  recoveredFirst.write(std::string{kModel}, 2, milliseconds(300));
+  const auto deadline = fleet.time.now() + seconds(8);
   fleet.time.advance(milliseconds(50));
   feed.answer({clients::FeedStatus::kOk, {{kWeightsRow, "2", 9}}, 9});
   fleet.time.advance(milliseconds(50));
   BOOST_REQUIRE(targets.newest(kModel) == 2U);
-  BOOST_TEST((targets.startDeadline(kModel, 1) <= due));
-  BOOST_TEST((targets.startDeadline(kModel, 1) > due - seconds(1)));
+  BOOST_TEST((targets.startDeadline(kModel, 1) <= deadline));
+  BOOST_TEST((targets.startDeadline(kModel, 1) > deadline - seconds(1)));
 }
 
 // A node that had lived on the answers of others since an outage asked the service again, and dated
 // a version of that moment by the outage: it counted as in force at once.
-BOOST_AUTO_TEST_CASE(OutageLongOverDatesNothing) {
+BOOST_AUTO_TEST_CASE(EarlierOutageDoesNotAffectALaterVersion) {
   request::FakeTable table{fleet.time};
-  Started running(fleet, table);
+  StartedNode running(fleet, table);
   fleet.time.advance(seconds(30));
   const auto now = fleet.time.now();
-  const AnnouncedWeights named{std::string{kModel}, 2};
-  running.targets.onNamed(named.model, named.version, now, true);
-  running.dating.onVersionAnnounced(named, {now, now - seconds(60), true});
+  const AnnouncedWeights weights{std::string{kModel}, 2};
+  running.targets.onNamed(weights.model, weights.version, now, true);
+  running.resolver.onVersionAnnounced(weights, {now, now - seconds(60), true});
   fleet.time.advance(milliseconds(100));
   BOOST_TEST(running.targets.oldestAllowed(kModel, now + seconds(6)) == 1U);
 }
 
 // A connection that had gone silent proves nothing of the service.
-BOOST_AUTO_TEST_CASE(OneCallThatFailedIsNoOutage) {
+BOOST_AUTO_TEST_CASE(OneFailedCallIsNotAnOutage) {
   request::FakeTable table{fleet.time};
   fleet.nodes.front()->service.refuseNext = 1;
-  name("2");
-  Started started(fleet, table);
+  announce("2");
+  StartedNode started(fleet, table);
   fleet.time.advance(seconds(4));
   BOOST_REQUIRE(started.targets.newest(kModel) == 2U);
   BOOST_TEST(started.targets.oldestAllowed(kModel, fleet.time.now()) == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(NodeThatLostItsHistoryDatesAVersionByItsLastProof) {
+BOOST_AUTO_TEST_CASE(NodeWithoutFeedHistoryUsesItsLastConfirmation) {
   PausedFeed feed;
   WeightsReader reader;
   test_support::RecordingLog log;
@@ -331,11 +332,11 @@
   config::TableWatch watch({"t"}, fleet.time, fleet.time, random, feed, configuration);
   watch.start();
   feed.answer({clients::FeedStatus::kOk, {{kWeightsRow, "1", 3}}, 5});
-  const auto proved = fleet.time.now();
+  const auto confirmedAt = fleet.time.now();
   fleet.time.advance(seconds(3));
   feed.answer({clients::FeedStatus::kHistoryGone, {}, 0});
   feed.answer({clients::FeedStatus::kOk, {{kWeightsRow, "2", 9}}, 9});
-  BOOST_TEST((targets.startDeadline(kModel, 1) <= proved + seconds(8)));
+  BOOST_TEST((targets.startDeadline(kModel, 1) <= confirmedAt + seconds(8)));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/node/cache_store_gossip_test.cc
+++ b/tests/node/cache_store_gossip_test.cc
@@ -42,30 +42,30 @@
   std::vector<membership::Member> none_;
 };
 
-struct NewsNode {
-  NewsNode(const std::string& name, Gossip& gossip)
-      : directory(name), news(directory, gossip, stores) {
+struct GossipNode {
+  GossipNode(const std::string& name, Gossip& gossip)
+      : directory(name), gossipOfStores(directory, gossip, stores) {
     config::RouteTableContents contents;
     config::Service service;
     service.name = "kept";
     service.cacheStore = config::CacheStore{{9, 9}, "z", 2};
     contents.services.push_back(service);
     stores.update(config::RouteTable{contents});
-    news.start();
+    gossipOfStores.start();
   }
   Directory directory;
   routing::CacheStores stores;
-  CacheStoreGossip news;
+  CacheStoreGossip gossipOfStores;
 };
 
 }  // namespace
 
 BOOST_AUTO_TEST_SUITE(CacheStoreNewsTest)
 
-BOOST_AUTO_TEST_CASE(WhatOneNodeSeesTheOthersHear) {
+BOOST_AUTO_TEST_CASE(AvailabilitySeenByOneNodeReachesTheOthers) {
   Gossip gossip;
-  NewsNode watcher("a", gossip);
-  const NewsNode other("b", gossip);
+  GossipNode watcher("a", gossip);
+  const GossipNode other("b", gossip);
   watcher.stores.setLocalAvailability("store/0.0.0.9:9", true);
   BOOST_REQUIRE(other.stores.choose(1) != nullptr);
   BOOST_TEST(!other.stores.choose(1)->localAvailability.has_value());
@@ -73,10 +73,10 @@
   BOOST_TEST((other.stores.choose(1) == nullptr));
 }
 
-BOOST_AUTO_TEST_CASE(LaterNewsHasAHigherVersionAndAKeyOfItsNode) {
+BOOST_AUTO_TEST_CASE(LaterRecordHasAHigherVersionUnderAKeyOfItsNode) {
   Gossip gossip;
-  NewsNode first("a", gossip);
-  NewsNode second("b", gossip);
+  GossipNode first("a", gossip);
+  GossipNode second("b", gossip);
   first.stores.setLocalAvailability("store/0.0.0.9:9", true);
   first.stores.setLocalAvailability("store/0.0.0.9:9", false);
   second.stores.setLocalAvailability("store/0.0.0.9:9", true);
--- a/tests/node/configuration_return_test.cc
+++ b/tests/node/configuration_restore_test.cc
@@ -46,9 +46,9 @@
 };
 
 /// One run of a node: what it makes of the feed, and what it tells and hears.
-struct Run {
-  Run(Fleet& fleet, FleetNode& place)
-      : node(place),
+struct RunningNode {
+  RunningNode(Fleet& fleet, FleetNode& host)
+      : node(host),
         eras(fleet.time, log),
         service(fleet.service, node.timers, eras),
         feed({},
@@ -94,41 +94,41 @@
 };
 
 /// Two nodes that reach the service themselves, and not each other but by gossip.
-struct ReturnFixture {
-  ReturnFixture() {
+struct RestoreFixture {
+  RestoreFixture() {
     for (auto& node : fleet.nodes) node->silent = true;
     first.records.connect(second.records);
     fleet.service.put(kTableRow, "5");
     fleet.service.put(kWeightsRow, "1");
-    older = fleet.service.copy();
+    backup = fleet.service.copy();
     first.start();
     second.start();
     fleet.time.advance(seconds(2));
   }
-  base::Duration ageAt(const Run& run) const {
-    return fleet.time.now() - *run.configuration.confirmedAt();
+  base::Duration ageAt(const RunningNode& running) const {
+    return fleet.time.now() - *running.configuration.confirmedAt();
   }
 
   Fleet fleet{2};
-  Run first{fleet, *fleet.nodes[0]};
-  Run second{fleet, *fleet.nodes[1]};
-  config::feed_fleet::FakeService::Copy older;
+  RunningNode first{fleet, *fleet.nodes[0]};
+  RunningNode second{fleet, *fleet.nodes[1]};
+  config::feed_fleet::FakeService::Copy backup;
 };
 
 }  // namespace
 
-BOOST_FIXTURE_TEST_SUITE(ConfigurationReturnTest, ReturnFixture)
+BOOST_FIXTURE_TEST_SUITE(ConfigurationReturnTest, RestoreFixture)
 
-BOOST_AUTO_TEST_CASE(CopyWithAnOlderVersionProvesNothing) {
+BOOST_AUTO_TEST_CASE(BackupWithAnOlderVersionConfirmsNothing) {
   fleet.service.put(kTableRow, "8");
   fleet.time.advance(seconds(1));
   BOOST_TEST(first.version() == 8U);
-  const auto returnedAt = fleet.time.now();
-  fleet.service.returnFrom(older, 20);
+  const auto restoredAt = fleet.time.now();
+  fleet.service.returnFrom(backup, 20);
   fleet.time.advance(seconds(6));
   BOOST_TEST(first.version() == 8U);
   BOOST_REQUIRE(first.configuration.confirmedAt().has_value());
-  BOOST_TEST((*first.configuration.confirmedAt() <= returnedAt));
+  BOOST_TEST((*first.configuration.confirmedAt() <= restoredAt));
   fleet.service.put(kTableRow, "8");
   fleet.time.advance(seconds(1));
   BOOST_TEST((ageAt(first) < seconds(1)));
@@ -141,12 +141,12 @@
   fleet.time.advance(seconds(1));
   fleet.service.put(kTableRow, "8");
   fleet.time.advance(milliseconds(500));
-  fleet.service.returnFrom(older, 20);
+  fleet.service.returnFrom(backup, 20);
   second.service.refused = false;
-  const auto returnedAt = fleet.time.now();
+  const auto restoredAt = fleet.time.now();
   fleet.time.advance(seconds(8));
   BOOST_TEST(second.version() == 5U);
-  BOOST_TEST((*second.configuration.confirmedAt() <= returnedAt));
+  BOOST_TEST((*second.configuration.confirmedAt() <= restoredAt));
   fleet.service.put(kTableRow, "8");
   fleet.time.advance(seconds(1));
   BOOST_TEST(second.version() == 8U);
@@ -155,75 +155,75 @@
 
 // Nobody saw version 8 before the service lost it: the time that operators have to write it again
 // must pass before an older one counts as proved.
-BOOST_AUTO_TEST_CASE(NoVersionIsConfirmedBeforeOperatorsHadTheTimeToWriteAgain) {
+BOOST_AUTO_TEST_CASE(NoVersionIsConfirmedBeforeOperatorsHadTimeToRewrite) {
   fleet.service.put(kTableRow, "8");
-  fleet.service.returnFrom(older, 20);
-  const auto returnedAt = fleet.time.now();
-  while (fleet.time.now() < returnedAt + config::kWrittenAgainWithin - milliseconds(100)) {
+  fleet.service.returnFrom(backup, 20);
+  const auto restoredAt = fleet.time.now();
+  while (fleet.time.now() < restoredAt + config::kWrittenAgainWithin - milliseconds(100)) {
     fleet.time.advance(milliseconds(50));
-    for (const auto* run : {&first, &second})
-      BOOST_TEST((*run->configuration.confirmedAt() <= returnedAt));
+    for (const auto* running : {&first, &second})
+      BOOST_TEST((*running->configuration.confirmedAt() <= restoredAt));
   }
   fleet.service.put(kTableRow, "8");
   fleet.time.advance(seconds(2));
-  for (const auto* run : {&first, &second}) {
-    BOOST_TEST(run->version() == 8U);
-    BOOST_TEST((ageAt(*run) < seconds(1)));
+  for (const auto* running : {&first, &second}) {
+    BOOST_TEST(running->version() == 8U);
+    BOOST_TEST((ageAt(*running) < seconds(1)));
   }
 }
 
-BOOST_AUTO_TEST_CASE(NodeThatHasJustStartedIsConfirmedByNothingOlderThanOthersKnow) {
+BOOST_AUTO_TEST_CASE(StartedNodeIsNotConfirmedByAVersionOlderThanPeersHave) {
   fleet.service.put(kTableRow, "8");
   fleet.time.advance(seconds(1));
-  fleet.service.returnFrom(older, 20);
+  fleet.service.returnFrom(backup, 20);
   fleet.time.advance(milliseconds(500));
-  Run fresh(fleet, *fleet.nodes[1]);
-  fresh.records.connect(first.records);
-  fresh.start();
+  RunningNode started(fleet, *fleet.nodes[1]);
+  started.records.connect(first.records);
+  started.start();
   fleet.time.advance(seconds(5));
-  BOOST_TEST(fresh.version() == 5U);
-  BOOST_TEST(!fresh.configuration.confirmedAt().has_value());
+  BOOST_TEST(started.version() == 5U);
+  BOOST_TEST(!started.configuration.confirmedAt().has_value());
   fleet.service.put(kTableRow, "8");
   fleet.time.advance(seconds(1));
-  BOOST_TEST(fresh.version() == 8U);
-  BOOST_REQUIRE(fresh.configuration.confirmedAt().has_value());
-  BOOST_TEST((ageAt(fresh) < seconds(1)));
+  BOOST_TEST(started.version() == 8U);
+  BOOST_REQUIRE(started.configuration.confirmedAt().has_value());
+  BOOST_TEST((ageAt(started) < seconds(1)));
 }
 
 // Its first answer names the new era, and nothing tells it that there was another one before it
 // hears the other nodes.
-BOOST_AUTO_TEST_CASE(ProofThatANodeMadeBeforeItWasToldOfTheReturnCountsNoMore) {
+BOOST_AUTO_TEST_CASE(ConfirmationFromBeforeTheRestoreWasReportedIsDiscarded) {
   fleet.service.put(kTableRow, "8");
-  fleet.service.returnFrom(older, 20);
-  Run fresh(fleet, *fleet.nodes[1]);
-  fresh.start();
+  fleet.service.returnFrom(backup, 20);
+  RunningNode started(fleet, *fleet.nodes[1]);
+  started.start();
   fleet.time.advance(milliseconds(200));
-  BOOST_TEST(fresh.configuration.confirmedAt().has_value());
-  fresh.records.connect(first.records);
+  BOOST_TEST(started.configuration.confirmedAt().has_value());
+  started.records.connect(first.records);
   fleet.time.advance(milliseconds(900));
-  BOOST_TEST(!fresh.configuration.confirmedAt().has_value());
+  BOOST_TEST(!started.configuration.confirmedAt().has_value());
   fleet.service.put(kTableRow, "8");
   fleet.time.advance(seconds(2));
-  BOOST_REQUIRE(fresh.configuration.confirmedAt().has_value());
-  BOOST_TEST(fresh.version() == 8U);
+  BOOST_REQUIRE(started.configuration.confirmedAt().has_value());
+  BOOST_TEST(started.version() == 8U);
 }
 
-BOOST_AUTO_TEST_CASE(NodeThatStartsLongAfterTheReturnIsConfirmedAtOnce) {
-  fleet.service.returnFrom(older, 20);
+BOOST_AUTO_TEST_CASE(NodeThatStartsLongAfterTheRestoreIsConfirmedAtOnce) {
+  fleet.service.returnFrom(backup, 20);
   fleet.time.advance(seconds(30));
-  Run fresh(fleet, *fleet.nodes[1]);
-  fresh.records.connect(first.records);
-  fresh.start();
+  RunningNode started(fleet, *fleet.nodes[1]);
+  started.records.connect(first.records);
+  started.start();
   fleet.time.advance(milliseconds(200));
-  BOOST_TEST(fresh.configuration.confirmedAt().has_value());
+  BOOST_TEST(started.configuration.confirmedAt().has_value());
 }
 
-BOOST_AUTO_TEST_CASE(ServiceWithoutTheRowProvesNothing) {
+BOOST_AUTO_TEST_CASE(ServiceWithoutTheRowConfirmsNothing) {
   fleet.service.returnFrom({{}, 1}, 50);
-  const auto returnedAt = fleet.time.now();
+  const auto restoredAt = fleet.time.now();
   fleet.time.advance(seconds(6));
   BOOST_TEST(first.version() == 5U);
-  BOOST_TEST((*first.configuration.confirmedAt() <= returnedAt));
+  BOOST_TEST((*first.configuration.confirmedAt() <= restoredAt));
   fleet.service.put(kTableRow, "5");
   fleet.time.advance(seconds(1));
   BOOST_TEST((ageAt(first) < seconds(1)));
@@ -231,30 +231,30 @@
 
 // Weights that others saw named count though the service has lost them, from when this node last
 // knew that they were not.
-BOOST_AUTO_TEST_CASE(WeightsThatAnotherNodeSawNamedCountWhileTheServiceLacksThem) {
+BOOST_AUTO_TEST_CASE(WeightsAnnouncedToAPeerApplyWhileTheServiceLacksThem) {
   second.service.refused = true;
   fleet.time.advance(seconds(1));
-  const auto namedAt = fleet.time.now();
+  const auto announcedAt = fleet.time.now();
   fleet.service.put(kWeightsRow, "2");
   fleet.time.advance(milliseconds(500));
-  fleet.service.returnFrom(older, 20);
+  fleet.service.returnFrom(backup, 20);
   second.service.refused = false;
   fleet.time.advance(seconds(1));
   BOOST_REQUIRE(second.targets.newest(kModel) == 2U);
-  BOOST_TEST((*second.targets.startDeadline(kModel, 1) <= namedAt + seconds(8)));
+  BOOST_TEST((*second.targets.startDeadline(kModel, 1) <= announcedAt + seconds(8)));
 }
 
 // Written again after the return, they are no younger than before it.
-BOOST_AUTO_TEST_CASE(WeightsWrittenAgainAreNotDatedByACopyThatLackedThem) {
-  const auto namedAt = fleet.time.now();
+BOOST_AUTO_TEST_CASE(RewrittenWeightsKeepTheirAnnouncementTime) {
+  const auto announcedAt = fleet.time.now();
   fleet.service.put(kWeightsRow, "2");
-  fleet.service.returnFrom(older, 20);
+  fleet.service.returnFrom(backup, 20);
   fleet.time.advance(milliseconds(1500));
   fleet.service.put(kWeightsRow, "2");
   fleet.time.advance(seconds(1));
-  for (const auto* run : {&first, &second}) {
-    BOOST_REQUIRE(run->targets.newest(kModel) == 2U);
-    BOOST_TEST((*run->targets.startDeadline(kModel, 1) <= namedAt + seconds(8)));
+  for (const auto* running : {&first, &second}) {
+    BOOST_REQUIRE(running->targets.newest(kModel) == 2U);
+    BOOST_TEST((*running->targets.startDeadline(kModel, 1) <= announcedAt + seconds(8)));
   }
 }
 
--- a/tests/node/message_versions_test.cc
+++ b/tests/node/message_versions_test.cc
@@ -30,7 +30,7 @@
   std::string name;
   std::string payload;
   /// The bytes of the message that is read; empty where none is.
-  std::function<std::optional<std::string>(std::string_view)> readAndWrite;
+  std::function<std::optional<std::string>(std::string_view)> reencode;
 };
 
 template <class Decode, class Encode>
@@ -43,13 +43,13 @@
 }
 
 /// The message with a field more at its end, or with its last fields left out.
-std::string withFields(std::string_view payload, std::size_t left, bool oneMore) {
+std::string withFields(std::string_view payload, std::size_t kept, bool oneMore) {
   const auto handle = msgpack::unpack(payload.data(), payload.size());
   const auto& fields = handle.get().via.array;
   msgpack::sbuffer buffer;
   msgpack::packer<msgpack::sbuffer> packer(buffer);
-  packer.pack_array(static_cast<std::uint32_t>(left + (oneMore ? 1 : 0)));
-  for (std::size_t field = 0; field < left; ++field) packer.pack(fields.ptr[field]);
+  packer.pack_array(static_cast<std::uint32_t>(kept + (oneMore ? 1 : 0)));
+  for (std::size_t field = 0; field < kept; ++field) packer.pack(fields.ptr[field]);
   if (oneMore) packer.pack(std::string{"a field of a later build"});
   return {buffer.data(), buffer.size()};
 }
@@ -58,17 +58,17 @@
   return msgpack::unpack(payload.data(), payload.size()).get().via.array.size;
 }
 
-config::FeedAnswer feedAnswer() {
-  config::FeedAnswer answer;
-  answer.nonce = 7;
-  answer.rows = {{"config", "value", 12}};
-  answer.revision = 12;
-  answer.held = milliseconds(300);
-  answer.age = milliseconds(40);
-  answer.changedAgo = {milliseconds(900)};
-  answer.serviceTime = milliseconds(123456);
-  answer.era = 3;
-  return answer;
+config::FeedAnswer feedReply() {
+  config::FeedAnswer reply;
+  reply.nonce = 7;
+  reply.rows = {{"config", "value", 12}};
+  reply.revision = 12;
+  reply.held = milliseconds(300);
+  reply.age = milliseconds(40);
+  reply.changedAgo = {milliseconds(900)};
+  reply.serviceTime = milliseconds(123456);
+  reply.era = 3;
+  return reply;
 }
 
 template <class Message>
@@ -126,22 +126,22 @@
 std::vector<Sample> samples() {
   std::vector<Sample> all;
   addFeed(all, "FeedQuestion", config::FeedQuestion{7, "op", 11, milliseconds(700), false, 3});
-  addFeed(all, "FeedAnswer", feedAnswer());
+  addFeed(all, "FeedAnswer", feedReply());
   addPart(all, "PartQuestion", routing::PartQuery{1, 2, 3});
   addPart(all, "PartAnswer", routing::PartReply{1, {{{4}, 5}}});
   addPart(all, "PartNotice", routing::PartUpdate{1, {{4}, 5}, true});
-  routing::PlacementQuery question;
-  question.id = 3;
-  question.model = "m";
-  question.parts = {{9, 800}};
-  question.acceptableWait = milliseconds(200);
-  question.rateLimit = {clients::RateLimitNotice::of(2.5), milliseconds(70)};
-  addPlacement(all, "PlacementQuestion", question);
-  routing::PlacementReply answer;
-  answer.leaving = true;
-  answer.rateLimit = {clients::RateLimitNotice::of(2.5), milliseconds(70)};
-  answer.paced = true;
-  addPlacement(all, "PlacementAnswer", answer);
+  routing::PlacementQuery query;
+  query.id = 3;
+  query.model = "m";
+  query.parts = {{9, 800}};
+  query.acceptableWait = milliseconds(200);
+  query.rateLimit = {clients::RateLimitNotice::of(2.5), milliseconds(70)};
+  addPlacement(all, "PlacementQuestion", query);
+  routing::PlacementReply reply;
+  reply.leaving = true;
+  reply.rateLimit = {clients::RateLimitNotice::of(2.5), milliseconds(70)};
+  reply.paced = true;
+  addPlacement(all, "PlacementAnswer", reply);
   addPlacement(all, "PlacementTaken", routing::UngrantedDispatch{1, {2}, {}, {}, true});
   addPlacement(all, "PlacementBegun",
                routing::PlacementStarted{1, {2}, true, clients::RateLimitNotice::of(2.5)});
@@ -152,7 +152,7 @@
   addPlacement(all, "PlacementEnded", ended);
   all.push_back(sample("LoadUpdate", routing::encode(routing::LoadUpdate{4, {}}),
                        routing::decodeLoadUpdate,
-                       [](const routing::LoadUpdate& news) { return routing::encode(news); }));
+                       [](const routing::LoadUpdate& update) { return routing::encode(update); }));
   addQuota(all, "QuotaLeaseRequest", admission::QuotaLeaseRequest{});
   addQuota(all, "QuotaLeaseReply", admission::QuotaLeaseReply{});
   addQuota(all, "QuotaCorrection", admission::QuotaCorrection{});
@@ -189,56 +189,56 @@
 
 BOOST_AUTO_TEST_SUITE(MessageVersionsTest)
 
-BOOST_AUTO_TEST_CASE(FieldsOfLaterBuildsArePassedOver) {
-  for (const auto& one : samples()) {
-    const auto more = withFields(one.payload, fieldsOf(one.payload), true);
-    const auto read = one.readAndWrite(more);
-    BOOST_TEST(read.has_value(), one.name);
-    if (read) BOOST_TEST((*read == one.payload), one.name);
+BOOST_AUTO_TEST_CASE(UnknownTrailingFieldsAreIgnored) {
+  for (const auto& each : samples()) {
+    const auto extended = withFields(each.payload, fieldsOf(each.payload), true);
+    const auto read = each.reencode(extended);
+    BOOST_TEST(read.has_value(), each.name);
+    if (read) BOOST_TEST((*read == each.payload), each.name);
   }
 }
 
-BOOST_AUTO_TEST_CASE(MessagesThatLackFieldsAreNotReadAsWhole) {
-  for (const auto& one : samples()) {
-    for (std::size_t left = 0; left < fieldsOf(one.payload); ++left) {
-      const auto read = one.readAndWrite(withFields(one.payload, left, false));
-      if (read) BOOST_TEST((*read != one.payload), one.name << " with " << left << " fields");
+BOOST_AUTO_TEST_CASE(MessagesWithMissingFieldsAreNotTakenAsComplete) {
+  for (const auto& each : samples()) {
+    for (std::size_t kept = 0; kept < fieldsOf(each.payload); ++kept) {
+      const auto read = each.reencode(withFields(each.payload, kept, false));
+      if (read) BOOST_TEST((*read != each.payload), each.name << " with " << kept << " fields");
     }
   }
 }
 
-BOOST_AUTO_TEST_CASE(AgeThatIsNotToldNeverCountsAsYoung) {
+BOOST_AUTO_TEST_CASE(MissingAgeIsNeverTakenAsZero) {
   // Fields of an answer: ..., rows, revision, held, age, the service's clock, ages of the changes,
   // the era.
-  constexpr std::size_t kWithoutAgesOfChanges = 8;
-  const auto payload = config::encodeFeedMessage(feedAnswer());
-  BOOST_REQUIRE(fieldsOf(payload) == kWithoutAgesOfChanges + 2);
-  for (std::size_t left = 0; left < kWithoutAgesOfChanges; ++left)
-    BOOST_TEST(!config::decodeFeedMessage(withFields(payload, left, false)).has_value());
-  const auto read = config::decodeFeedMessage(withFields(payload, kWithoutAgesOfChanges, false));
+  constexpr std::size_t kFieldsWithoutChangeAges = 8;
+  const auto payload = config::encodeFeedMessage(feedReply());
+  BOOST_REQUIRE(fieldsOf(payload) == kFieldsWithoutChangeAges + 2);
+  for (std::size_t kept = 0; kept < kFieldsWithoutChangeAges; ++kept)
+    BOOST_TEST(!config::decodeFeedMessage(withFields(payload, kept, false)).has_value());
+  const auto read = config::decodeFeedMessage(withFields(payload, kFieldsWithoutChangeAges, false));
   BOOST_REQUIRE(read.has_value());
-  const auto& answer = std::get<config::FeedAnswer>(*read);
-  BOOST_TEST((answer.age == milliseconds(40)));
-  BOOST_TEST(answer.changedAgo.empty());
+  const auto& reply = std::get<config::FeedAnswer>(*read);
+  BOOST_TEST((reply.age == milliseconds(40)));
+  BOOST_TEST(reply.changedAgo.empty());
 }
 
 // A build that tells no era takes the revision of a later one for a number of the service: it must
 // not pass for one that does.
-BOOST_AUTO_TEST_CASE(EraThatIsNotToldIsNotTheFirst) {
+BOOST_AUTO_TEST_CASE(MissingEraIsNotTheFirstEra) {
   const auto payload = config::encodeFeedMessage(
       config::FeedQuestion{7, "op", 11, milliseconds(700), false, base::StoreEra{0}});
-  const auto told = config::decodeFeedMessage(payload);
-  BOOST_TEST((std::get<config::FeedQuestion>(*told).era == base::StoreEra{0}));
+  const auto decoded = config::decodeFeedMessage(payload);
+  BOOST_TEST((std::get<config::FeedQuestion>(*decoded).era == base::StoreEra{0}));
   const auto earlier = config::decodeFeedMessage(withFields(payload, fieldsOf(payload) - 1, false));
   BOOST_REQUIRE(earlier.has_value());
   BOOST_TEST(!std::get<config::FeedQuestion>(*earlier).era.has_value());
 }
 
-BOOST_AUTO_TEST_CASE(FramesOfLaterBuildsAreRead) {
+BOOST_AUTO_TEST_CASE(FramesWithTrailingFieldsAreAccepted) {
   const auto bytes = encodePeerFrame({{1}, 2, {3, 4}}, base::Channel::kTableFeed, "payload");
   base::Reason reason;
-  const auto more = withFields(bytes, fieldsOf(bytes), true);
-  const auto frame = decodePeerFrame(more, reason);
+  const auto extended = withFields(bytes, fieldsOf(bytes), true);
+  const auto frame = decodePeerFrame(extended, reason);
   BOOST_REQUIRE(frame.has_value());
   BOOST_TEST(frame->payload == "payload");
   BOOST_TEST(!decodePeerFrame(withFields(bytes, fieldsOf(bytes) - 1, false), reason).has_value());
--- a/tests/node/node_count_test.cc
+++ b/tests/node/node_count_test.cc
@@ -15,7 +15,7 @@
 class CountedMembers final : public membership::MemberDirectory {
  public:
   explicit CountedMembers(std::size_t count) : live_(count) {}
-  void see(std::size_t count) { live_.resize(count); }
+  void setCount(std::size_t count) { live_.resize(count); }
   const membership::Member& self() const override { return live_.front(); }
   const std::vector<membership::Member>& liveMembers() const override { return live_; }
   const membership::Member* find(base::NodeId /*id*/) const override { return nullptr; }
@@ -30,14 +30,14 @@
 
 BOOST_AUTO_TEST_SUITE(NodeCountTest)
 
-BOOST_AUTO_TEST_CASE(NodesThatWereSeenLatelyCountWhileTheyAreCutOff) {
+BOOST_AUTO_TEST_CASE(RecentlySeenNodesCountWhileTheyAreUnreachable) {
   test_support::VirtualTime time;
   CountedMembers members{7};
   NodeCount count{members, time, {}};
   BOOST_TEST(count() == 8U);
   time.advance(seconds(6));
   BOOST_TEST(count() == 7U);
-  members.see(3);
+  members.setCount(3);
   time.advance(seconds(20));
   BOOST_TEST(count() == 7U);
   time.advance(seconds(11));
@@ -46,7 +46,7 @@
 
 // Each of four nodes that were cut off when they started took itself for the only one, and the
 // whole slack of the bound on retries for its part.
-BOOST_AUTO_TEST_CASE(NodeThatHasNeverSeenAnotherAssumesOthersWhereBeingAloneIsNotTrusted) {
+BOOST_AUTO_TEST_CASE(NodeThatHasNeverSeenAnotherAssumesOthersIfASingleNodeViewIsNotTrusted) {
   test_support::VirtualTime time;
   CountedMembers members{1};
   NodeCountOptions options;
@@ -54,7 +54,7 @@
   NodeCount count{members, time, options};
   time.advance(minutes(1));
   BOOST_TEST(count() == options.assumedNodes);
-  members.see(3);
+  members.setCount(3);
   BOOST_TEST(count() == 3U);
 }
 
--- a/tests/node/node_fixture.h
+++ b/tests/node/node_fixture.h
@@ -61,18 +61,18 @@
   }
   void poll(const clients::BackEndAddress& /*engine*/, std::uint64_t fromSequence,
             std::function<void(std::optional<clients::EngineReport>)> callback) override {
-    answer(fromSequence, std::move(callback));
+    respond(fromSequence, std::move(callback));
   }
   void snapshot(const clients::BackEndAddress& /*engine*/,
                 std::function<void(std::optional<clients::EngineReport>)> callback) override {
-    answer(0, std::move(callback));
+    respond(0, std::move(callback));
   }
   void order(const clients::BackEndAddress& /*engine*/, clients::EngineOrder /*order*/,
              std::function<void(clients::OrderReply)> /*callback*/) override {}
 
  private:
-  void answer(std::uint64_t fromSequence,
-              std::function<void(std::optional<clients::EngineReport>)> callback) {
+  void respond(std::uint64_t fromSequence,
+               std::function<void(std::optional<clients::EngineReport>)> callback) {
     clients::EngineReport report;
     report.incarnation = 1;
     report.weights = {{"rules", 3, {}}};
@@ -128,11 +128,11 @@
     return result;
   }
   std::unique_ptr<request::ActiveRequest> complete() {
-    request::CompletionRequest asked;
-    asked.bearerKey = "key";
-    asked.model = "rules";
-    asked.prompt = std::make_shared<const std::string>("may this card be played");
-    auto active = node->requests().complete(std::move(asked), sink);
+    request::CompletionRequest request;
+    request.bearerKey = "key";
+    request.model = "rules";
+    request.prompt = std::make_shared<const std::string>("may this card be played");
+    auto active = node->requests().complete(std::move(request), sink);
     time.advance(std::chrono::milliseconds(200));
     return active;
   }
--- a/tests/node/operator_service_test.cc
+++ b/tests/node/operator_service_test.cc
@@ -64,7 +64,7 @@
 };
 
 // Engines that never answer.
-struct SilentEngines final : clients::EngineClient {
+struct UnresponsiveEngines final : clients::EngineClient {
   std::unique_ptr<clients::EngineStream> start(const clients::BackEndAddress&,
                                                clients::EngineRequest,
                                                clients::EngineStreamHandler&) override {
@@ -83,7 +83,7 @@
 };
 
 /// A node's operator service with everything behind it.
-struct OperatorWorld final : config::AcceptedRowSink {
+struct OperatorFixture final : config::AcceptedRowSink {
   emulator::VirtualTime time;
   base::SeededRandom random{7};
   base::NullEventLog log;
@@ -93,7 +93,7 @@
   FixedMembers members;
   FixedFleet fleet;
   FleetCatalogue catalogue{fleet};
-  SilentEngines engines;
+  UnresponsiveEngines engines;
   NoPeers peers;
   ExplainLog explainLog;
   coordination::Coordinator coordinator{
@@ -106,16 +106,17 @@
 
   void onAccepted(const clients::TableRow& row) override { store.apply(row); }
 
-  struct Answer {
+  struct Response {
     base::ResultCode code;
     Json body;
   };
 
-  Answer call(const std::string& method, const std::string& target, const std::string& body = "") {
+  Response call(const std::string& method, const std::string& target,
+                const std::string& body = "") {
     std::optional<OperatorResponse> response;
-    service->call({method, target, body}, [&](const OperatorResponse& answer) {
+    service->call({method, target, body}, [&](const OperatorResponse& received) {
       BOOST_REQUIRE(!response);
-      response = answer;
+      response = received;
     });
     BOOST_TEST(!response);  // never from inside the call
     time.run(kLongEnough);
@@ -123,7 +124,7 @@
     return {response->code, Json::parse(response->body)};
   }
 
-  Answer create(const std::string& name, const std::string& operation) {
+  Response create(const std::string& name, const std::string& operation) {
     return call("PUT", "/v1/templates/" + name + "?operation=" + operation + "&author=anna",
                 documentWith("standard", kDigest).dump());
   }
@@ -134,10 +135,10 @@
 BOOST_AUTO_TEST_SUITE(OperatorServiceTest)
 
 BOOST_AUTO_TEST_CASE(CreatesAndListsTemplates) {
-  OperatorWorld world;
-  const auto created = world.create("market-brno", "op-1");
+  OperatorFixture fixture;
+  const auto created = fixture.create("market-brno", "op-1");
   BOOST_REQUIRE(created.code == base::ResultCode::kOk);
-  const auto listed = world.call("GET", "/v1/templates");
+  const auto listed = fixture.call("GET", "/v1/templates");
   BOOST_REQUIRE(listed.body["templates"].size() == 1);
   BOOST_TEST(listed.body["templates"][0]["name"] == "market-brno");
   BOOST_TEST(listed.body["templates"][0]["version"] == created.body["version"]);
@@ -145,39 +146,39 @@
 }
 
 BOOST_AUTO_TEST_CASE(GetShowsDocumentAndExpansion) {
-  OperatorWorld world;
-  world.create("market-brno", "op-1");
-  const auto got = world.call("GET", "/v1/templates/market-brno");
+  OperatorFixture fixture;
+  fixture.create("market-brno", "op-1");
+  const auto got = fixture.call("GET", "/v1/templates/market-brno");
   BOOST_TEST(got.body["document"]["body"]["priority"] == "standard");
   BOOST_TEST(got.body["expansion"]["priority"] == "standard");
 }
 
 BOOST_AUTO_TEST_CASE(RepeatWithTheSameOperationChangesNothing) {
-  OperatorWorld world;
-  const auto first = world.create("market-brno", "op-1");
-  const auto second = world.create("market-brno", "op-1");
+  OperatorFixture fixture;
+  const auto first = fixture.create("market-brno", "op-1");
+  const auto second = fixture.create("market-brno", "op-1");
   BOOST_TEST((second.code == base::ResultCode::kOk));
   BOOST_TEST(second.body["version"] == first.body["version"]);
 }
 
-BOOST_AUTO_TEST_CASE(LostAnswerIsReadBack) {
-  OperatorWorld world;
-  world.table.conditions().loseNextAnswers(1);
-  const auto created = world.create("market-brno", "op-1");
+BOOST_AUTO_TEST_CASE(LostReplyIsReadBack) {
+  OperatorFixture fixture;
+  fixture.table.conditions().loseNextAnswers(1);
+  const auto created = fixture.create("market-brno", "op-1");
   BOOST_TEST((created.code == base::ResultCode::kOk));
-  BOOST_TEST(world.table.conditions().answersLost() == 1U);
+  BOOST_TEST(fixture.table.conditions().answersLost() == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(LostRaceNamesVersionAndHolder) {
-  OperatorWorld world;
-  const auto created = world.create("market-brno", "op-1");
+  OperatorFixture fixture;
+  const auto created = fixture.create("market-brno", "op-1");
   const std::string version = created.body["version"].dump();
   const std::string target = "/v1/templates/market-brno?version=" + version + "&operation=";
   const auto changed =
-      world.call("PUT", target + "op-2&author=jan", documentWith("urgent", kDigest).dump());
+      fixture.call("PUT", target + "op-2&author=jan", documentWith("urgent", kDigest).dump());
   BOOST_REQUIRE(changed.code == base::ResultCode::kOk);
   const auto lost =
-      world.call("PUT", target + "op-3&author=eva", documentWith("background", kDigest).dump());
+      fixture.call("PUT", target + "op-3&author=eva", documentWith("background", kDigest).dump());
   BOOST_TEST((lost.code == base::ResultCode::kVersionConflict));
   BOOST_TEST(lost.body["outcome"] == "not-run");
   BOOST_TEST(lost.body["current"]["version"] == changed.body["version"]);
@@ -185,81 +186,81 @@
 }
 
 BOOST_AUTO_TEST_CASE(MistakesNameTheirFields) {
-  OperatorWorld world;
-  const auto refused = world.call("PUT", "/v1/templates/market-brno?operation=op-1",
-                                  documentWith("royal", kDigest).dump());
+  OperatorFixture fixture;
+  const auto refused = fixture.call("PUT", "/v1/templates/market-brno?operation=op-1",
+                                    documentWith("royal", kDigest).dump());
   BOOST_TEST((refused.code == base::ResultCode::kTemplateInvalid));
   BOOST_TEST(refused.body["field"] == "body.priority");
 }
 
 BOOST_AUTO_TEST_CASE(ChangesNeedAnOperation) {
-  OperatorWorld world;
-  const auto refused = world.call("PUT", "/v1/templates/market-brno", "{}");
+  OperatorFixture fixture;
+  const auto refused = fixture.call("PUT", "/v1/templates/market-brno", "{}");
   BOOST_TEST((refused.code == base::ResultCode::kInvalidField));
   BOOST_TEST(refused.body["field"] == "operation");
 }
 
 BOOST_AUTO_TEST_CASE(RetiredTemplatesAreListedOnRequestOnly) {
-  OperatorWorld world;
-  const auto created = world.create("market-brno", "op-1");
+  OperatorFixture fixture;
+  const auto created = fixture.create("market-brno", "op-1");
   const auto retired =
-      world.call("DELETE", "/v1/templates/market-brno?operation=op-2&author=jan&version=" +
-                               created.body["version"].dump());
+      fixture.call("DELETE", "/v1/templates/market-brno?operation=op-2&author=jan&version=" +
+                                 created.body["version"].dump());
   BOOST_REQUIRE(retired.code == base::ResultCode::kOk);
-  BOOST_TEST(world.call("GET", "/v1/templates").body["templates"].empty());
-  const auto all = world.call("GET", "/v1/templates?retired=true");
+  BOOST_TEST(fixture.call("GET", "/v1/templates").body["templates"].empty());
+  const auto all = fixture.call("GET", "/v1/templates?retired=true");
   BOOST_TEST(all.body["templates"][0]["state"] == "retired");
 }
 
 BOOST_AUTO_TEST_CASE(HistoryHoldsEveryVersionOldestFirst) {
-  OperatorWorld world;
-  const auto created = world.create("market-brno", "op-1");
-  world.call("PUT",
-             "/v1/templates/market-brno?operation=op-2&author=jan&version=" +
-                 created.body["version"].dump(),
-             documentWith("urgent", kDigest).dump());
-  const auto history = world.call("GET", "/v1/templates/market-brno/history");
+  OperatorFixture fixture;
+  const auto created = fixture.create("market-brno", "op-1");
+  fixture.call("PUT",
+               "/v1/templates/market-brno?operation=op-2&author=jan&version=" +
+                   created.body["version"].dump(),
+               documentWith("urgent", kDigest).dump());
+  const auto history = fixture.call("GET", "/v1/templates/market-brno/history");
   BOOST_REQUIRE(history.body["versions"].size() == 2);
   BOOST_TEST(history.body["versions"][0]["author"] == "anna");
   BOOST_TEST(history.body["versions"][1]["document"]["body"]["priority"] == "urgent");
 }
 
 BOOST_AUTO_TEST_CASE(ExpandChecksWithoutSaving) {
-  OperatorWorld world;
+  OperatorFixture fixture;
   const auto expanded =
-      world.call("POST", "/v1/expand?name=trial", documentWith("interactive", kDigest).dump());
+      fixture.call("POST", "/v1/expand?name=trial", documentWith("interactive", kDigest).dump());
   BOOST_TEST(expanded.body["expansion"]["priority"] == "interactive");
-  BOOST_TEST(world.store.size() == 0U);
+  BOOST_TEST(fixture.store.size() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(StoreDownIsNotRun) {
-  OperatorWorld world;
-  world.table.conditions().setMode(emulator::ServiceMode::kDown);
-  const auto refused = world.create("market-brno", "op-1");
+BOOST_AUTO_TEST_CASE(UnavailableStoreIsReportedAsNotRun) {
+  OperatorFixture fixture;
+  fixture.table.conditions().setMode(emulator::ServiceMode::kDown);
+  const auto refused = fixture.create("market-brno", "op-1");
   BOOST_TEST((refused.code == base::ResultCode::kPlatformUnavailable));
   BOOST_TEST(refused.body["outcome"] == "not-run");
 }
 
 BOOST_AUTO_TEST_CASE(OrderIsCreatedOnceShownAndListed) {
-  OperatorWorld world;
+  OperatorFixture fixture;
   const std::string body = R"({"kind": "swap", "model": "prices", "version": 4})";
-  const auto created = world.call("POST", "/v1/orders?operation=op-1&author=anna", body);
+  const auto created = fixture.call("POST", "/v1/orders?operation=op-1&author=anna", body);
   BOOST_REQUIRE(created.code == base::ResultCode::kOk);
   BOOST_TEST(created.body["steps"].size() == 2U);
   BOOST_TEST(created.body["minimum_serving"] == 1);
-  const auto repeated = world.call("POST", "/v1/orders?operation=op-1&author=anna", body);
+  const auto repeated = fixture.call("POST", "/v1/orders?operation=op-1&author=anna", body);
   BOOST_TEST(repeated.body["id"] == created.body["id"]);
   const std::string id = created.body["id"].get<std::string>();
-  BOOST_TEST(world.call("GET", "/v1/orders/" + id).body["author"] == "anna");
-  BOOST_TEST(world.call("GET", "/v1/orders").body["orders"].size() == 1U);
+  BOOST_TEST(fixture.call("GET", "/v1/orders/" + id).body["author"] == "anna");
+  BOOST_TEST(fixture.call("GET", "/v1/orders").body["orders"].size() == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(OperationOfAnotherOrderIsAConflict) {
-  OperatorWorld world;
-  world.call("POST", "/v1/orders?operation=op-1&author=anna",
-             R"({"kind": "swap", "model": "prices", "version": 4})");
-  const auto other = world.call("POST", "/v1/orders?operation=op-1&author=jan",
-                                R"({"kind": "swap", "model": "prices", "version": 5})");
+  OperatorFixture fixture;
+  fixture.call("POST", "/v1/orders?operation=op-1&author=anna",
+               R"({"kind": "swap", "model": "prices", "version": 4})");
+  const auto other = fixture.call("POST", "/v1/orders?operation=op-1&author=jan",
+                                  R"({"kind": "swap", "model": "prices", "version": 5})");
   BOOST_TEST((other.code == base::ResultCode::kVersionConflict));
   BOOST_TEST(other.body["current"]["holder"] == "anna");
 }
@@ -283,40 +284,40 @@
       {R"({"kind": "swap", "model": "labels", "version": 4})", "engines"},
       {R"([])", ""},
   };
-  OperatorWorld world;
-  for (const Case& one : cases) {
-    const auto refused = world.call("POST", "/v1/orders?operation=op-1", one.body);
-    BOOST_TEST((refused.code == base::ResultCode::kOrderInvalid), one.body);
-    BOOST_TEST(refused.body["field"] == one.field, one.body);
+  OperatorFixture fixture;
+  for (const Case& each : cases) {
+    const auto refused = fixture.call("POST", "/v1/orders?operation=op-1", each.body);
+    BOOST_TEST((refused.code == base::ResultCode::kOrderInvalid), each.body);
+    BOOST_TEST(refused.body["field"] == each.field, each.body);
   }
-  BOOST_TEST((world.call("POST", "/v1/orders?operation=op-1", "{").code ==
+  BOOST_TEST((fixture.call("POST", "/v1/orders?operation=op-1", "{").code ==
               base::ResultCode::kMalformedJson));
-  BOOST_TEST(world.table.revision() == 0U);
+  BOOST_TEST(fixture.table.revision() == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(CancelMarksTheOrderAndUnknownOnesAreNotFound) {
-  OperatorWorld world;
-  const auto created = world.call("POST", "/v1/orders?operation=op-1&author=anna",
-                                  R"({"kind": "load", "model": "prices", "version": 4})");
+  OperatorFixture fixture;
+  const auto created = fixture.call("POST", "/v1/orders?operation=op-1&author=anna",
+                                    R"({"kind": "load", "model": "prices", "version": 4})");
   const std::string target = "/v1/orders/" + created.body["id"].get<std::string>();
-  BOOST_TEST(world.call("DELETE", target + "?operation=op-2").body["cancel_requested"] == true);
-  BOOST_TEST((world.call("GET", "/v1/orders/none").code == base::ResultCode::kOrderNotFound));
-  BOOST_TEST((world.call("PUT", target).code == base::ResultCode::kMethodNotAllowed));
+  BOOST_TEST(fixture.call("DELETE", target + "?operation=op-2").body["cancel_requested"] == true);
+  BOOST_TEST((fixture.call("GET", "/v1/orders/none").code == base::ResultCode::kOrderNotFound));
+  BOOST_TEST((fixture.call("PUT", target).code == base::ResultCode::kMethodNotAllowed));
 }
 
 BOOST_AUTO_TEST_CASE(FleetShowsEnginesAndHomes) {
-  OperatorWorld world;
-  const auto fleet = world.call("GET", "/v1/fleet");
+  OperatorFixture fixture;
+  const auto fleet = fixture.call("GET", "/v1/fleet");
   BOOST_REQUIRE(fleet.body["engines"].size() == 2U);
   BOOST_TEST(fleet.body["engines"][0]["weights"][0]["version"] == 3);
   BOOST_TEST(fleet.body["engines"][0]["homes"][0] == "node-1");
 }
 
 BOOST_AUTO_TEST_CASE(NodeShowsMembersFreshnessLeaseAndRequests) {
-  OperatorWorld world;
-  world.coordinator.start();
-  world.time.run(std::chrono::seconds(5));
-  const auto node = world.call("GET", "/v1/node");
+  OperatorFixture fixture;
+  fixture.coordinator.start();
+  fixture.time.run(std::chrono::seconds(5));
+  const auto node = fixture.call("GET", "/v1/node");
   BOOST_TEST(node.body["open_requests"] == 5);
   BOOST_TEST(node.body["lease"]["holder"] == "node-1");
   BOOST_TEST(node.body["lease"]["held"] == true);
@@ -325,22 +326,23 @@
 }
 
 BOOST_AUTO_TEST_CASE(ExplainShowsTheRecordOfARequest) {
-  OperatorWorld world;
+  OperatorFixture fixture;
   auto trace = std::make_shared<request::RequestTrace>();
   trace->id = {"node-1.1.7"};
   trace->tenant = "market-brno";
-  world.explainLog.add(trace);
-  BOOST_TEST(world.call("GET", "/v1/requests/node-1.1.7").body["tenant"] == "market-brno");
-  BOOST_TEST((world.call("GET", "/v1/requests/none").code == base::ResultCode::kRequestNotFound));
+  fixture.explainLog.add(trace);
+  BOOST_TEST(fixture.call("GET", "/v1/requests/node-1.1.7").body["tenant"] == "market-brno");
+  BOOST_TEST((fixture.call("GET", "/v1/requests/none").code == base::ResultCode::kRequestNotFound));
 }
 
 BOOST_AUTO_TEST_CASE(MalformedTargetsAreRefused) {
-  OperatorWorld world;
+  OperatorFixture fixture;
   for (const char* target : {"", "/", "/v2/templates", "/v1/templates/%zz", "/v1/nothing",
                              "/v1/templates/a/b/c", "/v1/templates/%00"}) {
-    BOOST_TEST((world.call("GET", target).code == base::ResultCode::kUnknownPath));
+    BOOST_TEST((fixture.call("GET", target).code == base::ResultCode::kUnknownPath));
   }
-  BOOST_TEST((world.call("PATCH", "/v1/templates/a").code == base::ResultCode::kMethodNotAllowed));
+  BOOST_TEST(
+      (fixture.call("PATCH", "/v1/templates/a").code == base::ResultCode::kMethodNotAllowed));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/node/replica_list_test.cc
+++ b/tests/node/replica_list_test.cc
@@ -14,7 +14,7 @@
 constexpr std::uint64_t kPart = 2;
 
 /// The value of a row is the name of the run; an empty one cannot be read.
-class RunReader final : public ReplicaRowReader {
+class InstanceReader final : public ReplicaRowReader {
  public:
   std::optional<routing::Replica> readReplica(std::string_view /*key*/, std::string_view value,
                                               base::Reason& reason) const override {
@@ -31,7 +31,7 @@
 };
 
 /// Gives no answer within the test.
-class SilentReachability final : public clients::ReachabilityClient {
+class UnresponsiveReachability final : public clients::ReachabilityClient {
  public:
   void connect(const base::Endpoint& /*address*/, base::Duration /*timeout*/,
                std::function<void(clients::Reachability)> /*callback*/) override {}
@@ -39,34 +39,34 @@
 
 struct ReplicaListFixture {
   ReplicaListFixture() {
-    replicaEnds.setListener(
+    crashDetector.setListener(
         [this](const routing::LostRequests& runs) { ended.push_back(runs.instance); });
   }
 
-  void write(const std::string& key, const std::string& run) {
-    list.onRow({key, run, ++revision}, config::RowSource::kFeed);
+  void write(const std::string& key, const std::string& instance) {
+    list.onRow({key, instance, ++revision}, config::RowSource::kFeed);
   }
   void remove(const std::string& key) { list.onRemoved({key, std::nullopt, ++revision}); }
 
   /// The run holds a part, and a request broke off there.
-  void use(const std::string& run) {
-    holders.add(base::engineIdOf(run), kScope, kPart, 100);
-    replicaEnds.onRequestInterrupted(directory.find(run), base::RequestFingerprint{7});
+  void recordUse(const std::string& instance) {
+    holders.add(base::engineIdOf(instance), kScope, kPart, 100);
+    crashDetector.onRequestInterrupted(directory.find(instance), base::RequestFingerprint{7});
   }
-  bool holds(const std::string& run) const {
-    return holders.tokensOf(base::engineIdOf(run), kScope, kPart) > 0;
+  bool holds(const std::string& instance) const {
+    return holders.tokensOf(base::engineIdOf(instance), kScope, kPart) > 0;
   }
 
   test_support::VirtualTime time;
   test_support::RecordingLog log;
-  SilentReachability reachability;
-  RunReader reader;
+  UnresponsiveReachability reachability;
+  InstanceReader reader;
   routing::ReplicaDirectory directory;
   routing::PrefixHolders holders;
-  routing::ReplicaCrashDetector replicaEnds{{}, {time, time, log, reachability}};
+  routing::ReplicaCrashDetector crashDetector{{}, {time, time, log, reachability}};
   std::vector<std::string> ended;
   config::StoreEras eras{time, log};
-  ReplicaList list{reader, time, log, directory, holders, replicaEnds, eras};
+  ReplicaList list{reader, time, log, directory, holders, crashDetector, eras};
   base::Revision revision = 0;
 };
 
@@ -74,11 +74,11 @@
 
 BOOST_FIXTURE_TEST_SUITE(ReplicaListTest, ReplicaListFixture)
 
-BOOST_AUTO_TEST_CASE(RunThatTakesTheRowOfAnotherEndsIt) {
+BOOST_AUTO_TEST_CASE(InstanceThatTakesOverARowEndsThePreviousOne) {
   write("r", "r@1");
   write("other", "other@1");
-  use("r@1");
-  use("other@1");
+  recordUse("r@1");
+  recordUse("other@1");
   write("r", "r@2");
   BOOST_TEST(ended == std::vector<std::string>{"r@1"}, boost::test_tools::per_element());
   BOOST_TEST(!holds("r@1"));
@@ -88,20 +88,20 @@
   BOOST_TEST(directory.all().size() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(RowOfTheSameRunEndsNothing) {
+BOOST_AUTO_TEST_CASE(RowOfTheSameInstanceEndsNothing) {
   write("r", "r@1");
   const auto record = directory.find("r@1");
-  use("r@1");
+  recordUse("r@1");
   write("r", "r@1");
   BOOST_TEST((directory.find("r@1") == record));
   BOOST_TEST(holds("r@1"));
   BOOST_TEST(ended.empty());
 }
 
-BOOST_AUTO_TEST_CASE(RowThatCannotBeReadTakesTheRunOutOfUseAndEndsNothing) {
+BOOST_AUTO_TEST_CASE(UnreadableRowTakesTheInstanceOutOfUseAndEndsNothing) {
   write("r", "r@1");
   write("other", "other@1");
-  use("r@1");
+  recordUse("r@1");
   write("r", "");
   BOOST_TEST(directory.ofService("llm").size() == 1U);
   BOOST_TEST(log.count(base::Event::kReplicaEntryRejected) == 1U);
@@ -114,7 +114,7 @@
 
 // Replicas of a service all tell their starts, or none does. An entry without one, which a node
 // that had just started read first, brought requests to an address that was no replica's.
-BOOST_AUTO_TEST_CASE(EntryWithoutAStartIsNoReplicasWhereOthersTellTheirs) {
+BOOST_AUTO_TEST_CASE(EntryWithoutAStartTimeIsRejectedIfOthersOfItsServiceHaveOne) {
   write("other", "other");
   BOOST_TEST(directory.ofService("llm").size() == 1U);
   write("r", "r@1");
@@ -131,9 +131,9 @@
   BOOST_TEST(log.count(base::Event::kReplicaRestarted) == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(RunBehindARowThatCannotBeReadEndsWithTheNextOne) {
+BOOST_AUTO_TEST_CASE(InstanceBehindAnUnreadableRowEndsWithTheNextInstance) {
   write("r", "r@1");
-  use("r@1");
+  recordUse("r@1");
   write("r", "");
   write("r", "r@2");
   BOOST_TEST(ended.size() == 1U);
@@ -141,9 +141,9 @@
   BOOST_TEST((directory.find("r@2") != nullptr));
 }
 
-BOOST_AUTO_TEST_CASE(RunEndsWithItsRow) {
+BOOST_AUTO_TEST_CASE(InstanceEndsWithItsRow) {
   write("r", "r@1");
-  use("r@1");
+  recordUse("r@1");
   remove("r");
   BOOST_TEST(ended.size() == 1U);
   BOOST_TEST(directory.all().empty());
@@ -153,10 +153,10 @@
 // The table service comes back from a copy: rows go, and come again when their replicas have
 // written them. A replica that was dropped meanwhile would lose its place, its streams and its
 // cache index.
-BOOST_AUTO_TEST_CASE(RowThatIsWrittenAgainAfterAReturnOfTheServiceEndsNothing) {
+BOOST_AUTO_TEST_CASE(RowRewrittenAfterARestoreEndsNothing) {
   write("r", "r@1");
   const auto record = directory.find("r@1");
-  use("r@1");
+  recordUse("r@1");
   eras.note(0, "the test");
   eras.note(1, "the test");
   list.onRemoved({"r", std::nullopt, ++revision});
@@ -171,7 +171,7 @@
   BOOST_TEST(ended.empty());
 }
 
-BOOST_AUTO_TEST_CASE(RowThatIsNotWrittenAgainAfterAReturnOfTheServiceIsGone) {
+BOOST_AUTO_TEST_CASE(RowNotRewrittenAfterARestoreIsRemoved) {
   write("r", "r@1");
   eras.note(0, "the test");
   eras.note(1, "the test");
@@ -181,11 +181,11 @@
   BOOST_TEST((directory.find("r@1") == nullptr));
 }
 
-BOOST_AUTO_TEST_CASE(RowOfACopyThatNamesAnEndedRunEndsNothing) {
+BOOST_AUTO_TEST_CASE(RestoredRowThatNamesAnEndedInstanceEndsNothing) {
   write("r", "r@1");
   write("r", "r@2");
   const auto record = directory.find("r@2");
-  use("r@2");
+  recordUse("r@2");
   const auto endedBefore = ended.size();
   write("r", "r@1");
   BOOST_TEST((directory.find("r@2") == record));
--- a/tests/node/unread_configuration_test.cc
+++ b/tests/node/unreadable_configuration_test.cc
@@ -33,8 +33,8 @@
   }
 };
 
-struct UnreadFixture {
-  UnreadFixture()
+struct UnreadableFixture {
+  UnreadableFixture()
       : configuration(reader, fleet.time, node.log, targets, node.eras),
         watch({"t"}, fleet.time, fleet.time, node.random, node.feed, configuration) {
     configuration.setWatch(watch);
@@ -53,9 +53,9 @@
 
 }  // namespace
 
-BOOST_FIXTURE_TEST_SUITE(UnreadConfigurationTest, UnreadFixture)
+BOOST_FIXTURE_TEST_SUITE(UnreadConfigurationTest, UnreadableFixture)
 
-BOOST_AUTO_TEST_CASE(OlderVersionIsNotConfirmedAnyMore) {
+BOOST_AUTO_TEST_CASE(OlderVersionIsNoLongerConfirmed) {
   BOOST_TEST((age() < seconds(1)));
   fleet.service.put("a", "a form of a later release");
   fleet.time.advance(seconds(6));
@@ -63,7 +63,7 @@
   BOOST_TEST((age() >= seconds(6)));
 }
 
-BOOST_AUTO_TEST_CASE(VersionThatCanBeReadIsConfirmedAgain) {
+BOOST_AUTO_TEST_CASE(ReadableVersionIsConfirmedAgain) {
   fleet.service.put("a", "a form of a later release");
   fleet.time.advance(seconds(6));
   fleet.service.put("a", "3");
@@ -75,12 +75,12 @@
 BOOST_AUTO_TEST_CASE(NodeThatNeverReadAVersionIsNotConfirmed) {
   fleet.service.put("a", "a form of a later release");
   fleet.time.advance(seconds(1));
-  RouteConfiguration fresh(reader, fleet.time, node.log, targets, node.eras);
-  config::TableWatch freshWatch({"t"}, fleet.time, fleet.time, node.random, node.feed, fresh);
-  fresh.setWatch(freshWatch);
-  freshWatch.start();
+  RouteConfiguration started(reader, fleet.time, node.log, targets, node.eras);
+  config::TableWatch startedWatch({"t"}, fleet.time, fleet.time, node.random, node.feed, started);
+  started.setWatch(startedWatch);
+  startedWatch.start();
   fleet.time.advance(seconds(2));
-  BOOST_TEST(!fresh.confirmedAt());
+  BOOST_TEST(!started.confirmedAt());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/node/zone_watch_test.cc
+++ b/tests/node/zone_reachability_tracker_test.cc
@@ -1,5 +1,5 @@
 // Cut-off zones as seen from inside and outside, and the notice of a paused process.
-#include "node/zone_watch.h"
+#include "node/zone_reachability_tracker.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -41,48 +41,48 @@
 
 BOOST_AUTO_TEST_CASE(HomeZoneSeenFromInside) {
   ZonedMembers members("hall-a");
-  const ZoneWatch watch(members);
-  BOOST_TEST(!watch.cutOff("hall-a"));
+  const ZoneReachabilityTracker zones(members);
+  BOOST_TEST(!zones.cutOff("hall-a"));
   members.add("hall-b");
-  BOOST_TEST(!watch.cutOff("hall-a"));
+  BOOST_TEST(!zones.cutOff("hall-a"));
   members.keepFirst(1);
-  BOOST_TEST(watch.cutOff("hall-a"));
+  BOOST_TEST(zones.cutOff("hall-a"));
 }
 
 BOOST_AUTO_TEST_CASE(HomeZoneSeenFromOutside) {
   ZonedMembers members("hall-a");
-  const ZoneWatch watch(members);
-  BOOST_TEST(!watch.cutOff("hall-b"));
+  const ZoneReachabilityTracker zones(members);
+  BOOST_TEST(!zones.cutOff("hall-b"));
   members.add("hall-c");
   members.add("hall-b");
-  BOOST_TEST(!watch.cutOff("hall-b"));
+  BOOST_TEST(!zones.cutOff("hall-b"));
   members.keepFirst(2);
-  BOOST_TEST(watch.cutOff("hall-b"));
-  BOOST_TEST(!watch.reachable("hall-b"));
-  BOOST_TEST(!watch.cutOff("hall-a"));
-  BOOST_TEST(watch.reachable("hall-a"));
-  BOOST_TEST(watch.reachable("never-seen"));
+  BOOST_TEST(zones.cutOff("hall-b"));
+  BOOST_TEST(!zones.reachable("hall-b"));
+  BOOST_TEST(!zones.cutOff("hall-a"));
+  BOOST_TEST(zones.reachable("hall-a"));
+  BOOST_TEST(zones.reachable("never-seen"));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
 
 BOOST_AUTO_TEST_SUITE(PauseDetectorTest)
 
-BOOST_AUTO_TEST_CASE(JumpOfTheClockIsNoticedBeforeTheTimersRun) {
+BOOST_AUTO_TEST_CASE(ClockJumpIsDetectedBeforeTheTimersRun) {
   request::VirtualTime time;
   base::NullEventLog log;
-  std::vector<base::Duration> silences;
+  std::vector<base::Duration> pauses;
   PauseDetector detector(time, time, log,
-                         [&silences](base::Duration silence) { silences.push_back(silence); });
+                         [&pauses](base::Duration pause) { pauses.push_back(pause); });
   detector.start();
   time.advance(std::chrono::seconds(10));
-  BOOST_TEST(silences.empty());
+  BOOST_TEST(pauses.empty());
   time.pause(std::chrono::seconds(4));
   detector.check();
-  BOOST_REQUIRE(silences.size() == 1);
-  BOOST_TEST((silences.front() >= std::chrono::seconds(4)));
+  BOOST_REQUIRE(pauses.size() == 1);
+  BOOST_TEST((pauses.front() >= std::chrono::seconds(4)));
   detector.check();
-  BOOST_TEST(silences.size() == 1U);
+  BOOST_TEST(pauses.size() == 1U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
