--- a/tests/node/node_fixture.h
+++ b/tests/node/node_fixture.h
@@ -128,11 +128,11 @@
     return result;
   }
   std::unique_ptr<request::ActiveRequest> complete() {
-    request::CompletionRequest request;
-    request.bearerKey = "key";
-    request.model = "rules";
-    request.prompt = std::make_shared<const std::string>("may this card be played");
-    auto active = node->requests().complete(std::move(request), sink);
+    request::CompletionRequest completion;
+    completion.bearerKey = "key";
+    completion.model = "rules";
+    completion.prompt = std::make_shared<const std::string>("may this card be played");
+    auto active = node->requests().complete(std::move(completion), sink);
     time.advance(std::chrono::milliseconds(200));
     return active;
   }
