--- a/src/node/announcement_time_resolver.cc
+++ b/src/node/announcement_time_resolver.cc
@@ -6,7 +6,8 @@
 
 namespace {
 
-/// Versions of a model whose dates are written again. Those before them have long been in force.
+/// Number of versions of a model whose announcement times are rewritten after a restore. Earlier
+/// versions have long been required.
 constexpr std::size_t kMaximumVersions = 4;
 
 }  // namespace
@@ -23,7 +24,7 @@
                                           base::TimePoint announcedAt) {
   auto& versions = announcementTimes_[model];
   const auto [known, added] = versions.try_emplace(version, announcedAt);
-  // The earlier date is that of who knew more.
+  // The earlier time comes from the node with better information.
   if (!added) known->second = std::min(known->second, announcedAt);
   if (versions.size() > kMaximumVersions) versions.erase(versions.begin());
 }
@@ -35,8 +36,9 @@
       recordTime(weights.model, weights.version, *announcement.announcedAfter);
     store_.writeWhenResponsible(weights.model, weights.version,
                                 clock_.now() - *announcement.announcedAfter);
-    // The service may have turned this node away and served others, who saw the version come: dated
-    // by the own failed calls alone, requests were sent to the older version up to 2.9 s too long.
+    // The service may have refused this node's calls while it served other nodes, which received
+    // the version in time. When the time came from this node's own failed calls alone, requests
+    // were sent to the older version for up to 2.9 s too long.
     if (!announcement.provisional) return;
   }
   store_.lookUp(weights.model, weights.version,
@@ -50,9 +52,9 @@
                                             const std::vector<VersionAge>& ages) {
   const bool noStoredTime = ages.empty();
   if (noStoredTime && announcement.unreachableAt) {
-    // It was named while nodes could not learn of it, and its time counts from when they could:
-    // forbidden at once, the older version left a fleet that restarted in an outage without
-    // replicas (some 800 requests refused).
+    // The version was announced while nodes could not receive it, so its transition period counts
+    // from the end of the outage. When the older version was forbidden at once, a fleet that
+    // restarted during an outage was left without usable replicas and refused some 800 requests.
     const auto countsFrom =
         std::max(*announcement.unreachableAt,
                  announcement.announcedAfter.value_or(*announcement.unreachableAt));
--- a/src/node/announcement_time_resolver.h
+++ b/src/node/announcement_time_resolver.h
@@ -1,6 +1,7 @@
 /// \file
-/// From when the time of a version of weights counts, from all that this node knows of it: what the
-/// feed proves, the dates kept in the table service, and when that could not be reached.
+/// Determines when the transition period of an announced version of weights began. It combines the
+/// confirmations of the feed, the announcement times stored in the table service, and the times at
+/// which the service was unreachable.
 #pragma once
 
 #include <map>
@@ -16,22 +17,24 @@
 
 class AnnouncementTimeResolver {
  public:
-  /// All must outlive the dating and share its thread.
+  /// All arguments must outlive the resolver and be used on its thread.
   AnnouncementTimeResolver(base::Clock& clock, base::EventLog& log,
                            routing::WeightsTargets& targets, AnnouncementTimeStore& store)
       : clock_(clock), log_(log), targets_(targets), store_(store) {}
 
-  /// A newer version was named (RouteConfiguration::setWeightsListener).
+  /// Called when a newer version has been announced (RouteConfiguration::setWeightsListener).
   void onVersionAnnounced(const AnnouncedWeights& weights, const AnnouncementTime& announcement);
-  /// The table service came back from a copy, which may lack dates: writes those again that this
-  /// node knows.
+  /// The table service was restored from an older backup, which may lack announcement times:
+  /// rewrites those that this node has.
   void onStoreReturned();
 
  private:
+  /// Handles the result of a look-up in the store; `ages` is empty if it holds no time.
   void onStoredAges(const AnnouncedWeights& weights, const AnnouncementTime& announcement,
                     const std::vector<VersionAge>& ages);
+  /// Sets the announcement time in the targets, records and logs it.
   void setAge(const std::string& model, base::WeightsVersion version, base::Duration age);
-  /// Keeps the date for as long as somebody may ask for it.
+  /// Records the announcement time so that it can be rewritten after a restore.
   void recordTime(const std::string& model, base::WeightsVersion version,
                   base::TimePoint announcedAt);
 
@@ -39,7 +42,7 @@
   base::EventLog& log_;
   routing::WeightsTargets& targets_;
   AnnouncementTimeStore& store_;
-  /// From when the time of the latest versions counts, by model and version.
+  /// Moment from which the transition period of the latest versions counts, by model and version.
   std::map<std::string, std::map<base::WeightsVersion, base::TimePoint>> announcementTimes_;
 };
 
--- a/src/node/announcement_time_store.cc
+++ b/src/node/announcement_time_store.cc
@@ -11,13 +11,15 @@
 
 constexpr int kMaximumWriteAttempts = 6;
 constexpr int kMaximumReads = 7;
-/// Others take the place of lost nodes within about a second; twice that and some margin is looked.
+/// Other nodes replace lost ones within about a second; responsibility is checked for twice that
+/// time and some margin.
 constexpr int kResponsibilityChecks = 5;
 constexpr base::Duration kResponsibilityInterval = std::chrono::milliseconds(600);
 constexpr base::Duration kRetryInterval = std::chrono::milliseconds(300);
-/// The pause before the next read doubles with each one.
+/// The delay before the next read doubles with each attempt.
 base::Duration retryDelayAfter(int attempts) { return kRetryInterval * (1 << (attempts - 1)); }
-/// Versions kept in a row: more than can be named within the time that one has.
+/// Maximum number of versions in a row: more than can be announced within the transition period of
+/// one version.
 constexpr std::size_t kMaximumVersions = 8;
 constexpr std::uint32_t kFieldCount = 2;
 
@@ -25,11 +27,11 @@
 
 struct AnnouncedVersion {
   base::WeightsVersion version = 0;
-  /// By the table service's clock.
+  /// Announcement time by the table service's clock.
   base::Duration announcedAt{};
 };
 
-/// The versions named lately, ascending.
+/// The recently announced versions of a model, ascending.
 using AnnouncementRow = std::vector<AnnouncedVersion>;
 
 std::string encode(const AnnouncementRow& row) {
@@ -58,20 +60,21 @@
   return row;
 }
 
-/// The dates in a reply; empty when there are none.
+/// The announcement times in a reply; empty if it has none.
 std::optional<AnnouncementRow> rowIn(const clients::TableReply& reply) {
   return reply.rows.empty() ? std::nullopt : decode(reply.rows.front().value);
 }
 
-/// The ages of the versions that the reply dates, by the service's clock now.
+/// The ages of the versions in the reply at `now`, the current time of the service's clock.
 std::vector<VersionAge> agesIn(const clients::TableReply& reply,
                                std::optional<base::Duration> now) {
   std::vector<VersionAge> ages;
   const auto announcements = rowIn(reply);
   if (!announcements || !now) return ages;
   for (const AnnouncedVersion& announced : *announcements) {
-    // Written by another run of the service's clock. Taken for a version named just now, it would
-    // give the older weights their whole time again.
+    // A time in the future was written by an earlier incarnation of the service's clock. If such a
+    // version were taken as announced just now, its predecessor would get its whole transition
+    // period again.
     if (announced.announcedAt <= *now)
       ages.push_back({announced.version, *now - announced.announcedAt});
   }
@@ -83,7 +86,7 @@
 struct AnnouncementTimeStore::PendingWrite {
   std::string model;
   AnnouncedVersion announced;
-  /// What the row holds besides, and its revision.
+  /// The other versions in the row, and the revision of the row.
   AnnouncementRow existing;
   base::Revision expected = 0;
   int attempts = 0;
@@ -158,7 +161,7 @@
   const auto recorded =
       std::ranges::find(write->existing, write->announced.version, &AnnouncedVersion::version);
   if (recorded != write->existing.end()) {
-    // The earlier date is that of who knew more.
+    // The earlier time comes from the node with better information.
     if (recorded->announcedAt <= write->announced.announcedAt) return;
     write->existing.erase(recorded);
   }
@@ -182,8 +185,9 @@
 
 std::optional<base::Duration> AnnouncementTimeStore::latestServiceTime(
     const clients::TableReply& reply, base::TimePoint sentAt) const {
-  // What the node makes of the service's clock is late by the time that an answer was under way: an
-  // age reckoned with it was up to 0.8 s too small. The reply was made after its call was sent.
+  // This node's estimate of the service's clock lags by the time that a reply was in flight: ages
+  // computed with it were up to 0.8 s too small. The reply was made after its call was sent, so the
+  // elapsed time since then gives the latest possible service time.
   if (reply.serviceTime) return *reply.serviceTime + (clock_.now() - sentAt);
   return serviceClock_();
 }
@@ -197,7 +201,7 @@
   }
   const bool absent = reply.status == clients::TableStatus::kOk;
   if (absent && !std::exchange(lookUp->absenceReported, true)) lookUp->callback({});
-  // Not there yet, or not readable now.
+  // The row is not written yet, or it cannot be read at present.
   timers_.schedule(retryDelayAfter(lookUp->attempts),
                    [this, lookUp, alive = std::weak_ptr(lifetime_)] {
                      if (!alive.expired()) attempt(lookUp);
--- a/src/node/announcement_time_store.h
+++ b/src/node/announcement_time_store.h
@@ -1,12 +1,13 @@
 /// \file
-/// When the latest versions of weights were named, kept in the table service for nodes that start
-/// later: a node that finds a version in its first copy cannot know how long ago it was named, nor
-/// which versions before it are in force already, and must not give them the whole time anew.
+/// Stores in the table service when the latest versions of weights were announced, for nodes that
+/// start later. A node that finds a version in its first snapshot cannot know how long ago it was
+/// announced, nor which earlier versions are required already, and must not start their transition
+/// periods again.
 ///
-/// Times are those of the table service's own steady clock, so that no clocks of nodes are
-/// compared. Of the nodes that saw the version arrive the few that are responsible write the row;
-/// the first one wins. A node that is not responsible looks again a few times whether it has become
-/// so: those that were may have been lost before they wrote.
+/// Times are those of the table service's own steady clock, so clocks of different nodes are never
+/// compared. The row is written by a few responsible nodes among those that received the version as
+/// a change; the first write wins. A node that is not responsible checks a few times whether it has
+/// become responsible, since the responsible nodes may have been lost before they wrote.
 #pragma once
 
 #include <functional>
@@ -21,7 +22,7 @@
 
 namespace covewing::node {
 
-/// A version of a model's weights and how long ago it was named.
+/// A version of a model's weights and the time since its announcement.
 struct VersionAge {
   base::WeightsVersion version = 0;
   base::Duration age{};
@@ -29,16 +30,16 @@
 
 class AnnouncementTimeStore {
  public:
-  /// The service's clock as this node knows it; empty before the first answer.
+  /// This node's estimate of the service's clock; empty before the first reply.
   using ServiceClock = std::function<std::optional<base::Duration>()>;
-  /// Whether this node is one of the few that write; at the last check more take part, since those
-  /// few may have been lost, or turned away by the table service.
+  /// Whether this node is one of the few that write. At the last check more nodes are responsible,
+  /// since those few may have been lost or refused by the table service.
   using Responsible = std::function<bool(bool lastCheck)>;
-  /// The versions named lately, ascending; empty when the table service answered and has no date of
-  /// the version.
+  /// Called with the recently announced versions, ascending; with an empty list if the table
+  /// service replied and has no announcement time of the version.
   using Callback = std::function<void(const std::vector<VersionAge>&)>;
 
-  /// All must outlive the dates.
+  /// All references must outlive the store.
   AnnouncementTimeStore(
       clients::TableClient& table, base::Clock& clock, base::TimerService& timers,
       ServiceClock serviceClock, Responsible responsible = [](bool) { return true; })
@@ -48,29 +49,31 @@
         serviceClock_(std::move(serviceClock)),
         responsible_(std::move(responsible)) {}
 
-  /// This node knows that the version was named at most `age` ago: writes its date unless another
-  /// node did.
+  /// Writes the announcement time of a version that was announced at most `age` ago, unless another
+  /// node has written it.
   void write(const std::string& model, base::WeightsVersion version, base::Duration age = {});
-  /// As `write`, as soon as the node is responsible within the next seconds.
+  /// Like `write`, but waits until the node is responsible, and drops the write if it does not
+  /// become responsible within the next seconds.
   void writeWhenResponsible(const std::string& model, base::WeightsVersion version,
                             base::Duration age);
-  /// Calls `found` when the version's date is known, with those of the versions before it, and once
-  /// before that when it is not there; repeats a read that failed or found nothing, with growing
-  /// pauses, for some 19 s: a version that has not been dated by then is in force in any case.
+  /// Calls `callback` with the ages of the version and of earlier ones once the announcement time
+  /// is stored, and once before that with an empty list if it is not stored yet. Repeats a read
+  /// that failed or found nothing, with growing delays, for some 19 s: a version without an
+  /// announcement time is required by then in any case.
   void lookUp(const std::string& model, base::WeightsVersion version, Callback callback);
 
  private:
   struct PendingWrite;
   struct PendingLookUp;
 
-  /// Null while the service's clock is not known.
+  /// Null while the service's clock is unknown.
   std::shared_ptr<PendingWrite> prepare(const std::string& model, base::WeightsVersion version,
                                         base::Duration age) const;
   void checkResponsibility(const std::shared_ptr<PendingWrite>& write, int remainingChecks);
   void attempt(const std::shared_ptr<PendingWrite>& write);
   void onWritten(const std::shared_ptr<PendingWrite>& write, const clients::TableReply& reply);
   void attempt(const std::shared_ptr<PendingLookUp>& lookUp);
-  /// The service's clock now, at the latest that it can be.
+  /// The latest time that the service's clock may show now.
   std::optional<base::Duration> latestServiceTime(const clients::TableReply& reply,
                                                   base::TimePoint sentAt) const;
   void onRead(const std::shared_ptr<PendingLookUp>& lookUp, const clients::TableReply& reply);
--- a/src/node/cache_store_gossip.cc
+++ b/src/node/cache_store_gossip.cc
@@ -6,12 +6,13 @@
 
 namespace {
 
-/// Records are keyed by this, the store's name, a separator and the node's name.
+/// A record's key consists of this prefix, the store's name, a separator and the node's name.
 constexpr std::string_view kRecordPrefix = "cache-store/";
 constexpr char kSeparator = '|';
 constexpr std::string_view kAvailable = "1";
 constexpr std::string_view kUnavailable = "0";
-/// Bits of a record's version below the node's incarnation.
+/// Number of low bits of a record's version that hold the record counter; the node's incarnation
+/// is above them.
 constexpr unsigned kCounterBits = 12;
 
 }  // namespace
--- a/src/node/cache_store_gossip.h
+++ b/src/node/cache_store_gossip.h
@@ -1,6 +1,6 @@
 /// \file
-/// Tells other nodes by gossip whether the stores of kept cache answer this one, and hears what
-/// they tell: each store lets only a few nodes watch it.
+/// Publishes by gossip whether the cache stores respond to this node, and applies the availability
+/// that other nodes publish. Only a few nodes may poll each store, so the others depend on gossip.
 #pragma once
 
 #include <cstdint>
@@ -13,11 +13,11 @@
 
 class CacheStoreGossip {
  public:
-  /// All must outlive the news.
+  /// All arguments must outlive this object.
   CacheStoreGossip(const membership::MemberDirectory& members,
                    membership::RecordDissemination& records, routing::CacheStores& stores);
 
-  /// Begins to hear other nodes; call once.
+  /// Subscribes to the records of other nodes; call once.
   void start();
 
  private:
--- a/src/node/call_counting_weights_client.h
+++ b/src/node/call_counting_weights_client.h
@@ -1,6 +1,6 @@
 /// \file
-/// Orders and reports to replicas, each told to the home of a replica that names a rate limit: such
-/// a replica takes all calls within its limit, not only requests.
+/// Forwards weights orders and reports to replicas and counts each call at the replica's home node
+/// if the replica has reported a rate limit: its limit covers all calls, not only requests.
 #pragma once
 
 #include <functional>
@@ -15,7 +15,7 @@
 
 class CallCountingWeightsClient final : public clients::WeightsClient {
  public:
-  /// All must outlive the client.
+  /// All arguments must outlive the client.
   CallCountingWeightsClient(clients::WeightsClient& client,
                             const routing::ReplicaDirectory& replicas,
                             routing::Placement& placement)
--- a/src/node/configuration_gossip.cc
+++ b/src/node/configuration_gossip.cc
@@ -11,8 +11,8 @@
 constexpr std::string_view kTableKey = "newest/route-table";
 constexpr std::string_view kWeightsPrefix = "newest/weights/";
 
-/// Versions of the era's record: a later era beats a former one, and a record that says when the
-/// service returned beats one that does not.
+/// Version of the record of an era: a later era has a higher version than an earlier one, and a
+/// record with the restore time has a higher version than one without it.
 std::uint64_t recordVersion(base::StoreEra era, bool withTime) {
   return 2 * (std::uint64_t{era} + 1) + (withTime ? 1 : 0);
 }
@@ -73,7 +73,7 @@
 
 void ConfigurationGossip::onStoreReturned() {
   reportedRestoreTime_.reset();
-  // The others learn of it before this node has read anything anew.
+  // Published before this node has read anything again, so that other nodes are informed early.
   publishEra(std::nullopt);
 }
 
--- a/src/node/configuration_gossip.h
+++ b/src/node/configuration_gossip.h
@@ -1,11 +1,12 @@
 /// \file
-/// What nodes tell each other by gossip so that no return of the table service from a copy takes it
-/// back: the newest versions that operators are known to have written, and when the return was
-/// noticed. The numbers are the operators' own and only rise, so that one record for each is right
-/// on all nodes whatever order it comes in; a node that joins is told all records at once.
+/// Keeps the configuration from going back to an older version when the table service is restored
+/// from an older backup. Nodes gossip the newest versions that operators are known to have written,
+/// and when the restore was detected. Operators assign the version numbers, which only increase, so
+/// one record per version is correct on all nodes in whatever order records arrive. A joining node
+/// receives all records at once.
 ///
-/// What no node knows any more, as all were started anew, is lost with the copy: then the rows that
-/// the service holds count.
+/// If all nodes have restarted since, none of them has the newer versions any more: these are lost
+/// with the restore, and the rows that the service holds are used.
 #pragma once
 
 #include <functional>
@@ -19,12 +20,13 @@
 
 namespace covewing::node {
 
-/// All must outlive the knowledge and share its thread.
+/// All references must outlive the gossip object and be used on its thread.
 struct ConfigurationGossipEnvironment {
   membership::RecordDissemination& records;
   config::StoreEras& eras;
   RouteConfiguration& configuration;
-  /// The service's own clock now, as far as its latest answer tells.
+  /// Current time of the service's own clock, estimated from its latest reply; empty while it is
+  /// unknown.
   std::function<std::optional<base::Duration>()> serviceClock;
 };
 
@@ -33,29 +35,33 @@
   explicit ConfigurationGossip(ConfigurationGossipEnvironment environment)
       : environment_(std::move(environment)) {}
 
-  /// Begins to hear other nodes; call once.
+  /// Subscribes to the records of other nodes; call once.
   void start();
-  /// This node has seen a version of the route table, or of a model's weights.
+  /// Publish that this node has read a version of the route table or of a model's weights.
   void publishTableVersion(std::uint64_t version);
   void publishWeightsVersion(const AnnouncedWeights& weights);
-  /// This node has noticed a return.
+  /// Called when this node detects that the table service was restored from an older backup.
   void onStoreReturned();
-  /// The feed was read in the era that is known: the service's clock is that era's.
+  /// Called when the feed has been read in the current era, so that the service's clock is the
+  /// clock of this era.
   void onFeedCurrent();
 
  private:
   void onEraRecord(const membership::GossipRecord& record);
   void onWeightsRecord(const membership::GossipRecord& record);
-  /// Tells the era, with the service's time of the return where that is known.
+  /// Publishes the current era, with the restore time by the service's clock if it is known.
   void publishEra(std::optional<base::Duration> restoredAt);
-  /// Takes what another node says of when the service returned, once its clock is known here.
+  /// Applies the restore time that another node reported, once this node has the service's clock of
+  /// the current era.
   void applyReportedRestoreTime();
 
   ConfigurationGossipEnvironment environment_;
-  /// The service's time of the return to the era that is known, as another node said it.
+  /// Time of the restore that began the current era, by the service's clock, as reported by another
+  /// node.
   std::optional<base::Duration> reportedRestoreTime_;
-  /// The era whose return, or whose number at least, this node has told.
+  /// The last era that this node published, with or without its restore time.
   std::optional<base::StoreEra> publishedEra_;
+  /// The last era whose restore time this node published.
   std::optional<base::StoreEra> publishedRestoreEra_;
 };
 
--- a/src/node/confirmation_log.h
+++ b/src/node/confirmation_log.h
@@ -1,9 +1,9 @@
 /// \file
-/// Tells in the log from whom a node has its proofs that its configuration is the newest, and how
-/// old they are: a key that was taken away is refused only where these are right.
+/// Logs the source and the age of the confirmations that the node's configuration is the newest.
+/// A revoked key is refused only as long as these confirmations are correct.
 ///
-/// Proofs come every 0.8 s. A line is written when somebody else gives them than before, when one
-/// is unusually old, and now and then besides; a line a second at most.
+/// Confirmations arrive every 0.8 s. A line is written when their source changes, when one is
+/// unusually old, and otherwise at a routine interval; at most one line is written per second.
 #pragma once
 
 #include <cstdint>
@@ -19,15 +19,16 @@
  public:
   ConfirmationLog(base::Clock& clock, base::EventLog& log) : clock_(clock), log_(log) {}
 
-  /// The configuration with this version was confirmed.
+  /// Called when the configuration with this version has been confirmed as the newest.
   void onConfirmed(const config::Confirmation& confirmation, std::uint64_t version);
 
  private:
-  /// Least time between two lines.
+  /// Minimum time between two lines.
   static constexpr base::Duration kMinimumInterval = std::chrono::seconds(1);
-  /// Without anything unusual.
+  /// Time between two lines while the confirmations show nothing unusual.
   static constexpr base::Duration kRoutineInterval = std::chrono::seconds(15);
-  /// Proofs of a fleet without faults are younger when they arrive.
+  /// A confirmation older than this on arrival is unusual: in a fleet without faults they are
+  /// younger.
   static constexpr base::Duration kUnusualAge = std::chrono::milliseconds(1000);
 
   bool shouldLog(const config::Confirmation& confirmation, base::TimePoint now) const;
@@ -36,7 +37,7 @@
   base::EventLog& log_;
   std::optional<base::TimePoint> lastLoggedAt_;
   std::optional<base::Endpoint> lastLoggedNode_;
-  /// Confirmations since the last line.
+  /// Number of confirmations since the last line.
   std::uint64_t unloggedCount_ = 0;
 };
 
--- a/src/node/explain_json.cc
+++ b/src/node/explain_json.cc
@@ -129,7 +129,7 @@
     json["finished_ms"] = base::toMilliseconds(trace.finishedAfter);
   }
   if (trace.refusal.has_value()) json["refusal"] = refusalJson(*trace.refusal);
-  // Callers' text (paths, models) may hold any bytes.
+  // Text from callers, such as paths and models, may contain invalid UTF-8.
   return json.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
--- a/src/node/explain_json.h
+++ b/src/node/explain_json.h
@@ -1,5 +1,5 @@
 /// \file
-/// JSON text of a request's record (docs/operators/requests.md).
+/// Serialises a request's trace as JSON (docs/operators/requests.md).
 #pragma once
 
 #include <string>
--- a/src/node/explain_log.h
+++ b/src/node/explain_log.h
@@ -1,5 +1,5 @@
 /// \file
-/// The records of the requests that this node served last, for an operator's `explain`.
+/// Traces of the requests that this node served most recently, for the operator command `explain`.
 #pragma once
 
 #include <cstddef>
@@ -12,7 +12,8 @@
 
 namespace covewing::node {
 
-/// Bounded by count; each record is bounded by the number of attempts and candidates kept in it.
+/// Holds a limited number of traces; the size of each trace is limited by the number of attempts
+/// and candidates recorded in it.
 class ExplainLog final : public request::TraceLog {
  public:
   static constexpr std::size_t kDefaultCapacity = 4096;
@@ -20,7 +21,8 @@
   explicit ExplainLog(std::size_t capacity = kDefaultCapacity) : capacity_(capacity) {}
 
   void add(std::shared_ptr<const request::RequestTrace> trace) override;
-  /// The record of the request, which may still be running; null when it is unknown or forgotten.
+  /// Returns the trace of the request, which may still be running; null if the request is unknown
+  /// or its trace has been evicted.
   /// Valid until control returns to the event loop.
   const request::RequestTrace* find(const base::RequestId& id) const;
   std::size_t size() const { return order_.size(); }
--- a/src/node/feed_outage_log.h
+++ b/src/node/feed_outage_log.h
@@ -1,5 +1,5 @@
 /// \file
-/// Logs when a feed of the table service is lost and when it is regained, once each.
+/// Logs the start and the end of each outage of a table service feed, once each.
 #pragma once
 
 #include <string>
@@ -12,7 +12,7 @@
 
 class FeedOutageLog {
  public:
-  /// `feed` is its name in the log.
+  /// `feed` is the name of the feed in the log.
   FeedOutageLog(base::EventLog& log, std::string feed) : log_(log), feed_(std::move(feed)) {}
 
   void onCurrent();
--- a/src/node/fleet_catalogue.h
+++ b/src/node/fleet_catalogue.h
@@ -1,5 +1,5 @@
 /// \file
-/// Shows the node's fleet view to coordination, which does not depend on routing.
+/// Adapts the node's fleet view for coordination, which does not depend on routing.
 #pragma once
 
 #include "coordination/engine_catalogue.h"
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -62,8 +62,8 @@
   return result;
 }
 
-/// Tells the engine directory what dispatches learned about engines. A late answer alone does not
-/// count: an engine under load must not be taken out, or its load moves on to the others.
+/// Updates the engine directory from the failures of dispatches. A slow response alone does not
+/// count as a failure: taking an overloaded engine out of use would move its load to the others.
 class DispatchFeedback final : public request::BackEndObserver {
  public:
   explicit DispatchFeedback(routing::EngineDirectory& directory) : directory_(directory) {}
@@ -112,7 +112,7 @@
   void registerHandler(Channel channel, base::PeerHandler& handler);
   void logReadiness();
   void onWake();
-  /// The lease is given up and no request is open.
+  /// Whether the lease has been released and no request is open.
   bool canFinishDraining() const;
   void finishDraining();
 
@@ -274,7 +274,7 @@
   drainTimer_.start(timeout, [this] { finishDraining(); });
   coordinator_.drain([this] {
     leaseReleased_ = true;
-    // Never from inside `drain`.
+    // `drained` must not be called from inside `drain`.
     if (onDrained_ != nullptr && canFinishDraining()) {
       drainTimer_.start(base::Duration::zero(), [this] { finishDraining(); });
     }
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -1,6 +1,6 @@
 /// \file
-/// One covewing node: wires membership, configuration, coordination, cache index, routing,
-/// admission and request life together. The live runtime and the simulator run this same class.
+/// One covewing node: connects membership, configuration, coordination, cache index, routing,
+/// admission and request handling. The live runtime and the simulator use the same class.
 #pragma once
 
 #include <functional>
@@ -36,24 +36,26 @@
   std::string zone;
   std::string region;
   base::Endpoint peerEndpoint;
-  /// Peer endpoints to join through.
+  /// Peer endpoints through which the node joins the cluster.
   std::vector<base::Endpoint> seeds;
-  /// Must grow with each start of the same name.
+  /// Must be higher at each start of a node with the same name.
   base::Incarnation incarnation = 1;
-  /// Routing policy by name; "default" is the shipped one.
+  /// Name of the routing policy; "default" selects the shipped policy.
   std::string routingPolicy = "default";
-  /// Makes the routing policy in place of `routingPolicy` where set: for experiments with policies
-  /// that no node ships.
+  /// If set, creates the routing policy, and `routingPolicy` is ignored. For experiments with
+  /// policies that are not shipped.
   std::function<std::unique_ptr<routing::RoutingPolicy>(const routing::FleetView&)> makePolicy;
-  /// Weights that engines of the region may load at once: the weight store's limit.
+  /// Maximum number of weight loads in progress at once in the region, the limit of the weight
+  /// store.
   std::uint32_t loadSlots = 2;
   std::size_t maximumOpenRequests = 10'000;
   admission::AdmissionOptions admission;
-  /// Configuration counts as confirmed for this long after the last confirmation.
+  /// How long the configuration counts as confirmed after its last confirmation.
   base::Duration freshnessBound = std::chrono::seconds(5);
 };
 
-/// Everything a node reaches the world through. All must outlive the node and share its thread.
+/// External services and runtime interfaces of a node. All must outlive the node and be used on its
+/// thread.
 struct NodeEnvironment {
   base::Clock& clock;
   base::TimerService& timers;
@@ -67,28 +69,28 @@
   clients::ApplicationClient& applications;
 };
 
-/// The node's part in its region's coordination.
+/// State of the node in the coordination of its region.
 struct CoordinationStatus {
   coordination::LeaseStatus lease;
-  /// Orders that this node executes.
+  /// Number of orders that this node is executing.
   std::size_t openOrders = 0;
 };
 
 class Node {
  public:
   virtual ~Node() = default;
-  /// Starts joining and loading; requests are served from the moment a copy of the configuration is
-  /// here.
+  /// Starts to join the cluster and to load the configuration; requests are served as soon as a
+  /// copy of the configuration is available.
   virtual void start() = 0;
-  /// A decoded frame from another node.
+  /// Handles a decoded frame from another node.
   virtual void onPeerMessage(const base::PeerIdentity& sender, base::Channel channel,
                              std::string_view payload) = 0;
   virtual request::RequestService& requests() = 0;
   virtual OperatorService& operators() = 0;
-  /// Ready to serve callers: configuration is loaded and the node is not draining.
+  /// Whether the node can serve callers: its configuration is loaded and it is not draining.
   virtual bool ready() const = 0;
-  /// Planned stop: refuse new requests, hand over roles, finish streams; `drained` is called once
-  /// when none is left or `bound` has passed.
+  /// Planned stop: refuses new requests, hands over roles and finishes open streams. `drained` is
+  /// called once, when no request is open any more or `timeout` has passed.
   virtual void drain(base::Duration timeout, std::function<void()> drained) = 0;
 
   virtual const config::ConfigurationView& configuration() const = 0;
--- a/src/node/node_count.h
+++ b/src/node/node_count.h
@@ -1,5 +1,6 @@
 /// \file
-/// How many nodes share the replicas and the limits, by what this node has seen lately.
+/// Estimates how many nodes share the replicas and the limits from the members that this node has
+/// seen recently.
 #pragma once
 
 #include <algorithm>
@@ -12,16 +13,19 @@
 namespace covewing::node {
 
 struct NodeCountOptions {
-  /// The number falls back to what is seen now only after this.
+  /// How long the maximum number of live members is kept before the count follows a lower one.
   base::Duration memory = std::chrono::seconds(30);
-  /// Nodes assumed until the membership has had time to form, and how long that is.
+  /// Minimum count that is assumed until `clusterFormationTime` has passed since the start, in
+  /// which the membership forms.
   std::size_t assumedNodes = 8;
   base::Duration clusterFormationTime = std::chrono::seconds(5);
-  /// A node that has never seen another one goes on to assume them: it may be cut off.
+  /// False: a node that has never seen another one keeps assuming `assumedNodes`, since it may be
+  /// cut off from the others.
   bool trustsSingleNodeView = true;
 };
 
-/// The most nodes seen at once lately: those that are cut off may still send.
+/// The maximum number of live members seen at once within the retention time. Members that are no
+/// longer seen still count for that time, since nodes that are cut off may still send requests.
 class NodeCount {
  public:
   NodeCount(const membership::MemberDirectory& members, const base::Clock& clock,
--- a/src/node/operator_api.h
+++ b/src/node/operator_api.h
@@ -1,5 +1,5 @@
 /// \file
-/// Operators' calls on a node, independent of HTTP. Bodies are JSON texts as documented in
+/// Operator calls to a node, independent of HTTP. Bodies are JSON as documented in
 /// docs/OPERATORS.md.
 #pragma once
 
@@ -10,7 +10,7 @@
 
 namespace covewing::node {
 
-/// One operator call: method and target as in HTTP, already authorised.
+/// An authorised operator call, with method and target as in HTTP.
 struct OperatorRequest {
   std::string method;
   /// Path and query, such as "/v1/templates/judges?version=4".
@@ -26,7 +26,7 @@
 class OperatorService {
  public:
   virtual ~OperatorService() = default;
-  /// Answers exactly once, later.
+  /// Calls `callback` exactly once, after this function has returned.
   virtual void call(OperatorRequest request, std::function<void(OperatorResponse)> callback) = 0;
 };
 
--- a/src/node/operator_service.cc
+++ b/src/node/operator_service.cc
@@ -24,7 +24,7 @@
                 dependencies.activity) {}
 
   void call(OperatorRequest request, std::function<void(OperatorResponse)> callback) override {
-    // Answers never come from inside the call.
+    // The callback must not be called from inside this function.
     auto respondLater = [&timers = timers_,
                          callback = std::move(callback)](OperatorResponse response) {
       timers.schedule(base::Duration::zero(),
@@ -57,7 +57,7 @@
     }
   }
 
-  /// Answers the calls that only show something; false for other targets.
+  /// Handles the read-only status calls; returns false for other targets.
   bool dispatchStatus(const OperatorTarget& target, const OperatorCallback& callback) const {
     const auto& segments = target.segments();
     if (segments.size() == 1 && segments[0] == "fleet") {
--- a/src/node/operator_service.h
+++ b/src/node/operator_service.h
@@ -1,6 +1,6 @@
 /// \file
-/// Operators' calls: finds the resource of a target and answers in JSON. docs/operators/ describes
-/// the calls; errors carry a numbered result code and an outcome as towards callers.
+/// Dispatches operator calls to the resource of their target and responds in JSON. docs/operators/
+/// describes the calls. Errors have a numbered result code and an outcome, like errors to callers.
 #pragma once
 
 #include <functional>
@@ -18,7 +18,7 @@
 
 namespace covewing::node {
 
-/// What the service works on. All must outlive it and share its thread.
+/// Dependencies of the service. All must outlive it and be used on its thread.
 struct OperatorServiceDependencies {
   const base::Clock& clock;
   base::TimerService& timers;
--- a/src/node/operator_service_orders.cc
+++ b/src/node/operator_service_orders.cc
@@ -23,7 +23,7 @@
 constexpr std::size_t kMaximumEngines = 1024;
 constexpr std::size_t kMaximumAdapters = 64;
 constexpr std::uint64_t kMaximumCount = 100'000;
-/// 2^53: a whole number that every JSON reader keeps.
+/// 2^53: every JSON parser represents integers up to this value exactly.
 constexpr std::uint64_t kMaximumVersion = 1ULL << 53U;
 
 Json jsonOf(const OrderStep& step) {
@@ -35,7 +35,7 @@
       {"elapsed_ms", std::chrono::duration_cast<std::chrono::milliseconds>(step.elapsed).count()}};
 }
 
-/// What a list shows of an order.
+/// Fields of an order in a list of orders.
 Json summaryOf(const Order& order) {
   const auto done = std::ranges::count_if(
       order.steps, [](const OrderStep& step) { return coordination::isFinal(step.state); });
@@ -92,7 +92,7 @@
   return static_cast<std::uint32_t>(reader.unsignedInteger(name, 0, 0, kMaximumCount));
 }
 
-/// Reads the body; mistakes are appended.
+/// Reads the request body and appends its errors to `mistakes`.
 OrderRequest readRequest(const Json& body, std::vector<config::FieldMistake>& mistakes) {
   config::FieldReader reader(body, "", mistakes);
   OrderRequest request;
--- a/src/node/operator_service_orders.h
+++ b/src/node/operator_service_orders.h
@@ -1,5 +1,5 @@
 /// \file
-/// Operator calls on orders to engines: `/v1/orders`.
+/// Operator calls for orders to engines: `/v1/orders`.
 #pragma once
 
 #include <string>
@@ -12,7 +12,7 @@
 
 namespace covewing::node {
 
-/// Every answer but a refusal of the call itself comes from the table service.
+/// Every response is based on a reply of the table service, except errors in the call itself.
 class OrderCalls {
  public:
   OrderCalls(coordination::OrderStore& store, const coordination::EngineCatalogue& catalogue)
--- a/src/node/operator_service_response.h
+++ b/src/node/operator_service_response.h
@@ -1,5 +1,5 @@
 /// \file
-/// Bodies of answers to operator calls. Internal to the operator service.
+/// Bodies of the responses to operator calls. Internal to the operator service.
 #pragma once
 
 #include <functional>
@@ -15,17 +15,18 @@
 
 using OperatorCallback = std::function<void(OperatorResponse)>;
 
-/// Whether a refused call may have changed something.
+/// Whether a call that failed may have changed something.
 enum class OperatorOutcome : std::uint8_t { kNotRun, kUnknown };
 
 OperatorResponse okResponse(const nlohmann::json& body);
 OperatorResponse errorResponse(base::ResultCode code, std::string detail,
                                OperatorOutcome outcome = OperatorOutcome::kNotRun);
 OperatorResponse errorResponse(const base::Reason& reason);
-/// A refusal that names each field in `mistakes`, the first one in `field` too.
+/// Error response that lists each invalid field in `mistakes`, and the first one also in `field`.
 OperatorResponse errorResponse(base::ResultCode code,
                                const std::vector<config::FieldMistake>& mistakes);
-/// A lost race: what is in force, and who put it there.
+/// Response to a change that lost against a concurrent one; `current` describes the stored version
+/// and its author.
 OperatorResponse conflictResponse(std::string detail, nlohmann::json current);
 
 }  // namespace covewing::node
--- a/src/node/operator_service_status.cc
+++ b/src/node/operator_service_status.cc
@@ -100,7 +100,7 @@
                  {"role", coordination::toString(engine.role)},
                  {"weights", weightsOf(engine)},
                  {"homes", homesOf(engine, members_)}};
-    // Known only where this node is a home of the engine or asked one lately.
+    // Available only if this node is a home of the engine or has queried one recently.
     if (engine.load) json["load"] = loadOf(*engine.load, clock_.now());
     engines.push_back(std::move(json));
   }
--- a/src/node/operator_service_status.h
+++ b/src/node/operator_service_status.h
@@ -1,5 +1,5 @@
 /// \file
-/// Operator calls that show what this node knows: `/v1/fleet`, `/v1/node`, `/v1/requests/ID`.
+/// Operator calls that show the state of this node: `/v1/fleet`, `/v1/node`, `/v1/requests/ID`.
 #pragma once
 
 #include <functional>
@@ -15,14 +15,14 @@
 
 namespace covewing::node {
 
-/// What the node does at the moment.
+/// Current activity of the node.
 struct NodeActivity {
   bool ready = false;
   bool draining = false;
   std::size_t openRequests = 0;
 };
 
-/// Reads only, answered at once.
+/// Read-only calls; the response is returned directly.
 class StatusCalls {
  public:
   StatusCalls(const base::Clock& clock, const config::ConfigurationStore& configuration,
--- a/src/node/operator_service_target.cc
+++ b/src/node/operator_service_target.cc
@@ -12,7 +12,7 @@
 constexpr int kHexadecimalBase = 16;
 constexpr char kFirstPrintable = 0x20;
 
-/// Decodes %XX; empty when an escape is malformed or stands for a control character.
+/// Decodes %XX escapes; empty if an escape is malformed or the text contains a control character.
 std::optional<std::string> decode(std::string_view text) {
   std::string result;
   for (std::size_t index = 0; index < text.size(); ++index) {
--- a/src/node/operator_service_target.h
+++ b/src/node/operator_service_target.h
@@ -1,5 +1,5 @@
 /// \file
-/// Target of an operator call: path segments and query values, percent-decoded.
+/// Target of an operator call: percent-decoded path segments and query parameters.
 #pragma once
 
 #include <cstdint>
@@ -14,17 +14,17 @@
 
 class OperatorTarget {
  public:
-  /// Empty with the reason when the target is malformed or too long.
+  /// Empty, with `reason` set, if the target is malformed or too long.
   static std::optional<OperatorTarget> parse(std::string_view target, base::Reason& reason);
 
-  /// The path's segments without the leading version, such as {"templates", "market-brno"} for
+  /// Segments of the path without the leading version, such as {"templates", "market-brno"} for
   /// "/v1/templates/market-brno".
   const std::vector<std::string>& segments() const { return segments_; }
-  /// Value of a query parameter, empty when it is absent.
+  /// Value of a query parameter; empty if the parameter is absent.
   std::string text(std::string_view name) const;
   bool has(std::string_view name) const;
-  /// Value of a numeric query parameter. Empty without a reason when it is absent; with one when it
-  /// is malformed.
+  /// Value of a numeric query parameter. Empty if the parameter is absent or malformed; `reason` is
+  /// set only if it is malformed.
   std::optional<std::uint64_t> number(std::string_view name, base::Reason& reason) const;
 
  private:
--- a/src/node/operator_service_templates.cc
+++ b/src/node/operator_service_templates.cc
@@ -18,7 +18,7 @@
   return document.is_discarded() ? Json(row.document) : document;
 }
 
-/// What a list shows of a template.
+/// Fields of a template in a list of templates.
 Json summaryOf(const config::TemplateRow& row) {
   const Json document = documentOf(row);
   const bool isObject = document.is_object();
@@ -62,7 +62,8 @@
                        OperatorOutcome::kUnknown);
 }
 
-/// Fills in who asks and under which operation identifier; false with the mistakes.
+/// Reads the author and the operation identifier into `edit` and checks the template name. Returns
+/// false if there are errors, which are appended to `mistakes`.
 bool readOperation(const OperatorTarget& target, config::TemplateEdit& edit,
                    std::vector<config::FieldMistake>& mistakes) {
   edit.operationId = target.text("operation");
--- a/src/node/operator_service_templates.h
+++ b/src/node/operator_service_templates.h
@@ -1,5 +1,5 @@
 /// \file
-/// Operator calls on tenant templates: `/v1/templates` and `/v1/expand`.
+/// Operator calls for tenant templates: `/v1/templates` and `/v1/expand`.
 #pragma once
 
 #include <string>
@@ -12,8 +12,9 @@
 
 namespace covewing::node {
 
-/// Reads answer from this node's copy, which the answer's `version`s date; changes and histories go
-/// to the table service. Every method answers exactly once, reads from inside the call.
+/// Reads are served from this node's local copy; each `version` in the response shows how recent
+/// the copy is. Changes and histories go to the table service. Every method responds exactly once;
+/// reads respond before the method returns.
 class TemplateCalls {
  public:
   TemplateCalls(config::TemplateEditor& editor, const config::ConfigurationStore& store)
--- a/src/node/pause_detector.h
+++ b/src/node/pause_detector.h
@@ -1,6 +1,6 @@
 /// \file
-/// Notices that the process was paused: its clock jumped between two moments that lie close
-/// together while it runs.
+/// Detects that the process was paused: its clock jumped between two checks that follow each other
+/// closely while the process runs.
 #pragma once
 
 #include <functional>
@@ -14,16 +14,16 @@
 class PauseDetector {
  public:
   static constexpr base::Duration kCheckInterval = std::chrono::milliseconds(250);
-  /// A longer silence than this between two ticks counts as a pause.
+  /// A longer time than this between two checks counts as a pause.
   static constexpr base::Duration kPauseThreshold = std::chrono::seconds(1);
 
-  /// `onWake` runs with the length of the silence, before anything else is done after a pause.
+  /// `onWake` is called with the length of the pause, before anything else is done after it.
   PauseDetector(base::Clock& clock, base::TimerService& timers, base::EventLog& log,
                 std::function<void(base::Duration)> onWake);
 
   void start();
-  /// Compares the clock with the last time it was looked at. Called at each tick and before each
-  /// request, so that a request that arrives first after a pause finds it noticed.
+  /// Compares the clock with its value at the previous check. Called at each timer tick and before
+  /// each request, so that a pause is detected before the first request after it is handled.
   void check();
 
  private:
--- a/src/node/peer_frame.cc
+++ b/src/node/peer_frame.cc
@@ -34,9 +34,12 @@
   base::Reader reader(bytes);
   const auto fields = reader.beginArray();
   const auto version = reader.unsignedInteger();
-  if (!reader.ok()) return reject(reason, ResultCode::kMessageMalformed, "not a frame");
+  if (!reader.ok())
+    return reject(reason, ResultCode::kMessageMalformed,
+                  "the frame does not start with an array and a version");
   if (version != base::kPeerProtocolVersion)
-    return reject(reason, ResultCode::kMessageVersion, "version " + std::to_string(version));
+    return reject(reason, ResultCode::kMessageVersion,
+                  "unsupported protocol version " + std::to_string(version));
   const auto channel = reader.unsignedInteger();
   PeerFrame frame;
   frame.sender.node.value = reader.unsignedInteger();
@@ -45,11 +48,14 @@
   const auto port = reader.unsignedInteger();
   frame.payload = reader.binary();
   if (!reader.ok() || fields < kFieldCount)
-    return reject(reason, ResultCode::kMessageMalformed, "a field is missing or of another type");
+    return reject(reason, ResultCode::kMessageMalformed,
+                  "a field is missing or has the wrong type");
   if (channel < kFirstChannel || channel > kLastChannel)
-    return reject(reason, ResultCode::kMessageMalformed, "channel " + std::to_string(channel));
+    return reject(reason, ResultCode::kMessageMalformed,
+                  "unknown channel " + std::to_string(channel));
   if (address > UINT32_MAX || port > UINT16_MAX)
-    return reject(reason, ResultCode::kMessageMalformed, "sender's endpoint out of range");
+    return reject(reason, ResultCode::kMessageMalformed,
+                  "the sender's address or port is out of range");
   frame.channel = static_cast<base::Channel>(channel);
   frame.sender.endpoint = {static_cast<std::uint32_t>(address), static_cast<std::uint16_t>(port)};
   return frame;
--- a/src/node/peer_frame.h
+++ b/src/node/peer_frame.h
@@ -1,8 +1,9 @@
 /// \file
-/// The frame around each message between nodes. The live transport and the simulator encode and
-/// decode it with these functions.
+/// Frame around each message between nodes. The live transport and the simulator both use these
+/// functions to encode and decode it.
 ///
-/// One MessagePack array: version, channel, sender's id, incarnation, address, port, payload.
+/// A frame is one MessagePack array: version, channel, sender's id, incarnation, address, port,
+/// payload.
 #pragma once
 
 #include <optional>
@@ -14,7 +15,7 @@
 
 namespace covewing::node {
 
-/// Bytes that a frame adds to its payload at most.
+/// Maximum number of bytes that a frame adds to its payload.
 inline constexpr std::size_t kPeerFrameOverhead = 48;
 
 struct PeerFrame {
@@ -27,9 +28,9 @@
 std::string encodePeerFrame(const base::PeerIdentity& sender, base::Channel channel,
                             std::string_view payload);
 
-/// Fields that a later build adds at the end are passed over. Empty, with MessageVersion or
-/// MessageMalformed, for anything else that encodePeerFrame of this version does not write. `bytes`
-/// must outlive the frame.
+/// Ignores fields that later builds add at the end. Returns empty, with `reason` set to
+/// MessageVersion or MessageMalformed, for anything else that encodePeerFrame of this version does
+/// not write. `bytes` must outlive the frame, whose payload refers to them.
 std::optional<PeerFrame> decodePeerFrame(std::string_view bytes, base::Reason& reason);
 
 }  // namespace covewing::node
--- a/src/node/replica_list.cc
+++ b/src/node/replica_list.cc
@@ -7,10 +7,10 @@
 
 namespace {
 
-/// From the moment at which a row has been written again until the feed has told it.
+/// Time from the rewriting of a row until the feed has delivered it.
 constexpr base::Duration kFeedDelay = std::chrono::seconds(1);
-/// Ended runs that are remembered of each key: more than can follow each other within the age of a
-/// copy that the service comes back from.
+/// Maximum number of ended instances kept for each key: more than can follow each other within the
+/// age of a backup from which the service is restored.
 constexpr std::size_t kMaximumEndedInstances = 8;
 
 }  // namespace
@@ -24,14 +24,16 @@
     return;
   }
   if (!hasExpectedStartTime(*replica)) {
-    onUnreadableRow(row, {base::ResultCode::kInvalidField, "the start is missing"});
+    onUnreadableRow(row, {base::ResultCode::kInvalidField, "the start time is missing"});
     return;
   }
   if (hasEnded(row.key, replica->instance)) {
-    // As the service came back from a copy: the run that followed writes its own entry again.
-    log_.write(base::Event::kReplicaEntryRejected, {{"row", row.key},
-                                                    {"revision", base::revisionText(row.revision)},
-                                                    {"why", "it names a run that has ended"}});
+    // The service was restored from an older backup: the instance that followed this one rewrites
+    // its own entry.
+    log_.write(base::Event::kReplicaEntryRejected,
+               {{"row", row.key},
+                {"revision", base::revisionText(row.revision)},
+                {"why", "the row names an instance that has ended"}});
     return;
   }
   replica->readAt = clock_.now();
@@ -51,7 +53,7 @@
   if (!replica.hasStartTime) return !servicesWithStartTimes_.contains(replica.service);
   const bool first = servicesWithStartTimes_.insert(replica.service).second;
   if (!first) return true;
-  // Entries that were read before the first one that tells a start.
+  // Takes entries without a start time out of use that were read before the first entry with one.
   for (const auto& [key, instance] : instances_) {
     const auto record = directory_.find(instance);
     if (record && record->facts().service == replica.service && !record->facts().hasStartTime)
@@ -77,7 +79,8 @@
   directory_.onListed(std::move(replica));
   const auto record = directory_.find(instance);
   if (draining) routing::recordLeaving(*record, log_, {"entry", 0, {}});
-  // Entries tell of a restart late: it may have been the new run that asked for the rest.
+  // Entries report a restart with a delay, so the back-off may have been requested by the new
+  // instance.
   if (clock_.now() < backOffUntil) record->notices().startBackOff(backOffUntil);
 }
 
@@ -85,7 +88,7 @@
   const auto record = directory_.find(instance);
   const bool planned = record && record->leaving();
   if (!planned) crashDetector_.onRestarted(instance);
-  // Requests and changes of weights that still hold the record must not go on with it.
+  // Requests and weights changes that still hold the record must not continue with it.
   if (record) record->setTerminated();
   forgetInstance(instance);
   directory_.onEnded(instance);
--- a/src/node/replica_list.h
+++ b/src/node/replica_list.h
@@ -1,12 +1,13 @@
 /// \file
-/// The fleet's list of replicas, kept current from the table service.
+/// List of the fleet's replicas, kept current from the table service.
 ///
-/// A row is kept under the key of a replica and names the run of it that wrote the row. When it
-/// names another run, the one before has ended, and what was known of it ends with it. A row that
-/// cannot be read names no replica to use: its run gets no new requests, and neither has it ended.
+/// Each replica has one row, which names the instance that wrote it. When the row names another
+/// instance, the previous one has ended, and its state is removed. While a row cannot be read, its
+/// instance gets no new requests, but it is not taken as ended.
 ///
-/// When the service comes back from a copy, rows may be missing, or name runs that have ended,
-/// until their replicas have written them again: neither ends what is known of a run.
+/// After the service was restored from an older backup, rows may be missing or name instances that
+/// have ended, until the replicas have rewritten them. In neither case is the state of the current
+/// instance removed.
 #pragma once
 
 #include <deque>
@@ -27,18 +28,18 @@
 
 namespace covewing::node {
 
-/// Reads the rows in which replicas describe themselves.
+/// Parses the rows in which replicas describe themselves.
 class ReplicaRowReader {
  public:
   virtual ~ReplicaRowReader() = default;
-  /// Empty with the reason when the row is malformed.
+  /// Empty, with `reason` set, if the row is malformed.
   virtual std::optional<routing::Replica> readReplica(std::string_view key, std::string_view value,
                                                       base::Reason& reason) const = 0;
 };
 
 class ReplicaList final : public config::TableWatchListener {
  public:
-  /// All must outlive the list.
+  /// All arguments must outlive the list.
   ReplicaList(const ReplicaRowReader& reader, base::Clock& clock, base::EventLog& log,
               routing::ReplicaDirectory& directory, routing::PrefixHolders& holders,
               routing::ReplicaCrashDetector& crashDetector, const config::StoreEras& eras)
@@ -50,7 +51,7 @@
         crashDetector_(crashDetector),
         eras_(eras) {}
 
-  /// The list was copied at least once.
+  /// Whether the list has been read completely at least once.
   bool loaded() const { return loaded_; }
 
   void onRow(const clients::FeedRow& row, config::RowSource source) override;
@@ -59,18 +60,20 @@
   void onFailure(clients::FeedStatus status) override;
 
  private:
-  /// Lists the run that the row names, in place of the one that it named before.
+  /// Lists the instance that the row names, in place of the one that the row named before.
   void listInstance(const std::string& key, routing::Replica replica);
+  /// Logs the reason and takes the row's instance out of use for new requests.
   void onUnreadableRow(const clients::FeedRow& row, const base::Reason& reason);
-  /// False when others of its service tell their starts and this one does not: all of a service do
-  /// or none does, so the entry is not a replica's own.
+  /// False if the entry has no start time although others of its service have one. Either all
+  /// replicas of a service report start times or none does, so that such an entry was not written
+  /// by a replica.
   bool hasExpectedStartTime(const routing::Replica& replica);
-  /// The run has ended, as another one of its replica is listed.
+  /// Called when the instance has ended because another instance of its replica is listed.
   void onRestarted(const std::string& instance);
-  /// Forgets a run that is no longer listed.
+  /// Removes the state of an instance that is no longer listed.
   void forgetInstance(const std::string& instance);
   void remove(const std::string& key, base::Revision revision);
-  /// A row that is missing may be written again.
+  /// Whether rows that a restore of the service lost may still be rewritten.
   bool mayBeRewritten() const;
   void recordEnded(const std::string& key, const std::string& instance);
   bool hasEnded(const std::string& key, const std::string& instance) const;
@@ -82,14 +85,14 @@
   routing::PrefixHolders& holders_;
   routing::ReplicaCrashDetector& crashDetector_;
   const config::StoreEras& eras_;
-  /// The run that each row named last, by key.
+  /// The instance that each row named last, by key.
   std::map<std::string, std::string> instances_;
-  /// Runs that others have followed under the same key, the latest at the end.
+  /// Instances that were replaced by others under the same key, the latest at the end.
   std::map<std::string, std::deque<std::string>> endedInstances_;
-  /// Rows that went with a return of the service and may be written again, by key: the revision at
-  /// which they were missed.
+  /// Rows that a restore of the service lost and that may be rewritten, by key, with the revision
+  /// at which their removal was observed.
   std::map<std::string, base::Revision> missingRows_;
-  /// Services whose replicas tell their starts.
+  /// Services whose replicas report their start times.
   std::set<std::string, std::less<>> servicesWithStartTimes_;
   bool loaded_ = false;
   FeedOutageLog outageLog_{log_, "replica list feed"};
--- a/src/node/route_configuration.cc
+++ b/src/node/route_configuration.cc
@@ -7,11 +7,12 @@
 
 namespace {
 
-/// A change that is told while all is well was made at most so long ago: readers of the feed renew
-/// their proof every 0.8 s.
+/// Maximum age of a change when it is reported without delay by a fault: readers of the feed renew
+/// their confirmation every 0.8 s.
 constexpr base::Duration kTimelyReportAge = std::chrono::milliseconds(1000);
 
-/// An answer that was long under way proves less than the one before it.
+/// Keeps the confirmation with the later `currentAt`: a delayed reply may confirm an earlier moment
+/// than the reply before it.
 void keepLatest(std::optional<config::Confirmation>& kept,
                 const config::Confirmation& confirmation) {
   if (!kept || confirmation.currentAt >= kept->currentAt) kept = confirmation;
@@ -25,8 +26,8 @@
          confirmation.currentAt < *rewrittenBy;
 }
 
-// A node that has just started is told of a return after its first proof, perhaps: so doubts are
-// asked for each time.
+// A node that has just started may receive the report of a restore only after its first
+// confirmation, so the confirmation is checked again at each call.
 std::optional<base::TimePoint> RouteConfiguration::confirmedAt() const {
   if (!tableConfirmation_ || mayBeIncomplete(*tableConfirmation_)) return std::nullopt;
   return tableConfirmation_->currentAt;
@@ -38,11 +39,12 @@
 }
 
 bool RouteConfiguration::isNewest() const {
-  // Behind a version that cannot be read here, keys that it takes away would be accepted without
-  // end: the feed goes on proving that all rows are known.
+  // The feed keeps confirming that all rows have been received, also if this node cannot read the
+  // newest version. Without this check, keys that this version revokes would be accepted
+  // indefinitely.
   if (!table_ || newestUnreadable_) return false;
-  // Where the service lost the newest version, its copy would prove an older one, with keys that
-  // had been taken away.
+  // If a restore has lost the newest version, the service would confirm an older one with keys that
+  // have been revoked.
   return storedVersion_.value_or(0) >= std::max(table_->version(), newestPeerTable_);
 }
 
@@ -106,15 +108,17 @@
                                                         config::RowSource source) const {
   AnnouncementTime announcement;
   if (watch_ != nullptr) announcement.unreachableAt = watch_->unreachableAt();
-  // A node that has just started does not know which versions were named shortly before this one:
-  // they may be in force already, and only the dates in the table service tell.
+  // A node that has just started does not know which versions were announced shortly before this
+  // one. They may be required already, and only the announcement times in the table service show
+  // that.
   const bool justStarted = source == config::RowSource::kCopy && !feedConfirmedAt() &&
                            targets_.newest(weights.model) == 0;
-  // A version that becomes known late has had part of its time: counted from when this node heard
-  // of it, requests began on older weights up to 1.1 s too late where the feed's readers were lost.
+  // Part of the transition period of a version has passed if the version is reported late. Counted
+  // from the receipt of the report, requests began on older weights up to 1.1 s too late after the
+  // feed's readers were lost.
   const auto changed = changedAfter(row);
   if (justStarted || !changed) return announcement;
-  // An outage that was over before the last proof says nothing of what was changed since.
+  // An outage that ended before the last confirmation has no effect on later changes.
   if (announcement.unreachableAt && *announcement.unreachableAt <= *changed)
     announcement.unreachableAt.reset();
   announcement.announcedAfter = std::max(*changed, announcement.unreachableAt.value_or(*changed));
@@ -128,8 +132,8 @@
   const bool fromIncompleteSnapshot = row.changedAfter && returnedAt &&
                                       *row.changedAfter >= *returnedAt &&
                                       *row.changedAfter < *eras_.writtenAgainBy();
-  // That copy may have lacked the row because the service had lost it: it says nothing of when the
-  // row was written first.
+  // The row may have been missing from that snapshot because the service had lost it, so the
+  // snapshot does not show when the row was first written.
   return fromIncompleteSnapshot ? lastCompleteAt() : row.changedAfter;
 }
 
@@ -158,8 +162,9 @@
   if (!announcement.announcedAfter)
     return targets_.onFound(weights.model, weights.version, clock_.now());
   const auto newest = targets_.newest(weights.model);
-  // Others may know well when this version was named and tell nothing of one before it that this
-  // node never saw: that one is no older than the node's own last proof.
+  // The announcement time may come from nodes that received this version in time, and does not
+  // apply to an earlier version that this node never received. That version was announced after
+  // this node's own last complete confirmation.
   if (newest != 0 && weights.version > newest + 1) {
     if (const auto completeAt = lastCompleteAt()) {
       const auto missedAnnouncedAfter =
@@ -173,8 +178,8 @@
 }
 
 void RouteConfiguration::onRemoved(const clients::FeedRow& row) {
-  // Operators replace their rows and never remove them, but the service may come back from a copy
-  // without one: what is in force stays, and is proved by nothing.
+  // Operators replace their rows and never remove them, but the service may be restored from an
+  // older backup without the row. The active table is then kept and is no longer confirmed.
   if (reader_.isRouteTable(row.key)) storedVersion_.reset();
 }
 
@@ -193,9 +198,10 @@
 }
 
 std::string_view RouteConfiguration::unconfirmedReason(bool complete) const {
-  if (newestUnreadable_) return "a newer one cannot be read";
-  if (!complete) return "the service came back from a copy, and rows may not be written again yet";
-  return "the service holds an older one";
+  if (newestUnreadable_) return "this node cannot read the newest version";
+  if (!complete)
+    return "the service was restored from an older backup, and rows may not be rewritten yet";
+  return "the service holds an older version";
 }
 
 void RouteConfiguration::logConfirmationState(bool complete) {
--- a/src/node/wake_gate.h
+++ b/src/node/wake_gate.h
@@ -1,10 +1,11 @@
 /// \file
-/// Holds requests that arrive after a pause until the node has read again what it decides by: its
-/// copies from before the pause may name replicas that have left and keys that were taken away.
+/// Holds requests that arrive after a pause of the process until the node has read its
+/// configuration and replica list again: its copies from before the pause may contain replicas that
+/// have left and keys that have been revoked.
 ///
-/// A request waits for one answer of the table service or of another node. Where none comes, it is
-/// let through after `kMaximumHold` and decided by what is known, under the bounds on its age, as
-/// in any outage of the service.
+/// A request waits for one reply of the table service or of another node. If none arrives, the
+/// request is released after `kMaximumHold` and decided on the copies that the node has, subject to
+/// the limits on their age, as in any outage of the service.
 #pragma once
 
 #include <deque>
@@ -18,20 +19,21 @@
 
 class WakeGate {
  public:
-  /// Answers of the table service take some 10 ms, of other nodes a round trip.
+  /// Maximum time for which requests are held. A reply takes some 10 ms from the table service and
+  /// one round trip from another node.
   static constexpr base::Duration kMaximumHold = std::chrono::milliseconds(300);
   static constexpr base::Duration kPollInterval = std::chrono::milliseconds(5);
 
-  /// `caughtUp` says whether all has been read again since the wake.
+  /// `caughtUp` returns whether everything has been read again since the end of the pause.
   WakeGate(base::Clock& clock, base::TimerService& timers, base::EventLog& log,
            std::function<bool()> caughtUp);
 
-  /// The node has just noticed a pause: so long it did nothing, and so much of that its machine was
-  /// suspended. The event of the gate's opening tells both.
+  /// Called when the node has detected a pause, with the length of the pause and the part of it in
+  /// which the machine was suspended. Both are logged when the gate opens.
   void onWake(base::Duration pause, base::Duration suspended);
   /// Whether requests are held.
   bool closed() const { return closed_; }
-  /// Runs the action now, or in order with others once the gate opens.
+  /// Runs the action at once if the gate is open; otherwise once it opens, in the order of calls.
   void runWhenOpen(std::function<void()> action);
 
  private:
--- a/src/node/weights_coordinator.cc
+++ b/src/node/weights_coordinator.cc
@@ -9,9 +9,11 @@
 
 namespace {
 
-/// Records of one replica's change: the value is empty while it changes, and "VERSION MODEL" after.
+/// Key prefix of the records of a replica's weights change. The value is empty while the replica
+/// loads weights, and "VERSION MODEL" once it serves them.
 constexpr std::string_view kRecordPrefix = "replica-weights/";
-/// Bits of a record's version below the fencing token.
+/// Number of low bits of a record's version that hold the record counter; the fencing token is
+/// above them.
 constexpr unsigned kCounterBits = 24;
 
 }  // namespace
@@ -66,7 +68,7 @@
 }
 
 void WeightsCoordinator::onDirectRecord(const membership::GossipRecord& record) {
-  // Datagrams may overtake each other.
+  // Datagrams may arrive out of order.
   auto& known = directRecordVersions_[record.key];
   if (record.version <= known) return;
   known = record.version;
@@ -113,7 +115,8 @@
 void WeightsCoordinator::onReplicaChanging(const std::string& instance) {
   const auto now = environment_.clock.now();
   auto& publishedAt = loadingPublishedAt_[instance];
-  // What was told lately still holds at all nodes; each record costs every node several messages.
+  // A record published recently is still valid at all nodes, and each record costs every node
+  // several messages.
   if (publishedAt != base::TimePoint{} && now - publishedAt < options_.loadingStateLifetime / 2)
     return;
   publishedAt = now;
--- a/src/node/weights_coordinator.h
+++ b/src/node/weights_coordinator.h
@@ -1,6 +1,6 @@
 /// \file
-/// A node's part in the rollout of weights: it competes for the lease, rolls out while it holds it,
-/// and tells and hears which replicas are changing.
+/// Takes part in the rollout of weights for one node: competes for the lease, rolls weights out
+/// while it holds the lease, and publishes and receives which replicas are loading weights.
 #pragma once
 
 #include <functional>
@@ -19,14 +19,15 @@
 struct WeightsCoordinatorOptions {
   coordination::LeaseOptions lease;
   coordination::WeightsRolloutOptions rollout;
-  /// News that a replica is changing holds for so long unless it is renewed.
+  /// How long a report that a replica is loading weights is valid unless it is renewed.
   base::Duration loadingStateLifetime = std::chrono::milliseconds(2500);
-  /// In larger fleets changes are told to the homes of replicas alone: every node passes a record
-  /// on some nine times, so that records of many replicas take longer than what they tell of.
+  /// With more members than this, changes are sent only to the replicas' home nodes and not
+  /// gossiped: every node forwards a record some nine times, so that with many replicas the records
+  /// would spread more slowly than the changes that they report.
   std::size_t maximumMembersForGossip = 32;
 };
 
-/// All must outlive the coordinator and share its thread.
+/// All references must outlive the coordinator and be used on its thread.
 struct WeightsCoordinatorEnvironment {
   base::Clock& clock;
   base::TimerService& timers;
@@ -40,11 +41,11 @@
   routing::ReplicaDirectory& replicas;
   routing::PrefixHolders& holders;
   const routing::WeightsTargets& targets;
-  /// How many replicas of a service long runs fill.
+  /// Number of replicas of a service that long-running requests fill.
   std::function<std::size_t(const std::string& service)> longRunReplicas;
-  /// How many replicas of a service the work under way fills.
+  /// Number of replicas of a service that the work in progress fills; may be fractional.
   std::function<double(const std::string& service)> replicasInUse;
-  /// Whether the configuration has the service.
+  /// Whether the configuration contains the service.
   std::function<bool(const std::string& service)> isConfigured{};
 };
 
@@ -58,13 +59,13 @@
   WeightsCoordinator& operator=(const WeightsCoordinator&) = delete;
 
   void start();
-  /// Planned stop: orders nothing more and hands the lease over; `done` is called once.
+  /// Planned stop: issues no more orders and releases the lease; `done` is called once.
   void drain(std::function<void()> done);
-  /// This node is one of the few that may hold the lease.
+  /// Whether this node is one of the few that may hold the lease.
   bool isLeaseCandidate() const { return lease_.status().candidate; }
   bool holdsLease() const { return lease_.grant().has_value(); }
   void onPeerMessage(const base::PeerIdentity& sender, std::string_view payload) override;
-  /// The table service came back from a copy.
+  /// The table service was restored from an older backup.
   void onStoreReturned() { lease_.onStoreReturned(); }
 
  private:
@@ -75,11 +76,11 @@
   void onReplicaServing(const std::string& instance, const std::string& model,
                         base::WeightsVersion version) override;
   void publish(const std::string& instance, std::string value);
-  /// Tells the replica's home at once: gossip takes a second in a fleet of hundreds, and requests
-  /// ask the home (routing/placement.h).
+  /// Sends the record directly to the replica's home node: gossip takes a second in a fleet of
+  /// hundreds of nodes, and requests are placed by the home (routing/placement.h).
   void sendToHome(const membership::GossipRecord& record);
   void onRecord(const membership::GossipRecord& record);
-  /// A record that the lease holder sent straight to this node.
+  /// Handles a record that the lease holder sent directly to this node.
   void onDirectRecord(const membership::GossipRecord& record);
 
   WeightsCoordinatorOptions options_;
@@ -90,9 +91,9 @@
   base::TimerId settleTimer_ = 0;
   base::FencingToken token_ = 0;
   std::uint32_t recordCounter_ = 0;
-  /// When the other nodes were last told that a replica changes.
+  /// When it was last published that a replica is loading weights, by replica instance.
   std::map<std::string, base::TimePoint> loadingPublishedAt_;
-  /// Versions of the records that lease holders sent straight to this node, by key.
+  /// Latest versions of the records that lease holders sent directly to this node, by key.
   std::map<std::string, std::uint64_t> directRecordVersions_;
 };
 
--- a/src/node/zone_reachability_tracker.h
+++ b/src/node/zone_reachability_tracker.h
@@ -1,5 +1,5 @@
 /// \file
-/// Tells from the membership whether a zone is cut off from the others.
+/// Determines from the membership whether a zone is cut off from the others.
 #pragma once
 
 #include <set>
@@ -11,8 +11,8 @@
 
 namespace covewing::node {
 
-/// Remembers the zones that live members were seen in: a zone that never had a member is not
-/// called cut off.
+/// Keeps the zones in which live members have been seen, so that a zone that never had a member is
+/// not reported as cut off.
 class ZoneReachabilityTracker final : public request::ZoneReachability {
  public:
   explicit ZoneReachabilityTracker(const membership::MemberDirectory& members)
