--- a/tests/node/announcement_time_resolver_test.cc
+++ b/tests/node/announcement_time_resolver_test.cc
@@ -1,13 +1,9 @@
-// A request began on older weights 71 ms after the last moment at which it might. The node that had
-// sent it gave the older version its whole time from when it heard of the newer one, not from when
-// that was named. Nodes that read the feeds for the others had been killed at that moment, and the
-// others found another way to the feed only after a second:
-//
-//     2.020 s  node 4  event=3008 name=WeightsNamed version="2" from="feed"
-//     3.070 s  node 2  event=3008 name=WeightsNamed version="2" from="feed"
-//
-// Node 2, which had run all the time, went on sending to replicas of version 1 until 9.87 s, where
-// node 4 stopped at 8.82 s. Who learns of a version as a change did not ask when it had been named.
+// Guards against requests that begin on older weights after their deadline, by 71 ms in one run. A
+// node counted the transition period of a new version from the receipt of its announcement, not
+// from the announcement itself. The nodes that read the feed for the others had been killed at the
+// moment of the announcement. Node 4 received the version (event 3008) at 2.020 s and stopped using
+// version 1 at 8.82 s. Node 2, which had not restarted, reached the feed again after a second,
+// received the version at 3.070 s and sent requests to replicas of version 1 until 9.87 s.
 #include "node/announcement_time_resolver.h"
 
 #include <boost/test/unit_test.hpp>
@@ -28,7 +24,7 @@
 constexpr std::string_view kModel = "m";
 const std::string kWeightsRow = "weights/m";
 
-/// Rows "weights/m" hold the version named for the model.
+/// The row "weights/m" holds the version announced for the model.
 class WeightsReader final : public ConfigurationRowReader {
  public:
   bool isRouteTable(std::string_view /*key*/) const override { return false; }
@@ -45,7 +41,7 @@
   }
 };
 
-/// What one node makes of the versions that its feed tells.
+/// The configuration of one node, fed by the fleet's shared feed.
 struct WatchingNode {
   WatchingNode(Fleet& fleet, FleetNode& node)
       : configuration(reader, fleet.time, node.log, targets, node.eras),
@@ -60,7 +56,7 @@
   config::TableWatch watch;
 };
 
-/// A node that has just started and reaches no other one.
+/// A node that has just started and cannot reach any other node.
 struct StartedNode {
   StartedNode(Fleet& fleet, request::FakeTable& table)
       : node(*fleet.nodes.front()),
@@ -91,7 +87,7 @@
   config::TableWatch watch;
 };
 
-/// A feed that answers when the test says so.
+/// A feed whose replies are sent by the test.
 struct PausedFeed final : clients::TableFeedClient {
   void readAll(std::string /*table*/, clients::FeedCallback callback) override {
     pending = std::move(callback);
@@ -110,7 +106,8 @@
     for (auto& node : fleet.nodes) nodes.push_back(std::make_unique<WatchingNode>(fleet, *node));
     fleet.time.advance(seconds(20));
   }
-  /// Names the version; gives the last moment at which a request may begin on an older one.
+  /// Announces the version and returns the last moment at which a request may begin on an older
+  /// one.
   base::TimePoint announce(const std::string& version) {
     fleet.service.put(kWeightsRow, version);
     return fleet.time.now() + seconds(8);
@@ -140,8 +137,8 @@
   }
 }
 
-// What is allowed for what a node may learn late is lost to the older version: not much of its
-// time.
+// The margin for late reports shortens the transition period of the older version, but only by a
+// small part.
 BOOST_AUTO_TEST_CASE(OlderVersionKeepsMostOfItsTime) {
   for (int step = 0; step < 20; ++step) {
     fleet.time.advance(milliseconds(570));
@@ -156,7 +153,7 @@
   }
 }
 
-// What others know of version 3 tells nothing of version 2, which this node never saw.
+// The announcement time of version 3 does not apply to version 2, which this node never received.
 BOOST_AUTO_TEST_CASE(NodeThatMissedAVersionGivesTheOldestNoMoreTime) {
   auto* follower = fleet.with({config::FeedWatchers::Role::kFollower}).front();
   const auto index = std::ranges::find(fleet.nodes, follower, &std::unique_ptr<FleetNode>::get) -
@@ -176,7 +173,8 @@
   BOOST_TEST((targets.startDeadline(kModel, 2) <= nextDue));
 }
 
-// The newest version tells nothing of one that was named shortly before it, which may be in force.
+// A version announced shortly before the newest one may be required already, which the newest
+// version alone does not show.
 BOOST_AUTO_TEST_CASE(StartedNodeAllowsNoOlderVersionUntilTheTimesAreKnown) {
   announce("2");
   fleet.time.advance(seconds(4));
@@ -199,13 +197,11 @@
   BOOST_TEST(started.targets.oldestAllowed(kModel, now + seconds(7)) == 3U);
 }
 
-// All nodes were killed while the table service could not be reached, and a version was named
-// meanwhile: no node had seen it come, and no date was ever written. With the older version
-// forbidden from the start on nothing could be served until replicas were changed (some 6 s):
-//
-//     event=5000 name=RequestRefused why="no replica has the version in force"   (831 requests)
-//
-// Its time counts from when nodes could learn of it.
+// All nodes were killed during an outage of the table service, and a version was announced in the
+// outage. No node received it as a change, and no announcement time was ever written. With the
+// older version forbidden from the start, the fleet refused 831 requests (event 5000,
+// "no replica has the version in force") until replicas had loaded the new version, some 6 s later.
+// The transition period counts from the moment at which nodes could receive the version.
 BOOST_AUTO_TEST_CASE(VersionAnnouncedDuringAnOutageCountsFromItsEnd) {
   request::FakeTable table{fleet.time};
   fleet.nodes.front()->service.refused = true;
@@ -219,7 +215,7 @@
   BOOST_REQUIRE(targets.newest(kModel) == 2U);
   BOOST_TEST(targets.oldestAllowed(kModel, fleet.time.now()) == 0U);
   BOOST_TEST((targets.startDeadline(kModel, 1) <= deadline));
-  // Nodes that start later find the date.
+  // The announcement time is stored for nodes that start later.
   BOOST_TEST(!table.commits.empty());
 }
 
@@ -239,10 +235,9 @@
   BOOST_TEST((started.targets.startDeadline(kModel, 1) <= deadline));
 }
 
-// The service turned some nodes away and served others: these saw the version come and wrote its
-// date. One that was turned away dated it by its own failed calls, 2.9 s late:
-//
-//     6.581 s  event=3008 name=WeightsNamed version="2" from="feed" age_at_most_ms="1658"
+// The service refused the calls of some nodes and served others, which received the version in time
+// and wrote its announcement time. A refused node received the version (event 3008) at 6.581 s
+// with age_at_most_ms="1658", took the time from its own failed calls, and was 2.9 s late.
 BOOST_AUTO_TEST_CASE(TimeWrittenByObserversPrevailsOverTheOwnOutage) {
   request::FakeTable table{fleet.time};
   AnnouncementTimeStore observer{table, fleet.time, fleet.time,
@@ -261,7 +256,8 @@
   BOOST_TEST((running.targets.startDeadline(kModel, 1) <= deadline));
 }
 
-// After an outage nodes were told of a version by others and knew only their proofs from before it.
+// After an outage, nodes received a version from others and had only their confirmations from
+// before the outage to determine its announcement time.
 BOOST_AUTO_TEST_CASE(NodeInformedLateUsesTheStoredTime) {
   request::FakeTable table{fleet.time};
   const auto serviceTime = [this] { return nodes.back()->watch.serviceTime(); };
@@ -296,8 +292,9 @@
   BOOST_TEST((targets.startDeadline(kModel, 1) > deadline - seconds(1)));
 }
 
-// A node that had lived on the answers of others since an outage asked the service again, and dated
-// a version of that moment by the outage: it counted as in force at once.
+// A node that had used the replies of other nodes since an outage queried the service again, and
+// determined the announcement time of a version from that old outage, so that the version was
+// required at once.
 BOOST_AUTO_TEST_CASE(EarlierOutageDoesNotAffectALaterVersion) {
   request::FakeTable table{fleet.time};
   StartedNode running(fleet, table);
@@ -310,7 +307,7 @@
   BOOST_TEST(running.targets.oldestAllowed(kModel, now + seconds(6)) == 1U);
 }
 
-// A connection that had gone silent proves nothing of the service.
+// An unresponsive connection does not show that the service is unreachable.
 BOOST_AUTO_TEST_CASE(OneFailedCallIsNotAnOutage) {
   request::FakeTable table{fleet.time};
   fleet.nodes.front()->service.refuseNext = 1;
--- a/tests/node/announcement_time_store_test.cc
+++ b/tests/node/announcement_time_store_test.cc
@@ -1,4 +1,4 @@
-// How long ago a version was named, for nodes that start later.
+// Storage of announcement times in the table service, for nodes that start later.
 #include "node/announcement_time_store.h"
 
 #include <boost/test/unit_test.hpp>
@@ -33,7 +33,7 @@
     return found;
   }
 
-  /// Of the service's clock over the nodes'.
+  /// Offset of the service's clock from the nodes' clock.
   base::Duration clockOffset = seconds(1000);
   VirtualTime time;
   FakeTable table{time};
@@ -54,8 +54,9 @@
   BOOST_TEST((*age < seconds(6)));
 }
 
-// The table service started again with a clock that is behind: a date by the former one lies in its
-// future. Taken for a version named just now, it gave the older weights their whole time again.
+// After a restart of the table service its clock is behind, so a time written by its former clock
+// lies in the future. Taken as announced just now, such a version gave the older weights their
+// whole transition period again.
 BOOST_AUTO_TEST_CASE(TimeInTheFutureIsIgnored) {
   observer.write("m", 4);
   time.advance(seconds(5));
@@ -98,8 +99,9 @@
   BOOST_TEST(lookUp(4).has_value());
 }
 
-// All that were responsible for the date were lost in the moment at which the version was named;
-// the next ones knew it and did not write, so that nodes that started then found no date.
+// All responsible nodes were lost at the moment of an announcement. The nodes that became
+// responsible had the announcement time and did not write it, so nodes that started later found
+// none.
 BOOST_AUTO_TEST_CASE(NodeThatBecomesResponsibleWritesTheTime) {
   bool responsible = false;
   AnnouncementTimeStore next{table, time, time, [this] { return serviceTime(); },
@@ -115,8 +117,8 @@
   BOOST_TEST((*age < seconds(5)));
 }
 
-// A node knows the service's clock from answers that were under way for some time: what it makes of
-// it is late by that. A date that is read with such a clock was up to 0.8 s too late.
+// A node estimates the service's clock from replies, so the estimate lags by the time that they
+// were in flight. An announcement time computed with such an estimate was up to 0.8 s too late.
 BOOST_AUTO_TEST_CASE(AgeIsNotUnderestimatedWithALateEstimateOfTheServiceClock) {
   table.clockOffset = seconds(1000);
   observer.write("m", 4);
@@ -131,7 +133,7 @@
   BOOST_TEST((*found <= seconds(5) + 3 * table.latency));
 }
 
-// Writes overtake each other where one is tried again.
+// A retried write may arrive after a later one.
 BOOST_AUTO_TEST_CASE(EarlierTimeOfAVersionReplacesALaterOne) {
   observer.write("m", 4, seconds(1));
   time.advance(seconds(1));
@@ -160,7 +162,8 @@
   BOOST_TEST(table.commits.empty());
 }
 
-// Those that usually write were turned away by the service; in the end others that know write.
+// The service refused the calls of the nodes that usually write; at the last check other nodes with
+// the announcement time write.
 BOOST_AUTO_TEST_CASE(OthersWriteAtTheLastCheck) {
   AnnouncementTimeStore other{table, time, time, [this] { return serviceTime(); },
                               [](bool last) { return last; }};
@@ -171,7 +174,8 @@
   BOOST_TEST((*age >= seconds(6)));
 }
 
-// A date that was written some seconds after the start was never found: reading ended after 1.8 s.
+// An announcement time written some seconds after the start of a node was never found when reading
+// ended after 1.8 s.
 BOOST_AUTO_TEST_CASE(TimeWrittenLateIsFoundWhileItMatters) {
   std::optional<base::Duration> found;
   starter.lookUp("m", 4, [&](const std::vector<VersionAge>& ages) {
@@ -193,7 +197,7 @@
   targets.onDated("m", 4, now - seconds(2));
   BOOST_TEST(targets.oldestAllowed("m", now + seconds(4)) == 0U);
   BOOST_TEST(targets.oldestAllowed("m", now + seconds(5)) == 4U);
-  // A date that is known moves to an earlier one alone.
+  // A known announcement time is only replaced by an earlier one.
   targets.onDated("m", 4, now);
   BOOST_TEST(targets.oldestAllowed("m", now + seconds(5)) == 4U);
 }
@@ -207,8 +211,8 @@
   BOOST_TEST(targets.oldestAllowed("m", now + seconds(6)) == 4U);
 }
 
-// A node that starts between a version's time and the next one's knew only the newest, and sent to
-// replicas that were two versions behind.
+// A node that started after one version was required and before the next one was had only the
+// newest version, and sent requests to replicas that were two versions behind.
 BOOST_AUTO_TEST_CASE(RequiredVersionIsKnownAfterANewerOneWasAnnounced) {
   routing::WeightsTargets targets({seconds(8), seconds(1)});
   const base::TimePoint now{seconds(100)};
@@ -219,8 +223,8 @@
   BOOST_TEST(targets.newest("m") == 4U);
 }
 
-// The table service comes back from a copy without the date: a node that starts then would not know
-// how long ago the version was named.
+// The table service is restored from an older backup without the announcement time. A node that
+// starts then could not determine how long ago the version was announced.
 BOOST_AUTO_TEST_CASE(TimeLostByARestoreIsRewritten) {
   const std::string model = "m";
   test_support::MemoryTableService service(time, time, "own");
--- a/tests/node/cache_store_gossip_test.cc
+++ b/tests/node/cache_store_gossip_test.cc
@@ -1,4 +1,4 @@
-// What nodes tell each other of the stores of kept cache.
+// Availability of cache stores, published to other nodes by gossip.
 #include "node/cache_store_gossip.h"
 
 #include <boost/test/unit_test.hpp>
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Gossip that reaches every subscriber at once.
+/// Gossip that delivers each record to every subscriber at once.
 class Gossip final : public membership::RecordDissemination {
  public:
   void publish(membership::GossipRecord record) override {
@@ -28,7 +28,7 @@
  public:
   explicit Directory(std::string name) {
     self_.name = std::move(name);
-    // Microseconds of a time of day, as nodes take them.
+    // Wall-clock time in microseconds, which nodes use as incarnation.
     self_.incarnation = 1'780'000'000'000'000;
   }
   const membership::Member& self() const override { return self_; }
@@ -44,18 +44,18 @@
 
 struct GossipNode {
   GossipNode(const std::string& name, Gossip& gossip)
-      : directory(name), gossipOfStores(directory, gossip, stores) {
+      : directory(name), storeGossip(directory, gossip, stores) {
     config::RouteTableContents contents;
     config::Service service;
     service.name = "kept";
     service.cacheStore = config::CacheStore{{9, 9}, "z", 2};
     contents.services.push_back(service);
     stores.update(config::RouteTable{contents});
-    gossipOfStores.start();
+    storeGossip.start();
   }
   Directory directory;
   routing::CacheStores stores;
-  CacheStoreGossip gossipOfStores;
+  CacheStoreGossip storeGossip;
 };
 
 }  // namespace
@@ -83,7 +83,7 @@
   BOOST_TEST(gossip.records[1].version > gossip.records[0].version);
   BOOST_TEST(gossip.records[1].key == gossip.records[0].key);
   BOOST_TEST(gossip.records[2].key != gossip.records[0].key);
-  // A later start's news replaces it: the incarnation is not cut off by the counter.
+  // Records after a later start have a higher version: the counter leaves room for the incarnation.
   BOOST_TEST(gossip.records[0].version / first.directory.self().incarnation > 1000U);
 }
 
--- a/tests/node/configuration_restore_test.cc
+++ b/tests/node/configuration_restore_test.cc
@@ -1,6 +1,7 @@
-// The table service came back from a copy in which operators' newest version was missing until they
-// wrote it again. A node that had not seen that version, or had just started, read the older one as
-// the newest, proved it anew every 0.8 s, and accepted the keys that the newest had taken away.
+// The table service was restored from an older backup without the operators' newest version, until
+// they had rewritten it. A node that had not received that version, or had just started, took the
+// older one as the newest, confirmed it every 0.8 s, and accepted the keys that the newest version
+// had revoked.
 #include <boost/test/unit_test.hpp>
 #include <charconv>
 
@@ -28,7 +29,7 @@
   return number;
 }
 
-/// The rows hold the numbers of versions.
+/// Rows hold version numbers.
 class NumberReader final : public ConfigurationRowReader {
  public:
   bool isRouteTable(std::string_view key) const override { return key == kTableRow; }
@@ -45,7 +46,7 @@
   }
 };
 
-/// One run of a node: what it makes of the feed, and what it tells and hears.
+/// One incarnation of a node, with its feed, its configuration and its gossip records.
 struct RunningNode {
   RunningNode(Fleet& fleet, FleetNode& host)
       : node(host),
@@ -93,7 +94,7 @@
   ConfigurationGossip configurationGossip;
 };
 
-/// Two nodes that reach the service themselves, and not each other but by gossip.
+/// Two nodes that reach the service directly, and each other only by gossip.
 struct RestoreFixture {
   RestoreFixture() {
     for (auto& node : fleet.nodes) node->silent = true;
@@ -134,10 +135,10 @@
   BOOST_TEST((ageAt(first) < seconds(1)));
 }
 
-// The first node has seen version 8, the second has not, as the service turned it away.
+// The first node has received version 8; the second has not, since the service refused its calls.
 BOOST_AUTO_TEST_CASE(NodeThatMissedTheNewestVersionIsNotConfirmedByAnOlderOne) {
   second.service.refused = true;
-  // The call that the service holds has its answer by then.
+  // By then the service has replied to the call that it was holding.
   fleet.time.advance(seconds(1));
   fleet.service.put(kTableRow, "8");
   fleet.time.advance(milliseconds(500));
@@ -153,8 +154,8 @@
   BOOST_TEST((ageAt(second) < seconds(1)));
 }
 
-// Nobody saw version 8 before the service lost it: the time that operators have to write it again
-// must pass before an older one counts as proved.
+// No node received version 8 before the service lost it. The time that operators have to rewrite it
+// must pass before an older version counts as confirmed.
 BOOST_AUTO_TEST_CASE(NoVersionIsConfirmedBeforeOperatorsHadTimeToRewrite) {
   fleet.service.put(kTableRow, "8");
   fleet.service.returnFrom(backup, 20);
@@ -190,8 +191,8 @@
   BOOST_TEST((ageAt(started) < seconds(1)));
 }
 
-// Its first answer names the new era, and nothing tells it that there was another one before it
-// hears the other nodes.
+// The first reply that the node receives is of the new era. Until it receives gossip from the other
+// nodes, it cannot detect that there was an earlier era.
 BOOST_AUTO_TEST_CASE(ConfirmationFromBeforeTheRestoreWasReportedIsDiscarded) {
   fleet.service.put(kTableRow, "8");
   fleet.service.returnFrom(backup, 20);
@@ -229,8 +230,8 @@
   BOOST_TEST((ageAt(first) < seconds(1)));
 }
 
-// Weights that others saw named count though the service has lost them, from when this node last
-// knew that they were not.
+// A version that other nodes received applies although the service has lost it. Its transition
+// period counts from this node's last confirmation without it.
 BOOST_AUTO_TEST_CASE(WeightsAnnouncedToAPeerApplyWhileTheServiceLacksThem) {
   second.service.refused = true;
   fleet.time.advance(seconds(1));
@@ -244,7 +245,7 @@
   BOOST_TEST((*second.targets.startDeadline(kModel, 1) <= announcedAt + seconds(8)));
 }
 
-// Written again after the return, they are no younger than before it.
+// Rewriting a version after the restore does not move its announcement time.
 BOOST_AUTO_TEST_CASE(RewrittenWeightsKeepTheirAnnouncementTime) {
   const auto announcedAt = fleet.time.now();
   fleet.service.put(kWeightsRow, "2");
--- a/tests/node/explain_test.cc
+++ b/tests/node/explain_test.cc
@@ -1,4 +1,4 @@
-// The record of requests: bounds, lookup and JSON form.
+// Traces of requests: capacity, lookup and JSON form.
 #include <boost/test/unit_test.hpp>
 #include <nlohmann/json.hpp>
 
--- a/tests/node/message_versions_test.cc
+++ b/tests/node/message_versions_test.cc
@@ -1,7 +1,6 @@
-// While machines are replaced, builds of before and after run side by side. A message of the later
-// one may have fields that the earlier one does not know, and one of the earlier one may lack some:
-// the former are passed over, the latter are not told, and no age that is not told passes for a
-// young one.
+// During a rolling upgrade nodes of two builds exchange messages. A message of the later build may
+// have fields that the earlier build does not have; these are ignored. A message of the earlier
+// build lacks these fields, and a missing age must not be taken as a low one.
 #include <boost/test/unit_test.hpp>
 #include <functional>
 #include <msgpack.hpp>
@@ -25,11 +24,11 @@
 
 namespace {
 
-/// One message, encoded, and what a node makes of other bytes in its place.
+/// An encoded message, and a function that decodes and encodes bytes in its place.
 struct Sample {
   std::string name;
   std::string payload;
-  /// The bytes of the message that is read; empty where none is.
+  /// Decodes a message and returns its encoding; empty if the bytes cannot be decoded.
   std::function<std::optional<std::string>(std::string_view)> reencode;
 };
 
@@ -42,7 +41,7 @@
           }};
 }
 
-/// The message with a field more at its end, or with its last fields left out.
+/// Returns the message with only its first `kept` fields, and with one more field if `oneMore`.
 std::string withFields(std::string_view payload, std::size_t kept, bool oneMore) {
   const auto handle = msgpack::unpack(payload.data(), payload.size());
   const auto& fields = handle.get().via.array;
@@ -122,28 +121,28 @@
   return coordination::encodeCoordinationMessage(message.type);
 }
 
-/// Every message that relaying nodes send each other.
+/// One sample of every message type that relaying nodes exchange.
 std::vector<Sample> samples() {
   std::vector<Sample> all;
   addFeed(all, "FeedQuestion", config::FeedQuestion{7, "op", 11, milliseconds(700), false, 3});
   addFeed(all, "FeedAnswer", feedReply());
-  addPart(all, "PartQuestion", routing::PartQuery{1, 2, 3});
-  addPart(all, "PartAnswer", routing::PartReply{1, {{{4}, 5}}});
-  addPart(all, "PartNotice", routing::PartUpdate{1, {{4}, 5}, true});
+  addPart(all, "PartQuery", routing::PartQuery{1, 2, 3});
+  addPart(all, "PartReply", routing::PartReply{1, {{{4}, 5}}});
+  addPart(all, "PartUpdate", routing::PartUpdate{1, {{4}, 5}, true});
   routing::PlacementQuery query;
   query.id = 3;
   query.model = "m";
   query.parts = {{9, 800}};
   query.acceptableWait = milliseconds(200);
   query.rateLimit = {clients::RateLimitNotice::of(2.5), milliseconds(70)};
-  addPlacement(all, "PlacementQuestion", query);
+  addPlacement(all, "PlacementQuery", query);
   routing::PlacementReply reply;
   reply.leaving = true;
   reply.rateLimit = {clients::RateLimitNotice::of(2.5), milliseconds(70)};
   reply.paced = true;
-  addPlacement(all, "PlacementAnswer", reply);
-  addPlacement(all, "PlacementTaken", routing::UngrantedDispatch{1, {2}, {}, {}, true});
-  addPlacement(all, "PlacementBegun",
+  addPlacement(all, "PlacementReply", reply);
+  addPlacement(all, "UngrantedDispatch", routing::UngrantedDispatch{1, {2}, {}, {}, true});
+  addPlacement(all, "PlacementStarted",
                routing::PlacementStarted{1, {2}, true, clients::RateLimitNotice::of(2.5)});
   routing::PlacementEnded ended;
   ended.leaving = true;
@@ -208,8 +207,8 @@
 }
 
 BOOST_AUTO_TEST_CASE(MissingAgeIsNeverTakenAsZero) {
-  // Fields of an answer: ..., rows, revision, held, age, the service's clock, ages of the changes,
-  // the era.
+  // Fields of a feed reply: ..., rows, revision, held, age, the service's clock, ages of the
+  // changes, era.
   constexpr std::size_t kFieldsWithoutChangeAges = 8;
   const auto payload = config::encodeFeedMessage(feedReply());
   BOOST_REQUIRE(fieldsOf(payload) == kFieldsWithoutChangeAges + 2);
@@ -222,8 +221,8 @@
   BOOST_TEST(reply.changedAgo.empty());
 }
 
-// A build that tells no era takes the revision of a later one for a number of the service: it must
-// not pass for one that does.
+// An earlier build sends no era and interprets the revision of a later one as a plain number of the
+// service. Its messages must not be taken as messages of the first era.
 BOOST_AUTO_TEST_CASE(MissingEraIsNotTheFirstEra) {
   const auto payload = config::encodeFeedMessage(
       config::FeedQuestion{7, "op", 11, milliseconds(700), false, base::StoreEra{0}});
--- a/tests/node/node_count_test.cc
+++ b/tests/node/node_count_test.cc
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// A directory of which only the number of live members matters.
+/// A directory with a settable number of live members.
 class CountedMembers final : public membership::MemberDirectory {
  public:
   explicit CountedMembers(std::size_t count) : live_(count) {}
@@ -44,8 +44,8 @@
   BOOST_TEST(count() == 3U);
 }
 
-// Each of four nodes that were cut off when they started took itself for the only one, and the
-// whole slack of the bound on retries for its part.
+// Four nodes that were cut off when they started each assumed to be the only node, and each used
+// the whole slack of the limit on retries.
 BOOST_AUTO_TEST_CASE(NodeThatHasNeverSeenAnotherAssumesOthersIfASingleNodeViewIsNotTrusted) {
   test_support::VirtualTime time;
   CountedMembers members{1};
--- a/tests/node/node_fixture.h
+++ b/tests/node/node_fixture.h
@@ -1,4 +1,5 @@
-// One whole node over fakes: a table service with one tenant, a machine list with two engines.
+// One complete node with fake services: a table service with one tenant and a machine list with two
+// engines.
 #pragma once
 
 #include <string>
@@ -48,7 +49,7 @@
   VirtualTime& time_;
 };
 
-/// Streams as the test drives them; polls answered with a serving engine.
+/// Streams are driven by the test; polls return the report of a serving engine.
 class PolledEngines final : public clients::EngineClient {
  public:
   explicit PolledEngines(VirtualTime& time) : time_(time) {}
@@ -84,7 +85,7 @@
   VirtualTime& time_;
 };
 
-/// Keeps the numbers of the events written.
+/// Records the written events without their fields.
 class RecordingLog final : public base::EventLog {
  public:
   std::vector<base::Event> events;
@@ -108,7 +109,7 @@
                                 applications});
   }
 
-  /// Writes the tenant's row as a committed change; `extra` are further fields of its body.
+  /// Commits the tenant's row; "{}" as `body` selects `kBody`.
   void putTenant(const std::string& body, bool retired) {
     config::TemplateRow row;
     row.name = "judges";
--- a/tests/node/node_test.cc
+++ b/tests/node/node_test.cc
@@ -1,4 +1,4 @@
-// One whole node: from a committed template to a streamed answer, pauses and planned stops.
+// One complete node: from a committed template to a streamed response, pauses and planned stops.
 #include <boost/test/unit_test.hpp>
 
 #include "node/node_fixture.h"
--- a/tests/node/operator_service_test.cc
+++ b/tests/node/operator_service_test.cc
@@ -1,4 +1,4 @@
-// Operator calls against the table service's model; the engines are a fixed list.
+// Operator calls with the model of the table service and a fixed list of engines.
 #include "node/operator_service.h"
 
 #include <boost/test/unit_test.hpp>
@@ -63,7 +63,7 @@
   std::vector<routing::EngineState> list;
 };
 
-// Engines that never answer.
+// Engines that never respond.
 struct UnresponsiveEngines final : clients::EngineClient {
   std::unique_ptr<clients::EngineStream> start(const clients::BackEndAddress&,
                                                clients::EngineRequest,
@@ -82,7 +82,7 @@
   void send(const base::Endpoint&, base::Channel, std::string) override {}
 };
 
-/// A node's operator service with everything behind it.
+/// A node's operator service with all its dependencies.
 struct OperatorFixture final : config::AcceptedRowSink {
   emulator::VirtualTime time;
   base::SeededRandom random{7};
@@ -118,7 +118,7 @@
       BOOST_REQUIRE(!response);
       response = received;
     });
-    BOOST_TEST(!response);  // never from inside the call
+    BOOST_TEST(!response);  // the callback must not run inside the call
     time.run(kLongEnough);
     BOOST_REQUIRE(response);
     return {response->code, Json::parse(response->body)};
--- a/tests/node/replica_list_test.cc
+++ b/tests/node/replica_list_test.cc
@@ -1,4 +1,4 @@
-// The list of replicas: which run each row names, and what ends with it.
+// The replica list: the instance that each row names, and the state that is removed with it.
 #include "node/replica_list.h"
 
 #include <boost/test/unit_test.hpp>
@@ -13,7 +13,7 @@
 constexpr routing::CacheScope kScope = 1;
 constexpr std::uint64_t kPart = 2;
 
-/// The value of a row is the name of the run; an empty one cannot be read.
+/// The value of a row is the name of the instance; an empty value cannot be read.
 class InstanceReader final : public ReplicaRowReader {
  public:
   std::optional<routing::Replica> readReplica(std::string_view /*key*/, std::string_view value,
@@ -30,7 +30,7 @@
   }
 };
 
-/// Gives no answer within the test.
+/// Never calls back.
 class UnresponsiveReachability final : public clients::ReachabilityClient {
  public:
   void connect(const base::Endpoint& /*address*/, base::Duration /*timeout*/,
@@ -48,7 +48,7 @@
   }
   void remove(const std::string& key) { list.onRemoved({key, std::nullopt, ++revision}); }
 
-  /// The run holds a part, and a request broke off there.
+  /// Records that the instance holds a prompt part and that a request was interrupted there.
   void recordUse(const std::string& instance) {
     holders.add(base::engineIdOf(instance), kScope, kPart, 100);
     crashDetector.onRequestInterrupted(directory.find(instance), base::RequestFingerprint{7});
@@ -112,8 +112,9 @@
   BOOST_TEST(log.count(base::Event::kReplicaRestarted) == 0U);
 }
 
-// Replicas of a service all tell their starts, or none does. An entry without one, which a node
-// that had just started read first, brought requests to an address that was no replica's.
+// Either all replicas of a service report start times or none does. A node that had just started
+// read an entry without a start time first and sent requests to an address that was not a
+// replica's.
 BOOST_AUTO_TEST_CASE(EntryWithoutAStartTimeIsRejectedIfOthersOfItsServiceHaveOne) {
   write("other", "other");
   BOOST_TEST(directory.ofService("llm").size() == 1U);
@@ -150,9 +151,9 @@
   BOOST_TEST(!holds("r@1"));
 }
 
-// The table service comes back from a copy: rows go, and come again when their replicas have
-// written them. A replica that was dropped meanwhile would lose its place, its streams and its
-// cache index.
+// After a restore of the table service from an older backup, rows are missing until their replicas
+// have rewritten them. A replica that was removed meanwhile would lose its place, its streams and
+// its cache index.
 BOOST_AUTO_TEST_CASE(RowRewrittenAfterARestoreEndsNothing) {
   write("r", "r@1");
   const auto record = directory.find("r@1");
--- a/tests/node/unreadable_configuration_test.cc
+++ b/tests/node/unreadable_configuration_test.cc
@@ -1,6 +1,6 @@
-// A node that cannot read a version of the configuration keeps the one before it in force. Its feed
-// went on proving that it knew all rows, so that it accepted keys without end that the version it
-// could not read had taken away: what is confirmed must be what is in force.
+// A node that cannot read a version of the configuration keeps the one before it active. Its feed
+// went on confirming that it had all rows, so the node accepted keys indefinitely that the
+// unreadable version had revoked. Only the newest version may count as confirmed.
 #include <boost/test/unit_test.hpp>
 
 #include "config/feed_fleet.h"
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// The row "a" holds the number of a version; any other text cannot be read.
+/// The row "a" holds a version number; any other text cannot be read.
 class NumberReader final : public ConfigurationRowReader {
  public:
   bool isRouteTable(std::string_view key) const override { return key == "a"; }
--- a/tests/node/wake_gate_test.cc
+++ b/tests/node/wake_gate_test.cc
@@ -1,4 +1,5 @@
-// Requests that arrive after a pause wait until the node has read again what it decides by.
+// Requests that arrive after a pause wait until the node has read its configuration and replica
+// list again.
 #include "node/wake_gate.h"
 
 #include <boost/test/unit_test.hpp>
--- a/tests/node/zone_reachability_tracker_test.cc
+++ b/tests/node/zone_reachability_tracker_test.cc
@@ -1,4 +1,4 @@
-// Cut-off zones as seen from inside and outside, and the notice of a paused process.
+// Detection of cut-off zones from inside and outside, and of a pause of the process.
 #include "node/zone_reachability_tracker.h"
 
 #include <boost/test/unit_test.hpp>
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Members by the zones that they are in; the first is the node itself.
+/// Members in given zones; the first one is the node itself.
 class ZonedMembers final : public membership::MemberDirectory {
  public:
   explicit ZonedMembers(const std::string& ownZone) { add(ownZone); }
