--- a/tests/node/configuration_restore_test.cc
+++ b/tests/node/configuration_restore_test.cc
@@ -64,8 +64,8 @@
       configurationGossip.publishTableVersion(table.version());
     });
     configuration.setWeightsListener(
-        [this](const AnnouncedWeights& named, const AnnouncementTime&) {
-          configurationGossip.publishWeightsVersion(named);
+        [this](const AnnouncedWeights& weights, const AnnouncementTime&) {
+          configurationGossip.publishWeightsVersion(weights);
         });
     eras.onReturn([this](const config::StoreReturn&) {
       watch.onStoreReturned();
