--- a/src/node/operator_service.cc
+++ b/src/node/operator_service.cc
@@ -3,8 +3,8 @@
 #include <memory>
 #include <utility>
 
-#include "node/operator_service_answer.h"
 #include "node/operator_service_orders.h"
+#include "node/operator_service_response.h"
 #include "node/operator_service_status.h"
 #include "node/operator_service_target.h"
 #include "node/operator_service_templates.h"
@@ -24,18 +24,19 @@
                 dependencies.activity) {}
 
   void call(OperatorRequest request, std::function<void(OperatorResponse)> callback) override {
-    // Answers never come from inside the call.
-    auto later = [&timers = timers_, callback = std::move(callback)](OperatorResponse response) {
+    // The callback must not be called from inside this function.
+    auto respondLater = [&timers = timers_,
+                         callback = std::move(callback)](OperatorResponse response) {
       timers.schedule(base::Duration::zero(),
                       [callback, response = std::move(response)] { callback(response); });
     };
     base::Reason reason;
     const auto target = OperatorTarget::parse(request.target, reason);
     if (!target) {
-      later(refusal(reason));
+      respondLater(errorResponse(reason));
       return;
     }
-    dispatch(*target, request, std::move(later));
+    dispatch(*target, request, std::move(respondLater));
   }
 
  private:
@@ -51,11 +52,12 @@
     } else if (resource == "expand" && request.method == "POST") {
       callback(templates_.expand(target, request.body));
     } else {
-      callback(refusal(base::ResultCode::kUnknownPath, "no such resource: " + request.target));
+      callback(
+          errorResponse(base::ResultCode::kUnknownPath, "no such resource: " + request.target));
     }
   }
 
-  /// Answers the calls that only show something; false for other targets.
+  /// Handles the read-only status calls; returns false for other targets.
   bool dispatchStatus(const OperatorTarget& target, const OperatorCallback& callback) const {
     const auto& segments = target.segments();
     if (segments.size() == 1 && segments[0] == "fleet") {
--- a/src/node/operator_service_orders.h
+++ b/src/node/operator_service_orders.h
@@ -1,5 +1,5 @@
 /// \file
-/// Operator calls on orders to engines: `/v1/orders`.
+/// Operator calls for orders to engines: `/v1/orders`.
 #pragma once
 
 #include <string>
@@ -7,12 +7,12 @@
 #include "coordination/engine_catalogue.h"
 #include "coordination/order_store.h"
 #include "node/operator_api.h"
-#include "node/operator_service_answer.h"
+#include "node/operator_service_response.h"
 #include "node/operator_service_target.h"
 
 namespace covewing::node {
 
-/// Every answer but a refusal of the call itself comes from the table service.
+/// Every response is based on a reply of the table service, except errors in the call itself.
 class OrderCalls {
  public:
   OrderCalls(coordination::OrderStore& store, const coordination::EngineCatalogue& catalogue)
--- a/src/node/weights_coordinator.cc
+++ b/src/node/weights_coordinator.cc
@@ -9,9 +9,11 @@
 
 namespace {
 
-/// Records of one replica's change: the value is empty while it changes, and "VERSION MODEL" after.
+/// Key prefix of the records of a replica's weights change. The value is empty while the replica
+/// loads weights, and "VERSION MODEL" once it serves them.
 constexpr std::string_view kRecordPrefix = "replica-weights/";
-/// Bits of a record's version below the fencing token.
+/// Number of low bits of a record's version that hold the record counter; the fencing token is
+/// above them.
 constexpr unsigned kCounterBits = 24;
 
 }  // namespace
@@ -62,12 +64,12 @@
     lease_.onReleaseHint();
   if (message->announcement) lease_.onAnnouncement(*message->announcement);
   if (message->record && message->record->key.starts_with(kRecordPrefix))
-    onSentRecord(*message->record);
+    onDirectRecord(*message->record);
 }
 
-void WeightsCoordinator::onSentRecord(const membership::GossipRecord& record) {
-  // Datagrams may overtake each other.
-  auto& known = sentVersions_[record.key];
+void WeightsCoordinator::onDirectRecord(const membership::GossipRecord& record) {
+  // Datagrams may arrive out of order.
+  auto& known = directRecordVersions_[record.key];
   if (record.version <= known) return;
   known = record.version;
   onRecord(record);
@@ -80,8 +82,8 @@
 
 void WeightsCoordinator::onLeaseAcquired(const coordination::LeaseGrant& grant) {
   token_ = grant.token;
-  published_ = 0;
-  changingToldAt_.clear();
+  recordCounter_ = 0;
+  loadingPublishedAt_.clear();
   settleTimer_ = environment_.timers.schedule(grant.settleTime, [this] { rollout_.start(); });
 }
 
@@ -91,16 +93,16 @@
 }
 
 void WeightsCoordinator::publish(const std::string& instance, std::string value) {
-  const std::uint64_t version = (token_ << kCounterBits) + ++published_;
+  const std::uint64_t version = (token_ << kCounterBits) + ++recordCounter_;
   const membership::GossipRecord record{std::string{kRecordPrefix} + instance, version,
                                         std::move(value)};
-  if (environment_.members.liveMembers().size() <= options_.mostMembersForGossip)
+  if (environment_.members.liveMembers().size() <= options_.maximumMembersForGossip)
     environment_.records.publish(record);
   onRecord(record);
-  tellHome(record);
+  sendToHome(record);
 }
 
-void WeightsCoordinator::tellHome(const membership::GossipRecord& record) {
+void WeightsCoordinator::sendToHome(const membership::GossipRecord& record) {
   const auto instance = std::string_view{record.key}.substr(kRecordPrefix.size());
   const auto replica = environment_.replicas.find(instance);
   if (replica == nullptr) return;
@@ -112,16 +114,18 @@
 
 void WeightsCoordinator::onReplicaChanging(const std::string& instance) {
   const auto now = environment_.clock.now();
-  auto& toldAt = changingToldAt_[instance];
-  // What was told lately still holds at all nodes; each record costs every node several messages.
-  if (toldAt != base::TimePoint{} && now - toldAt < options_.changingFor / 2) return;
-  toldAt = now;
+  auto& publishedAt = loadingPublishedAt_[instance];
+  // A record published recently is still valid at all nodes, and each record costs every node
+  // several messages.
+  if (publishedAt != base::TimePoint{} && now - publishedAt < options_.loadingStateLifetime / 2)
+    return;
+  publishedAt = now;
   publish(instance, {});
 }
 
 void WeightsCoordinator::onReplicaServing(const std::string& instance, const std::string& model,
                                           base::WeightsVersion version) {
-  changingToldAt_.erase(instance);
+  loadingPublishedAt_.erase(instance);
   publish(instance, std::to_string(version) + ' ' + model);
 }
 
@@ -130,7 +134,7 @@
   const auto replica = environment_.replicas.find(instance);
   if (replica == nullptr) return;
   if (record.value.empty()) {
-    replica->setLoadingWeights(environment_.clock.now() + options_.changingFor);
+    replica->setLoadingWeights(environment_.clock.now() + options_.loadingStateLifetime);
     return;
   }
   base::WeightsVersion version = 0;
--- a/src/node/zone_watch.h
+++ b/src/node/zone_reachability_tracker.h
@@ -1,5 +1,5 @@
 /// \file
-/// Tells from the membership whether a zone is cut off from the others.
+/// Determines from the membership whether a zone is cut off from the others.
 #pragma once
 
 #include <set>
@@ -11,11 +11,12 @@
 
 namespace covewing::node {
 
-/// Remembers the zones that live members were seen in: a zone that never had a member is not
-/// called cut off.
-class ZoneWatch final : public request::ZoneReachability {
+/// Keeps the zones in which live members have been seen, so that a zone that never had a member is
+/// not reported as cut off.
+class ZoneReachabilityTracker final : public request::ZoneReachability {
  public:
-  explicit ZoneWatch(const membership::MemberDirectory& members) : members_(members) {}
+  explicit ZoneReachabilityTracker(const membership::MemberDirectory& members)
+      : members_(members) {}
 
   bool cutOff(std::string_view homeZone) const override;
   bool reachable(std::string_view zone) const override;
--- a/tests/node/cache_store_gossip_test.cc
+++ b/tests/node/cache_store_gossip_test.cc
@@ -1,4 +1,4 @@
-// What nodes tell each other of the stores of kept cache.
+// Availability of cache stores, published to other nodes by gossip.
 #include "node/cache_store_gossip.h"
 
 #include <boost/test/unit_test.hpp>
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Gossip that reaches every subscriber at once.
+/// Gossip that delivers each record to every subscriber at once.
 class Gossip final : public membership::RecordDissemination {
  public:
   void publish(membership::GossipRecord record) override {
@@ -28,7 +28,7 @@
  public:
   explicit Directory(std::string name) {
     self_.name = std::move(name);
-    // Microseconds of a time of day, as nodes take them.
+    // Wall-clock time in microseconds, which nodes use as incarnation.
     self_.incarnation = 1'780'000'000'000'000;
   }
   const membership::Member& self() const override { return self_; }
@@ -42,30 +42,30 @@
   std::vector<membership::Member> none_;
 };
 
-struct NewsNode {
-  NewsNode(const std::string& name, Gossip& gossip)
-      : directory(name), news(directory, gossip, stores) {
+struct GossipNode {
+  GossipNode(const std::string& name, Gossip& gossip)
+      : directory(name), storeGossip(directory, gossip, stores) {
     config::RouteTableContents contents;
     config::Service service;
     service.name = "kept";
     service.cacheStore = config::CacheStore{{9, 9}, "z", 2};
     contents.services.push_back(service);
     stores.update(config::RouteTable{contents});
-    news.start();
+    storeGossip.start();
   }
   Directory directory;
   routing::CacheStores stores;
-  CacheStoreGossip news;
+  CacheStoreGossip storeGossip;
 };
 
 }  // namespace
 
 BOOST_AUTO_TEST_SUITE(CacheStoreNewsTest)
 
-BOOST_AUTO_TEST_CASE(WhatOneNodeSeesTheOthersHear) {
+BOOST_AUTO_TEST_CASE(AvailabilitySeenByOneNodeReachesTheOthers) {
   Gossip gossip;
-  NewsNode watcher("a", gossip);
-  const NewsNode other("b", gossip);
+  GossipNode watcher("a", gossip);
+  const GossipNode other("b", gossip);
   watcher.stores.setLocalAvailability("store/0.0.0.9:9", true);
   BOOST_REQUIRE(other.stores.choose(1) != nullptr);
   BOOST_TEST(!other.stores.choose(1)->localAvailability.has_value());
@@ -73,17 +73,17 @@
   BOOST_TEST((other.stores.choose(1) == nullptr));
 }
 
-BOOST_AUTO_TEST_CASE(LaterNewsHasAHigherVersionAndAKeyOfItsNode) {
+BOOST_AUTO_TEST_CASE(LaterRecordHasAHigherVersionUnderAKeyOfItsNode) {
   Gossip gossip;
-  NewsNode first("a", gossip);
-  NewsNode second("b", gossip);
+  GossipNode first("a", gossip);
+  GossipNode second("b", gossip);
   first.stores.setLocalAvailability("store/0.0.0.9:9", true);
   first.stores.setLocalAvailability("store/0.0.0.9:9", false);
   second.stores.setLocalAvailability("store/0.0.0.9:9", true);
   BOOST_TEST(gossip.records[1].version > gossip.records[0].version);
   BOOST_TEST(gossip.records[1].key == gossip.records[0].key);
   BOOST_TEST(gossip.records[2].key != gossip.records[0].key);
-  // A later start's news replaces it: the incarnation is not cut off by the counter.
+  // Records after a later start have a higher version: the counter leaves room for the incarnation.
   BOOST_TEST(gossip.records[0].version / first.directory.self().incarnation > 1000U);
 }
 
--- a/tests/node/configuration_return_test.cc
+++ b/tests/node/configuration_restore_test.cc
@@ -1,6 +1,7 @@
-// The table service came back from a copy in which operators' newest version was missing until they
-// wrote it again. A node that had not seen that version, or had just started, read the older one as
-// the newest, proved it anew every 0.8 s, and accepted the keys that the newest had taken away.
+// The table service was restored from an older backup without the operators' newest version, until
+// they had rewritten it. A node that had not received that version, or had just started, took the
+// older one as the newest, confirmed it every 0.8 s, and accepted the keys that the newest version
+// had revoked.
 #include <boost/test/unit_test.hpp>
 #include <charconv>
 
@@ -28,7 +29,7 @@
   return number;
 }
 
-/// The rows hold the numbers of versions.
+/// Rows hold version numbers.
 class NumberReader final : public ConfigurationRowReader {
  public:
   bool isRouteTable(std::string_view key) const override { return key == kTableRow; }
@@ -45,10 +46,10 @@
   }
 };
 
-/// One run of a node: what it makes of the feed, and what it tells and hears.
-struct Run {
-  Run(Fleet& fleet, FleetNode& place)
-      : node(place),
+/// One incarnation of a node, with its feed, its configuration and its gossip records.
+struct RunningNode {
+  RunningNode(Fleet& fleet, FleetNode& host)
+      : node(host),
         eras(fleet.time, log),
         service(fleet.service, node.timers, eras),
         feed({},
@@ -63,8 +64,8 @@
       configurationGossip.publishTableVersion(table.version());
     });
     configuration.setWeightsListener(
-        [this](const AnnouncedWeights& named, const AnnouncementTime&) {
-          configurationGossip.publishWeightsVersion(named);
+        [this](const AnnouncedWeights& weights, const AnnouncementTime&) {
+          configurationGossip.publishWeightsVersion(weights);
         });
     eras.onReturn([this](const config::StoreReturn&) {
       watch.onStoreReturned();
@@ -93,168 +94,168 @@
   ConfigurationGossip configurationGossip;
 };
 
-/// Two nodes that reach the service themselves, and not each other but by gossip.
-struct ReturnFixture {
-  ReturnFixture() {
+/// Two nodes that reach the service directly, and each other only by gossip.
+struct RestoreFixture {
+  RestoreFixture() {
     for (auto& node : fleet.nodes) node->silent = true;
     first.records.connect(second.records);
     fleet.service.put(kTableRow, "5");
     fleet.service.put(kWeightsRow, "1");
-    older = fleet.service.copy();
+    backup = fleet.service.copy();
     first.start();
     second.start();
     fleet.time.advance(seconds(2));
   }
-  base::Duration ageAt(const Run& run) const {
-    return fleet.time.now() - *run.configuration.confirmedAt();
+  base::Duration ageAt(const RunningNode& running) const {
+    return fleet.time.now() - *running.configuration.confirmedAt();
   }
 
   Fleet fleet{2};
-  Run first{fleet, *fleet.nodes[0]};
-  Run second{fleet, *fleet.nodes[1]};
-  config::feed_fleet::FakeService::Copy older;
+  RunningNode first{fleet, *fleet.nodes[0]};
+  RunningNode second{fleet, *fleet.nodes[1]};
+  config::feed_fleet::FakeService::Copy backup;
 };
 
 }  // namespace
 
-BOOST_FIXTURE_TEST_SUITE(ConfigurationReturnTest, ReturnFixture)
+BOOST_FIXTURE_TEST_SUITE(ConfigurationReturnTest, RestoreFixture)
 
-BOOST_AUTO_TEST_CASE(CopyWithAnOlderVersionProvesNothing) {
+BOOST_AUTO_TEST_CASE(BackupWithAnOlderVersionConfirmsNothing) {
   fleet.service.put(kTableRow, "8");
   fleet.time.advance(seconds(1));
   BOOST_TEST(first.version() == 8U);
-  const auto returnedAt = fleet.time.now();
-  fleet.service.returnFrom(older, 20);
+  const auto restoredAt = fleet.time.now();
+  fleet.service.returnFrom(backup, 20);
   fleet.time.advance(seconds(6));
   BOOST_TEST(first.version() == 8U);
   BOOST_REQUIRE(first.configuration.confirmedAt().has_value());
-  BOOST_TEST((*first.configuration.confirmedAt() <= returnedAt));
+  BOOST_TEST((*first.configuration.confirmedAt() <= restoredAt));
   fleet.service.put(kTableRow, "8");
   fleet.time.advance(seconds(1));
   BOOST_TEST((ageAt(first) < seconds(1)));
 }
 
-// The first node has seen version 8, the second has not, as the service turned it away.
+// The first node has received version 8; the second has not, since the service refused its calls.
 BOOST_AUTO_TEST_CASE(NodeThatMissedTheNewestVersionIsNotConfirmedByAnOlderOne) {
   second.service.refused = true;
-  // The call that the service holds has its answer by then.
+  // By then the service has replied to the call that it was holding.
   fleet.time.advance(seconds(1));
   fleet.service.put(kTableRow, "8");
   fleet.time.advance(milliseconds(500));
-  fleet.service.returnFrom(older, 20);
+  fleet.service.returnFrom(backup, 20);
   second.service.refused = false;
-  const auto returnedAt = fleet.time.now();
+  const auto restoredAt = fleet.time.now();
   fleet.time.advance(seconds(8));
   BOOST_TEST(second.version() == 5U);
-  BOOST_TEST((*second.configuration.confirmedAt() <= returnedAt));
+  BOOST_TEST((*second.configuration.confirmedAt() <= restoredAt));
   fleet.service.put(kTableRow, "8");
   fleet.time.advance(seconds(1));
   BOOST_TEST(second.version() == 8U);
   BOOST_TEST((ageAt(second) < seconds(1)));
 }
 
-// Nobody saw version 8 before the service lost it: the time that operators have to write it again
-// must pass before an older one counts as proved.
-BOOST_AUTO_TEST_CASE(NoVersionIsConfirmedBeforeOperatorsHadTheTimeToWriteAgain) {
+// No node received version 8 before the service lost it. The time that operators have to rewrite it
+// must pass before an older version counts as confirmed.
+BOOST_AUTO_TEST_CASE(NoVersionIsConfirmedBeforeOperatorsHadTimeToRewrite) {
   fleet.service.put(kTableRow, "8");
-  fleet.service.returnFrom(older, 20);
-  const auto returnedAt = fleet.time.now();
-  while (fleet.time.now() < returnedAt + config::kWrittenAgainWithin - milliseconds(100)) {
+  fleet.service.returnFrom(backup, 20);
+  const auto restoredAt = fleet.time.now();
+  while (fleet.time.now() < restoredAt + config::kWrittenAgainWithin - milliseconds(100)) {
     fleet.time.advance(milliseconds(50));
-    for (const auto* run : {&first, &second})
-      BOOST_TEST((*run->configuration.confirmedAt() <= returnedAt));
+    for (const auto* running : {&first, &second})
+      BOOST_TEST((*running->configuration.confirmedAt() <= restoredAt));
   }
   fleet.service.put(kTableRow, "8");
   fleet.time.advance(seconds(2));
-  for (const auto* run : {&first, &second}) {
-    BOOST_TEST(run->version() == 8U);
-    BOOST_TEST((ageAt(*run) < seconds(1)));
+  for (const auto* running : {&first, &second}) {
+    BOOST_TEST(running->version() == 8U);
+    BOOST_TEST((ageAt(*running) < seconds(1)));
   }
 }
 
-BOOST_AUTO_TEST_CASE(NodeThatHasJustStartedIsConfirmedByNothingOlderThanOthersKnow) {
+BOOST_AUTO_TEST_CASE(StartedNodeIsNotConfirmedByAVersionOlderThanPeersHave) {
   fleet.service.put(kTableRow, "8");
   fleet.time.advance(seconds(1));
-  fleet.service.returnFrom(older, 20);
+  fleet.service.returnFrom(backup, 20);
   fleet.time.advance(milliseconds(500));
-  Run fresh(fleet, *fleet.nodes[1]);
-  fresh.records.connect(first.records);
-  fresh.start();
+  RunningNode started(fleet, *fleet.nodes[1]);
+  started.records.connect(first.records);
+  started.start();
   fleet.time.advance(seconds(5));
-  BOOST_TEST(fresh.version() == 5U);
-  BOOST_TEST(!fresh.configuration.confirmedAt().has_value());
+  BOOST_TEST(started.version() == 5U);
+  BOOST_TEST(!started.configuration.confirmedAt().has_value());
   fleet.service.put(kTableRow, "8");
   fleet.time.advance(seconds(1));
-  BOOST_TEST(fresh.version() == 8U);
-  BOOST_REQUIRE(fresh.configuration.confirmedAt().has_value());
-  BOOST_TEST((ageAt(fresh) < seconds(1)));
+  BOOST_TEST(started.version() == 8U);
+  BOOST_REQUIRE(started.configuration.confirmedAt().has_value());
+  BOOST_TEST((ageAt(started) < seconds(1)));
 }
 
-// Its first answer names the new era, and nothing tells it that there was another one before it
-// hears the other nodes.
-BOOST_AUTO_TEST_CASE(ProofThatANodeMadeBeforeItWasToldOfTheReturnCountsNoMore) {
+// The first reply that the node receives is of the new era. Until it receives gossip from the other
+// nodes, it cannot detect that there was an earlier era.
+BOOST_AUTO_TEST_CASE(ConfirmationFromBeforeTheRestoreWasReportedIsDiscarded) {
   fleet.service.put(kTableRow, "8");
-  fleet.service.returnFrom(older, 20);
-  Run fresh(fleet, *fleet.nodes[1]);
-  fresh.start();
+  fleet.service.returnFrom(backup, 20);
+  RunningNode started(fleet, *fleet.nodes[1]);
+  started.start();
   fleet.time.advance(milliseconds(200));
-  BOOST_TEST(fresh.configuration.confirmedAt().has_value());
-  fresh.records.connect(first.records);
+  BOOST_TEST(started.configuration.confirmedAt().has_value());
+  started.records.connect(first.records);
   fleet.time.advance(milliseconds(900));
-  BOOST_TEST(!fresh.configuration.confirmedAt().has_value());
+  BOOST_TEST(!started.configuration.confirmedAt().has_value());
   fleet.service.put(kTableRow, "8");
   fleet.time.advance(seconds(2));
-  BOOST_REQUIRE(fresh.configuration.confirmedAt().has_value());
-  BOOST_TEST(fresh.version() == 8U);
+  BOOST_REQUIRE(started.configuration.confirmedAt().has_value());
+  BOOST_TEST(started.version() == 8U);
 }
 
-BOOST_AUTO_TEST_CASE(NodeThatStartsLongAfterTheReturnIsConfirmedAtOnce) {
-  fleet.service.returnFrom(older, 20);
+BOOST_AUTO_TEST_CASE(NodeThatStartsLongAfterTheRestoreIsConfirmedAtOnce) {
+  fleet.service.returnFrom(backup, 20);
   fleet.time.advance(seconds(30));
-  Run fresh(fleet, *fleet.nodes[1]);
-  fresh.records.connect(first.records);
-  fresh.start();
+  RunningNode started(fleet, *fleet.nodes[1]);
+  started.records.connect(first.records);
+  started.start();
   fleet.time.advance(milliseconds(200));
-  BOOST_TEST(fresh.configuration.confirmedAt().has_value());
+  BOOST_TEST(started.configuration.confirmedAt().has_value());
 }
 
-BOOST_AUTO_TEST_CASE(ServiceWithoutTheRowProvesNothing) {
+BOOST_AUTO_TEST_CASE(ServiceWithoutTheRowConfirmsNothing) {
   fleet.service.returnFrom({{}, 1}, 50);
-  const auto returnedAt = fleet.time.now();
+  const auto restoredAt = fleet.time.now();
   fleet.time.advance(seconds(6));
   BOOST_TEST(first.version() == 5U);
-  BOOST_TEST((*first.configuration.confirmedAt() <= returnedAt));
+  BOOST_TEST((*first.configuration.confirmedAt() <= restoredAt));
   fleet.service.put(kTableRow, "5");
   fleet.time.advance(seconds(1));
   BOOST_TEST((ageAt(first) < seconds(1)));
 }
 
-// Weights that others saw named count though the service has lost them, from when this node last
-// knew that they were not.
-BOOST_AUTO_TEST_CASE(WeightsThatAnotherNodeSawNamedCountWhileTheServiceLacksThem) {
+// A version that other nodes received applies although the service has lost it. Its transition
+// period counts from this node's last confirmation without it.
+BOOST_AUTO_TEST_CASE(WeightsAnnouncedToAPeerApplyWhileTheServiceLacksThem) {
   second.service.refused = true;
   fleet.time.advance(seconds(1));
-  const auto namedAt = fleet.time.now();
+  const auto announcedAt = fleet.time.now();
   fleet.service.put(kWeightsRow, "2");
   fleet.time.advance(milliseconds(500));
-  fleet.service.returnFrom(older, 20);
+  fleet.service.returnFrom(backup, 20);
   second.service.refused = false;
   fleet.time.advance(seconds(1));
   BOOST_REQUIRE(second.targets.newest(kModel) == 2U);
-  BOOST_TEST((*second.targets.startDeadline(kModel, 1) <= namedAt + seconds(8)));
+  BOOST_TEST((*second.targets.startDeadline(kModel, 1) <= announcedAt + seconds(8)));
 }
 
-// Written again after the return, they are no younger than before it.
-BOOST_AUTO_TEST_CASE(WeightsWrittenAgainAreNotDatedByACopyThatLackedThem) {
-  const auto namedAt = fleet.time.now();
+// Rewriting a version after the restore does not move its announcement time.
+BOOST_AUTO_TEST_CASE(RewrittenWeightsKeepTheirAnnouncementTime) {
+  const auto announcedAt = fleet.time.now();
   fleet.service.put(kWeightsRow, "2");
-  fleet.service.returnFrom(older, 20);
+  fleet.service.returnFrom(backup, 20);
   fleet.time.advance(milliseconds(1500));
   fleet.service.put(kWeightsRow, "2");
   fleet.time.advance(seconds(1));
-  for (const auto* run : {&first, &second}) {
-    BOOST_REQUIRE(run->targets.newest(kModel) == 2U);
-    BOOST_TEST((*run->targets.startDeadline(kModel, 1) <= namedAt + seconds(8)));
+  for (const auto* running : {&first, &second}) {
+    BOOST_REQUIRE(running->targets.newest(kModel) == 2U);
+    BOOST_TEST((*running->targets.startDeadline(kModel, 1) <= announcedAt + seconds(8)));
   }
 }
 
--- a/tests/node/node_count_test.cc
+++ b/tests/node/node_count_test.cc
@@ -11,11 +11,11 @@
 
 namespace {
 
-/// A directory of which only the number of live members matters.
+/// A directory with a settable number of live members.
 class CountedMembers final : public membership::MemberDirectory {
  public:
   explicit CountedMembers(std::size_t count) : live_(count) {}
-  void see(std::size_t count) { live_.resize(count); }
+  void setCount(std::size_t count) { live_.resize(count); }
   const membership::Member& self() const override { return live_.front(); }
   const std::vector<membership::Member>& liveMembers() const override { return live_; }
   const membership::Member* find(base::NodeId /*id*/) const override { return nullptr; }
@@ -30,23 +30,23 @@
 
 BOOST_AUTO_TEST_SUITE(NodeCountTest)
 
-BOOST_AUTO_TEST_CASE(NodesThatWereSeenLatelyCountWhileTheyAreCutOff) {
+BOOST_AUTO_TEST_CASE(RecentlySeenNodesCountWhileTheyAreUnreachable) {
   test_support::VirtualTime time;
   CountedMembers members{7};
   NodeCount count{members, time, {}};
   BOOST_TEST(count() == 8U);
   time.advance(seconds(6));
   BOOST_TEST(count() == 7U);
-  members.see(3);
+  members.setCount(3);
   time.advance(seconds(20));
   BOOST_TEST(count() == 7U);
   time.advance(seconds(11));
   BOOST_TEST(count() == 3U);
 }
 
-// Each of four nodes that were cut off when they started took itself for the only one, and the
-// whole slack of the bound on retries for its part.
-BOOST_AUTO_TEST_CASE(NodeThatHasNeverSeenAnotherAssumesOthersWhereBeingAloneIsNotTrusted) {
+// Four nodes that were cut off when they started each assumed to be the only node, and each used
+// the whole slack of the limit on retries.
+BOOST_AUTO_TEST_CASE(NodeThatHasNeverSeenAnotherAssumesOthersIfASingleNodeViewIsNotTrusted) {
   test_support::VirtualTime time;
   CountedMembers members{1};
   NodeCountOptions options;
@@ -54,7 +54,7 @@
   NodeCount count{members, time, options};
   time.advance(minutes(1));
   BOOST_TEST(count() == options.assumedNodes);
-  members.see(3);
+  members.setCount(3);
   BOOST_TEST(count() == 3U);
 }
 
--- a/tests/node/node_fixture.h
+++ b/tests/node/node_fixture.h
@@ -1,4 +1,5 @@
-// One whole node over fakes: a table service with one tenant, a machine list with two engines.
+// One complete node with fake services: a table service with one tenant and a machine list with two
+// engines.
 #pragma once
 
 #include <string>
@@ -48,7 +49,7 @@
   VirtualTime& time_;
 };
 
-/// Streams as the test drives them; polls answered with a serving engine.
+/// Streams are driven by the test; polls return the report of a serving engine.
 class PolledEngines final : public clients::EngineClient {
  public:
   explicit PolledEngines(VirtualTime& time) : time_(time) {}
@@ -61,18 +62,18 @@
   }
   void poll(const clients::BackEndAddress& /*engine*/, std::uint64_t fromSequence,
             std::function<void(std::optional<clients::EngineReport>)> callback) override {
-    answer(fromSequence, std::move(callback));
+    respond(fromSequence, std::move(callback));
   }
   void snapshot(const clients::BackEndAddress& /*engine*/,
                 std::function<void(std::optional<clients::EngineReport>)> callback) override {
-    answer(0, std::move(callback));
+    respond(0, std::move(callback));
   }
   void order(const clients::BackEndAddress& /*engine*/, clients::EngineOrder /*order*/,
              std::function<void(clients::OrderReply)> /*callback*/) override {}
 
  private:
-  void answer(std::uint64_t fromSequence,
-              std::function<void(std::optional<clients::EngineReport>)> callback) {
+  void respond(std::uint64_t fromSequence,
+               std::function<void(std::optional<clients::EngineReport>)> callback) {
     clients::EngineReport report;
     report.incarnation = 1;
     report.weights = {{"rules", 3, {}}};
@@ -84,7 +85,7 @@
   VirtualTime& time_;
 };
 
-/// Keeps the numbers of the events written.
+/// Records the written events without their fields.
 class RecordingLog final : public base::EventLog {
  public:
   std::vector<base::Event> events;
@@ -108,7 +109,7 @@
                                 applications});
   }
 
-  /// Writes the tenant's row as a committed change; `extra` are further fields of its body.
+  /// Commits the tenant's row; "{}" as `body` selects `kBody`.
   void putTenant(const std::string& body, bool retired) {
     config::TemplateRow row;
     row.name = "judges";
@@ -128,11 +129,11 @@
     return result;
   }
   std::unique_ptr<request::ActiveRequest> complete() {
-    request::CompletionRequest asked;
-    asked.bearerKey = "key";
-    asked.model = "rules";
-    asked.prompt = std::make_shared<const std::string>("may this card be played");
-    auto active = node->requests().complete(std::move(asked), sink);
+    request::CompletionRequest completion;
+    completion.bearerKey = "key";
+    completion.model = "rules";
+    completion.prompt = std::make_shared<const std::string>("may this card be played");
+    auto active = node->requests().complete(std::move(completion), sink);
     time.advance(std::chrono::milliseconds(200));
     return active;
   }
--- a/tests/node/unread_configuration_test.cc
+++ b/tests/node/unreadable_configuration_test.cc
@@ -1,6 +1,6 @@
-// A node that cannot read a version of the configuration keeps the one before it in force. Its feed
-// went on proving that it knew all rows, so that it accepted keys without end that the version it
-// could not read had taken away: what is confirmed must be what is in force.
+// A node that cannot read a version of the configuration keeps the one before it active. Its feed
+// went on confirming that it had all rows, so the node accepted keys indefinitely that the
+// unreadable version had revoked. Only the newest version may count as confirmed.
 #include <boost/test/unit_test.hpp>
 
 #include "config/feed_fleet.h"
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// The row "a" holds the number of a version; any other text cannot be read.
+/// The row "a" holds a version number; any other text cannot be read.
 class NumberReader final : public ConfigurationRowReader {
  public:
   bool isRouteTable(std::string_view key) const override { return key == "a"; }
@@ -33,8 +33,8 @@
   }
 };
 
-struct UnreadFixture {
-  UnreadFixture()
+struct UnreadableFixture {
+  UnreadableFixture()
       : configuration(reader, fleet.time, node.log, targets, node.eras),
         watch({"t"}, fleet.time, fleet.time, node.random, node.feed, configuration) {
     configuration.setWatch(watch);
@@ -53,9 +53,9 @@
 
 }  // namespace
 
-BOOST_FIXTURE_TEST_SUITE(UnreadConfigurationTest, UnreadFixture)
+BOOST_FIXTURE_TEST_SUITE(UnreadConfigurationTest, UnreadableFixture)
 
-BOOST_AUTO_TEST_CASE(OlderVersionIsNotConfirmedAnyMore) {
+BOOST_AUTO_TEST_CASE(OlderVersionIsNoLongerConfirmed) {
   BOOST_TEST((age() < seconds(1)));
   fleet.service.put("a", "a form of a later release");
   fleet.time.advance(seconds(6));
@@ -63,7 +63,7 @@
   BOOST_TEST((age() >= seconds(6)));
 }
 
-BOOST_AUTO_TEST_CASE(VersionThatCanBeReadIsConfirmedAgain) {
+BOOST_AUTO_TEST_CASE(ReadableVersionIsConfirmedAgain) {
   fleet.service.put("a", "a form of a later release");
   fleet.time.advance(seconds(6));
   fleet.service.put("a", "3");
@@ -75,12 +75,12 @@
 BOOST_AUTO_TEST_CASE(NodeThatNeverReadAVersionIsNotConfirmed) {
   fleet.service.put("a", "a form of a later release");
   fleet.time.advance(seconds(1));
-  RouteConfiguration fresh(reader, fleet.time, node.log, targets, node.eras);
-  config::TableWatch freshWatch({"t"}, fleet.time, fleet.time, node.random, node.feed, fresh);
-  fresh.setWatch(freshWatch);
-  freshWatch.start();
+  RouteConfiguration started(reader, fleet.time, node.log, targets, node.eras);
+  config::TableWatch startedWatch({"t"}, fleet.time, fleet.time, node.random, node.feed, started);
+  started.setWatch(startedWatch);
+  startedWatch.start();
   fleet.time.advance(seconds(2));
-  BOOST_TEST(!fresh.confirmedAt());
+  BOOST_TEST(!started.confirmedAt());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
