--- a/tests/platform/http_dialect_test.cc
+++ b/tests/platform/http_dialect_test.cc
@@ -36,7 +36,7 @@
 
 BOOST_AUTO_TEST_SUITE(HttpDialectTest)
 
-BOOST_AUTO_TEST_CASE(RequestIsReadWhole) {
+BOOST_AUTO_TEST_CASE(RequestIsReadCompletely) {
   const auto arrival = read(callerRequest());
   BOOST_REQUIRE(arrival.has_value());
   BOOST_TEST(arrival->request->id == "9c41d07be2a35f68");
@@ -53,7 +53,7 @@
   BOOST_TEST(arrival->lastEventId == "12");
 }
 
-BOOST_AUTO_TEST_CASE(WhatTheNodeSetsAndWhatConcernsOneConnectionDoesNotTravel) {
+BOOST_AUTO_TEST_CASE(NodeSetAndConnectionHeadersAreNotForwarded) {
   const auto arrival = read(callerRequest());
   clients::DispatchTerms terms;
   terms.expectedInstance = "i-1";
@@ -64,26 +64,26 @@
   terms.cacheSalt = "w3";
   terms.fetchFrom = base::Endpoint{0x0a000001, 80};
   terms.lastEventId = "14";
-  const auto sent = HttpDialect{}.dispatch(*arrival->request, terms);
-  BOOST_TEST(sent.method == "POST");
-  BOOST_TEST(sent.target == "/lepu270/2f?q=1");
-  BOOST_TEST(sent.body == "body");
-  BOOST_TEST(sent.header("X-Covewing-Request-Id") == "9c41d07be2a35f68");
-  BOOST_TEST(sent.header("X-Covewing-Deadline-Milliseconds") == "4321");
-  BOOST_TEST(sent.header("X-Covewing-Expected-Instance") == "i-1");
-  BOOST_TEST(sent.header("X-Covewing-Expected-Version") == "3");
-  BOOST_TEST(sent.header("X-Covewing-Tenant") == "sese880");
-  BOOST_TEST(sent.header("X-Covewing-Request-Priority") == "9");
-  BOOST_TEST(sent.header("X-Covewing-Cache-Salt") == "w3");
-  BOOST_TEST(sent.header("X-Covewing-Cache-Fetch-From") == "10.0.0.1:80");
-  BOOST_TEST(sent.header("Last-Event-Id") == "14");
-  BOOST_TEST(sent.header("X-Covewing-Model") == "daka510000");
-  BOOST_TEST(sent.header("X-Other") == "kept");
+  const auto forwarded = HttpDialect{}.dispatch(*arrival->request, terms);
+  BOOST_TEST(forwarded.method == "POST");
+  BOOST_TEST(forwarded.target == "/lepu270/2f?q=1");
+  BOOST_TEST(forwarded.body == "body");
+  BOOST_TEST(forwarded.header("X-Covewing-Request-Id") == "9c41d07be2a35f68");
+  BOOST_TEST(forwarded.header("X-Covewing-Deadline-Milliseconds") == "4321");
+  BOOST_TEST(forwarded.header("X-Covewing-Expected-Instance") == "i-1");
+  BOOST_TEST(forwarded.header("X-Covewing-Expected-Version") == "3");
+  BOOST_TEST(forwarded.header("X-Covewing-Tenant") == "sese880");
+  BOOST_TEST(forwarded.header("X-Covewing-Request-Priority") == "9");
+  BOOST_TEST(forwarded.header("X-Covewing-Cache-Salt") == "w3");
+  BOOST_TEST(forwarded.header("X-Covewing-Cache-Fetch-From") == "10.0.0.1:80");
+  BOOST_TEST(forwarded.header("Last-Event-Id") == "14");
+  BOOST_TEST(forwarded.header("X-Covewing-Model") == "daka510000");
+  BOOST_TEST(forwarded.header("X-Other") == "kept");
   for (const char* name : {"X-Api-Key", "X-Hop", "Connection"})
-    BOOST_TEST(sent.header(name).empty(), name);
+    BOOST_TEST(forwarded.header(name).empty(), name);
 }
 
-BOOST_AUTO_TEST_CASE(StatedTokensAreThoseOfThePromptAndTheLongestAnswer) {
+BOOST_AUTO_TEST_CASE(DeclaredTokensSumPromptAndMaximumOutput) {
   BOOST_TEST(read(callerRequest())->declaredTokens.value() == 1540U);
   auto withoutModel = callerRequest();
   std::erase_if(withoutModel.headers,
@@ -100,7 +100,7 @@
   BOOST_TEST(read(huge)->declaredTokens.value() == 4294967295U);
 }
 
-BOOST_AUTO_TEST_CASE(WhatOnlyTheNodeMaySetNeverTravelsFromACaller) {
+BOOST_AUTO_TEST_CASE(HeadersReservedForTheNodeAreNeverForwardedFromACaller) {
   const std::vector<std::string> forged = {"X-Covewing-Hold",
                                            "X-Covewing-Pin-Milliseconds",
                                            "X-Covewing-Cache-Backup",
@@ -119,15 +119,15 @@
     for (char& letter : otherCase) letter = static_cast<char>(std::toupper(letter));
     request.headers.push_back({otherCase, "forged"});
   }
-  const auto sent = HttpDialect{}.dispatch(*read(request)->request, {});
-  for (const auto& field : sent.headers) BOOST_TEST(field.value != "forged", field.name);
+  const auto forwarded = HttpDialect{}.dispatch(*read(request)->request, {});
+  for (const auto& field : forwarded.headers) BOOST_TEST(field.value != "forged", field.name);
 }
 
-BOOST_AUTO_TEST_CASE(ForgedHeadersAreDroppedAlsoWhereTheNodeSetsNone) {
+BOOST_AUTO_TEST_CASE(ForgedHeadersAreDroppedEvenIfTheNodeSetsNone) {
   const auto arrival = read(callerRequest());
-  const auto sent = HttpDialect{}.dispatch(*arrival->request, {});
+  const auto forwarded = HttpDialect{}.dispatch(*arrival->request, {});
   for (const char* name : {"X-Covewing-Tenant", "X-Covewing-Cache-Salt"})
-    BOOST_TEST(sent.header(name).empty(), name);
+    BOOST_TEST(forwarded.header(name).empty(), name);
 }
 
 BOOST_AUTO_TEST_CASE(MalformedHeadersAreRefused) {
@@ -149,7 +149,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(AnswerSaysWhetherItRan) {
+BOOST_AUTO_TEST_CASE(ResponseReportsWhetherTheRequestWasExecuted) {
   clients::DispatchTerms terms;
   terms.expectedInstance = "i-1";
   const HttpDialect dialect;
@@ -170,24 +170,24 @@
   BOOST_TEST(answered.headers.size() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(AnswerOfAnyStatusSaysThatTheReplicaLeaves) {
+BOOST_AUTO_TEST_CASE(ResponseOfAnyStatusReportsThatTheReplicaIsLeaving) {
   clients::DispatchTerms terms;
   terms.expectedInstance = "i-1@17";
   const HttpDialect dialect;
-  const auto leaves = [&](unsigned status, std::vector<live::HeaderField> headers) {
+  const auto isLeaving = [&](unsigned status, std::vector<live::HeaderField> headers) {
     return dialect.readAnswer({status, std::move(headers), {}}, terms).leaving;
   };
   for (const unsigned status : {200U, 404U, 421U, 429U, 500U, 503U})
-    BOOST_TEST(leaves(status, {{"server-leaving", "1"}}), status);
-  BOOST_TEST(leaves(200, {{"X-Covewing-Instance-Id", "i-1"}, {"Server-Leaving", "1"}}));
-  BOOST_TEST(leaves(200, {{"Server-Leaving", "0"}, {"Server-Leaving", "1"}}));
-  BOOST_TEST(!leaves(200, {{"Server-Leaving", "0"}}));
-  BOOST_TEST(!leaves(200, {}));
+    BOOST_TEST(isLeaving(status, {{"server-leaving", "1"}}), status);
+  BOOST_TEST(isLeaving(200, {{"X-Covewing-Instance-Id", "i-1"}, {"Server-Leaving", "1"}}));
+  BOOST_TEST(isLeaving(200, {{"Server-Leaving", "0"}, {"Server-Leaving", "1"}}));
+  BOOST_TEST(!isLeaving(200, {{"Server-Leaving", "0"}}));
+  BOOST_TEST(!isLeaving(200, {}));
   // Another replica answers at the address.
-  BOOST_TEST(!leaves(421, {{"X-Covewing-Instance-Id", "i-2"}, {"Server-Leaving", "1"}}));
+  BOOST_TEST(!isLeaving(421, {{"X-Covewing-Instance-Id", "i-2"}, {"Server-Leaving", "1"}}));
 }
 
-BOOST_AUTO_TEST_CASE(AnswerOfAnyStatusNamesTheRateLimit) {
+BOOST_AUTO_TEST_CASE(ResponseOfAnyStatusReportsTheRateLimit) {
   using clients::RateLimitNotice;
   clients::DispatchTerms terms;
   terms.expectedInstance = "i-1@17";
@@ -222,20 +222,20 @@
   BOOST_TEST((other.kind == RateLimitNotice::Kind::kNothing));
 }
 
-BOOST_AUTO_TEST_CASE(RefusalSaysForHowLongTheReplicaWantsRest) {
+BOOST_AUTO_TEST_CASE(RefusalReportsTheReplicasBackOff) {
   using std::chrono::milliseconds;
   const auto read = [](unsigned status, std::vector<live::HeaderField> headers) {
     return HttpDialect{}.readAnswer({status, std::move(headers), {}}, {});
   };
-  const auto restOf = [&](const std::string& text) {
+  const auto backOffOf = [&](const std::string& text) {
     return read(503, {{"Retry-After", text}}).rest;
   };
-  BOOST_TEST((restOf("3") == milliseconds(3000)));
-  BOOST_TEST((restOf("0.25") == milliseconds(250)));
-  BOOST_TEST((restOf("0") == milliseconds(0)));
-  BOOST_TEST((restOf("86399") == std::chrono::seconds(86399)));
-  for (const char* absurd : {"86401", "1000000000000000000000000", "inf"})
-    BOOST_TEST((restOf(absurd) == std::chrono::hours(24)), absurd);
+  BOOST_TEST((backOffOf("3") == milliseconds(3000)));
+  BOOST_TEST((backOffOf("0.25") == milliseconds(250)));
+  BOOST_TEST((backOffOf("0") == milliseconds(0)));
+  BOOST_TEST((backOffOf("86399") == std::chrono::seconds(86399)));
+  for (const char* excessive : {"86401", "1000000000000000000000000", "inf"})
+    BOOST_TEST((backOffOf(excessive) == std::chrono::hours(24)), excessive);
   for (const char* unreadable :
        {"-1", "", "soon", "nan", "3s", "1e3", "Thu, 03 Dec 2026 05:00:00 GMT"}) {
     const auto answer = read(503, {{"Retry-After", unreadable}});
@@ -253,7 +253,7 @@
   BOOST_TEST((read(500, {{"Retry-After", "3"}}).rest == milliseconds(0)));
 }
 
-BOOST_AUTO_TEST_CASE(RefusalTellsWhenToComeBack) {
+BOOST_AUTO_TEST_CASE(RefusalCarriesRetryAfter) {
   const request::RelayRefusal refusal{
       {base::ResultCode::kNodeDraining, "stopping"}, 503, std::chrono::milliseconds(250), true};
   const auto response = HttpDialect{}.refusal(refusal, "id");
--- a/tests/platform/replica_runs_test.cc
+++ b/tests/platform/replica_runs_test.cc
@@ -13,7 +13,7 @@
 
 #include "node/replica_list.h"
 #include "platform/http_dialect.h"
-#include "platform/replica_run.h"
+#include "platform/replica_instance.h"
 #include "platform/row_readers.h"
 #include "routing/replica_selector.h"
 #include "support/recording_log.h"
@@ -30,7 +30,7 @@
 const std::string kModel = "m";
 
 /// Gives no answer within the test.
-class SilentReachability final : public clients::ReachabilityClient {
+class UnresponsiveReachability final : public clients::ReachabilityClient {
  public:
   void connect(const base::Endpoint& /*address*/, base::Duration /*timeout*/,
                std::function<void(clients::Reachability)> /*callback*/) override {}
@@ -49,17 +49,19 @@
           {"sequence", 1}};
 }
 
-nlohmann::json entryOfRun(base::WeightsVersion version, std::uint64_t startedAt) {
-  auto run = entry(version);
-  run["born"] = startedAt;
-  return run;
+nlohmann::json entryOfInstance(base::WeightsVersion version, std::uint64_t startedAt) {
+  auto instanceEntry = entry(version);
+  instanceEntry["born"] = startedAt;
+  return instanceEntry;
 }
 
-struct ReplicaRunsFixture {
-  ReplicaRunsFixture() {
+struct ReplicaInstancesFixture {
+  ReplicaInstancesFixture() {
     engine.slots = 8;
     engine.cacheTokens = 100'000;
-    replicaEnds.setListener([this](const routing::LostRequests& runs) { ended.push_back(runs); });
+    crashDetector.setListener([this](const routing::LostRequests& lostRequests) {
+      terminations.push_back(lostRequests);
+    });
   }
 
   void write(const nlohmann::json& value) { writeBytes(value.dump()); }
@@ -81,11 +83,11 @@
     query.model = kModel;
     query.chain = &chain;
     query.tokens = 1300;
-    return choice.choose(query, 1, time.now());
+    return selector.choose(query, 1, time.now());
   }
 
   /// The replica's answer showed the version, and that it holds the prefix.
-  void useWith(base::WeightsVersion version) {
+  void recordServedPrefix(base::WeightsVersion version) {
     replica()->recordVersion(kModel, version);
     holders.addChain(base::engineIdOf(replica()->facts().instance),
                      routing::cacheScope(routing::cacheSalt(version, ""), kModel), chain);
@@ -93,37 +95,37 @@
 
   test_support::VirtualTime time;
   test_support::RecordingLog log;
-  SilentReachability reachability;
+  UnresponsiveReachability reachability;
   ReplicaReader reader;
   routing::ReplicaDirectory directory;
   routing::PrefixHolders holders;
-  routing::ReplicaCrashDetector replicaEnds{{}, {time, time, log, reachability}};
-  std::vector<routing::LostRequests> ended;
+  routing::ReplicaCrashDetector crashDetector{{}, {time, time, log, reachability}};
+  std::vector<routing::LostRequests> terminations;
   config::StoreEras eras{time, log};
-  node::ReplicaList list{reader, time, log, directory, holders, replicaEnds, eras};
+  node::ReplicaList list{reader, time, log, directory, holders, crashDetector, eras};
   config::EngineProfile engine;
   prefix::PartChain chain = *prefix::PartChain::parse("aa:500,bb:500,cc:200");
   base::SeededRandom random{1};
   routing::WeightsTargets targets{{std::chrono::seconds(8), std::chrono::seconds(1)}};
   routing::CacheStores stores;
   routing::FleetLoad fleet;
-  routing::ReplicaSelector choice{{directory, holders, targets, stores, fleet, "z1"}, {}, random};
+  routing::ReplicaSelector selector{{directory, holders, targets, stores, fleet, "z1"}, {}, random};
   base::Revision revision = 0;
 };
 
 }  // namespace
 
-BOOST_FIXTURE_TEST_SUITE(ReplicaRunsTest, ReplicaRunsFixture)
+BOOST_FIXTURE_TEST_SUITE(ReplicaRunsTest, ReplicaInstancesFixture)
 
-BOOST_AUTO_TEST_CASE(RestartedReplicaIsAnotherRun) {
-  write(entryOfRun(1, kFirstStart));
-  useWith(2);
+BOOST_AUTO_TEST_CASE(RestartedReplicaIsANewInstance) {
+  write(entryOfInstance(1, kFirstStart));
+  recordServedPrefix(2);
   const auto former = replica();
   BOOST_TEST(choose().version == 2U);
   BOOST_TEST(choose().matchedTokens == 1000U);
-  replicaEnds.onRequestInterrupted(former, base::RequestFingerprint{7});
+  crashDetector.onRequestInterrupted(former, base::RequestFingerprint{7});
 
-  write(entryOfRun(1, kSecondStart));
+  write(entryOfInstance(1, kSecondStart));
   BOOST_REQUIRE(replica() != nullptr);
   const auto decision = choose();
   BOOST_TEST(decision.version == 1U);
@@ -132,8 +134,8 @@
   BOOST_TEST((replica()->facts().instance != former->facts().instance));
   BOOST_TEST(directory.all().size() == 1U);
   BOOST_TEST(former->terminated());
-  BOOST_REQUIRE(ended.size() == 1U);
-  BOOST_TEST(ended[0].instance == former->facts().instance);
+  BOOST_REQUIRE(terminations.size() == 1U);
+  BOOST_TEST(terminations[0].instance == former->facts().instance);
 }
 
 // Replicas that a request crashed and that were back within a second counted as ended once however
@@ -143,46 +145,47 @@
 //     name=ReplicaEndedUnderRuns replica="replica-0" why="it had ended before"
 //
 // So one request ended 19 replicas before all nodes refused it, where three ends should tell.
-BOOST_AUTO_TEST_CASE(EachRunOfAReplicaEndsOnItsOwn) {
-  write(entryOfRun(1, kFirstStart));
-  replicaEnds.onRequestInterrupted(replica(), base::RequestFingerprint{7});
-  write(entryOfRun(1, kSecondStart));
-  replicaEnds.onRequestInterrupted(replica(), base::RequestFingerprint{7});
-  BOOST_TEST(ended.size() == 1U);
-  write(entryOfRun(1, kSecondStart + 1));
-  BOOST_REQUIRE(ended.size() == 2U);
-  BOOST_TEST((base::engineIdOf(ended[0].instance) != base::engineIdOf(ended[1].instance)));
+BOOST_AUTO_TEST_CASE(EachInstanceTerminatesOnItsOwn) {
+  write(entryOfInstance(1, kFirstStart));
+  crashDetector.onRequestInterrupted(replica(), base::RequestFingerprint{7});
+  write(entryOfInstance(1, kSecondStart));
+  crashDetector.onRequestInterrupted(replica(), base::RequestFingerprint{7});
+  BOOST_TEST(terminations.size() == 1U);
+  write(entryOfInstance(1, kSecondStart + 1));
+  BOOST_REQUIRE(terminations.size() == 2U);
+  BOOST_TEST(
+      (base::engineIdOf(terminations[0].instance) != base::engineIdOf(terminations[1].instance)));
 }
 
-BOOST_AUTO_TEST_CASE(RestartIsLoggedWithBothRuns) {
-  write(entryOfRun(1, kFirstStart));
-  write(entryOfRun(1, kFirstStart));
+BOOST_AUTO_TEST_CASE(RestartIsLoggedWithBothInstances) {
+  write(entryOfInstance(1, kFirstStart));
+  write(entryOfInstance(1, kFirstStart));
   BOOST_TEST(log.count(base::Event::kReplicaRestarted) == 0U);
-  write(entryOfRun(1, kSecondStart));
+  write(entryOfInstance(1, kSecondStart));
   BOOST_REQUIRE(log.count(base::Event::kReplicaRestarted) == 1U);
   const auto entry = std::ranges::find(log.entries, base::Event::kReplicaRestarted,
                                        &decltype(log.entries)::value_type::first);
-  BOOST_TEST(entry->second[0].value == runName(kIdentifier, kSecondStart));
-  BOOST_TEST(entry->second[1].value == runName(kIdentifier, kFirstStart));
+  BOOST_TEST(entry->second[0].value == instanceName(kIdentifier, kSecondStart));
+  BOOST_TEST(entry->second[1].value == instanceName(kIdentifier, kFirstStart));
 }
 
 // The address of a replica that had crashed answered for another one, so the replica counted as
 // ended for good, also after it had started again elsewhere.
-BOOST_AUTO_TEST_CASE(ReplicaThatEndedIsUsedAgainAfterItsRestart) {
-  write(entryOfRun(1, kFirstStart));
+BOOST_AUTO_TEST_CASE(TerminatedReplicaIsUsedAgainAfterItsRestart) {
+  write(entryOfInstance(1, kFirstStart));
   replica()->setTerminated();
   BOOST_TEST((choose().replica == nullptr));
-  auto elsewhere = entryOfRun(1, kSecondStart);
+  auto elsewhere = entryOfInstance(1, kSecondStart);
   elsewhere["address"] = "10.128.0.10:8080";
   write(elsewhere);
   BOOST_REQUIRE((choose().replica != nullptr));
   BOOST_TEST(base::toString(choose().replica->facts().endpoint) == "10.128.0.10:8080");
 }
 
-BOOST_AUTO_TEST_CASE(EntryThatChangesWithinARunKeepsWhatIsKnown) {
-  write(entryOfRun(1, kFirstStart));
-  useWith(2);
-  auto changed = entryOfRun(1, kFirstStart);
+BOOST_AUTO_TEST_CASE(EntryChangeWithinAnInstanceKeepsItsRecord) {
+  write(entryOfInstance(1, kFirstStart));
+  recordServedPrefix(2);
+  auto changed = entryOfInstance(1, kFirstStart);
   changed["state"] = "by another writer";
   write(changed);
   BOOST_TEST((choose().replica == nullptr));
@@ -194,68 +197,68 @@
 }
 
 // Its entry told of the restart 0.6 s after the new run had turned a request away.
-BOOST_AUTO_TEST_CASE(RestThatTheNewRunMayHaveAskedForOutlivesTheOldOne) {
-  write(entryOfRun(1, kFirstStart));
+BOOST_AUTO_TEST_CASE(BackOffSurvivesTheRestartOfItsReplica) {
+  write(entryOfInstance(1, kFirstStart));
   replica()->notices().startBackOff(time.now() + std::chrono::seconds(3));
-  write(entryOfRun(1, kSecondStart));
+  write(entryOfInstance(1, kSecondStart));
   BOOST_TEST((choose().replica == nullptr));
   time.advance(std::chrono::milliseconds(3001));
   BOOST_TEST((choose().replica != nullptr));
 }
 
 // Callers are promised that a run that leaves gets nothing new for the rest of its life.
-BOOST_AUTO_TEST_CASE(RunThatSaidThatItDrainsIsNotUsedAgainUntilItsRestart) {
-  write(entryOfRun(1, kFirstStart));
-  auto leaving = entryOfRun(1, kFirstStart);
-  leaving["state"] = "draining";
-  write(leaving);
-  write(entryOfRun(1, kFirstStart));
+BOOST_AUTO_TEST_CASE(DrainingInstanceIsNotUsedAgainUntilItsRestart) {
+  write(entryOfInstance(1, kFirstStart));
+  auto draining = entryOfInstance(1, kFirstStart);
+  draining["state"] = "draining";
+  write(draining);
+  write(entryOfInstance(1, kFirstStart));
   BOOST_TEST((choose().replica == nullptr));
-  write(entryOfRun(1, kSecondStart));
+  write(entryOfInstance(1, kSecondStart));
   BOOST_TEST((choose().replica != nullptr));
 }
 
-BOOST_AUTO_TEST_CASE(ReplicaThatDoesNotTellItsStartIsOneRun) {
+BOOST_AUTO_TEST_CASE(ReplicaWithoutStartTimeIsOneInstance) {
   write(entry(1));
-  useWith(2);
+  recordServedPrefix(2);
   write(entry(1));
   BOOST_TEST(replica()->facts().instance == kIdentifier);
   BOOST_TEST(choose().version == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(RowThatGoesEndsTheRunThatItNamed) {
-  write(entryOfRun(1, kFirstStart));
-  write(entryOfRun(1, kSecondStart));
-  useWith(1);
-  replicaEnds.onRequestInterrupted(replica(), base::RequestFingerprint{7});
+BOOST_AUTO_TEST_CASE(RemovedRowTerminatesItsInstance) {
+  write(entryOfInstance(1, kFirstStart));
+  write(entryOfInstance(1, kSecondStart));
+  recordServedPrefix(1);
+  crashDetector.onRequestInterrupted(replica(), base::RequestFingerprint{7});
   remove();
   BOOST_TEST(replica() == nullptr);
   BOOST_TEST(holders.size() == 0U);
-  BOOST_TEST(ended.size() == 1U);
+  BOOST_TEST(terminations.size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(EntryThatCannotBeReadNamesNoReplicaAndEndsNone) {
+BOOST_AUTO_TEST_CASE(UnreadableEntryListsNoReplicaAndTerminatesNone) {
   const std::string other = "i-other";
-  list.onRow({other, entryOfRun(1, kFirstStart).dump(), ++revision}, config::RowSource::kFeed);
-  auto unknownState = entryOfRun(1, kFirstStart);
+  list.onRow({other, entryOfInstance(1, kFirstStart).dump(), ++revision}, config::RowSource::kFeed);
+  auto unknownState = entryOfInstance(1, kFirstStart);
   unknownState["state"] = "booting";
   for (const auto& bytes : {std::string{}, std::string{"\xff\xfe"}, unknownState.dump()}) {
-    write(entryOfRun(1, kFirstStart));
-    useWith(2);
-    replicaEnds.onRequestInterrupted(directory.find(runName(kIdentifier, kFirstStart)),
-                                     base::RequestFingerprint{7});
+    write(entryOfInstance(1, kFirstStart));
+    recordServedPrefix(2);
+    crashDetector.onRequestInterrupted(directory.find(instanceName(kIdentifier, kFirstStart)),
+                                       base::RequestFingerprint{7});
     BOOST_TEST(directory.ofService(kService).size() == 2U);
     writeBytes(bytes);
     BOOST_REQUIRE(directory.ofService(kService).size() == 1U);
-    BOOST_TEST(replica()->facts().instance == runName(other, kFirstStart));
-    BOOST_TEST(ended.empty());
+    BOOST_TEST(replica()->facts().instance == instanceName(other, kFirstStart));
+    BOOST_TEST(terminations.empty());
   }
   BOOST_TEST(log.count(base::Event::kReplicaEntryRejected) == 3U);
   remove();
-  BOOST_TEST(ended.size() == 1U);
+  BOOST_TEST(terminations.size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(EntryThatIsNoReplicasGoesWithoutATrace) {
+BOOST_AUTO_TEST_CASE(RemovingAnUnreadableEntryHasNoEffect) {
   writeBytes("not an entry");
   remove();
   BOOST_TEST(directory.all().empty());
@@ -264,21 +267,21 @@
 BOOST_AUTO_TEST_CASE(ReplicaIsAddressedByItsIdentifier) {
   constexpr unsigned kMisdirected = 421;
   clients::DispatchTerms terms;
-  terms.expectedInstance = runName(kIdentifier, kSecondStart);
-  const auto sent = HttpDialect{}.dispatch({}, terms);
-  BOOST_TEST(sent.header("X-Covewing-Expected-Instance") == kIdentifier);
+  terms.expectedInstance = instanceName(kIdentifier, kSecondStart);
+  const auto forwarded = HttpDialect{}.dispatch({}, terms);
+  BOOST_TEST(forwarded.header("X-Covewing-Expected-Instance") == kIdentifier);
   live::HttpResponse answer{kMisdirected, {{"X-Covewing-Instance-Id", kIdentifier}}, {}};
   BOOST_TEST(!HttpDialect{}.readAnswer(answer, terms).otherInstance);
   answer.headers[0].value = "i-other";
   BOOST_TEST(HttpDialect{}.readAnswer(answer, terms).otherInstance);
 }
 
-BOOST_AUTO_TEST_CASE(IdentifierIsReadBackFromEveryName) {
+BOOST_AUTO_TEST_CASE(IdentifierIsRecoveredFromEveryInstanceName) {
   for (const std::string identifier : {"i-7f3a91c2", "a@b", "x@5", "@", ""}) {
-    BOOST_TEST(identifierOf(runName(identifier, kFirstStart)) == identifier);
-    BOOST_TEST(identifierOf(runName(identifier, std::nullopt)) == identifier);
+    BOOST_TEST(identifierOf(instanceName(identifier, kFirstStart)) == identifier);
+    BOOST_TEST(identifierOf(instanceName(identifier, std::nullopt)) == identifier);
   }
-  BOOST_TEST(runName("x", 5) != runName("x@5", std::nullopt));
+  BOOST_TEST(instanceName("x", 5) != instanceName("x@5", std::nullopt));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/platform/row_readers_test.cc
+++ b/tests/platform/row_readers_test.cc
@@ -70,7 +70,7 @@
 
 BOOST_AUTO_TEST_SUITE(RowReadersTest)
 
-BOOST_AUTO_TEST_CASE(ConfigurationIsReadWhole) {
+BOOST_AUTO_TEST_CASE(ConfigurationIsReadCompletely) {
   base::Reason reason;
   const auto contents = ConfigurationReader{}.readRouteTable(kConfiguration, reason);
   BOOST_REQUIRE(contents.has_value());
@@ -92,7 +92,7 @@
   BOOST_TEST(contents->tenants[0].keys.size() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(TenantsLimitIsReadInItsUnit) {
+BOOST_AUTO_TEST_CASE(TenantRateLimitIsReadInItsUnit) {
   base::Reason reason;
   const auto contents = ConfigurationReader{}.readRouteTable(kConfiguration, reason);
   BOOST_REQUIRE(contents.has_value());
@@ -124,7 +124,7 @@
              "rate_per_s must be a number of 0 or more");
 }
 
-BOOST_AUTO_TEST_CASE(KeysOfTheOperatorsTable) {
+BOOST_AUTO_TEST_CASE(OperatorTableKeysAreRecognized) {
   const ConfigurationReader reader;
   BOOST_TEST(reader.isRouteTable("config"));
   BOOST_TEST(!reader.isRouteTable("config2"));
@@ -150,7 +150,7 @@
 
 // Entries may come from another writer. One with the state "booting" was taken for a ready replica,
 // one with the slots "64" or without a state as well; all of them name no replica to use.
-BOOST_AUTO_TEST_CASE(EntryOfAnotherWriterNamesNoReplica) {
+BOOST_AUTO_TEST_CASE(EntryWithInvalidFieldsIsRejected) {
   BOOST_TEST(reasonForReplica(replicaEntry().dump()).empty());
   for (const char* field :
        {"service", "address", "zone", "version", "slots", "state", "cold_remaining_ms", "sequence"})
@@ -182,7 +182,7 @@
   BOOST_TEST(reasonWithout("models").empty());
 }
 
-BOOST_AUTO_TEST_CASE(BytesThatCannotBeReadNameNoReplica) {
+BOOST_AUTO_TEST_CASE(UnparsableBytesAreRejected) {
   for (const std::string_view bytes :
        {"", "\xff\xfe{", "{\"service\":\"\xc3\x28\"}", "[]", "7", "{\"slots\":1e999}"})
     BOOST_TEST(reasonForReplica(bytes) == "not a JSON object");
--- a/tests/platform/store_client_test.cc
+++ b/tests/platform/store_client_test.cc
@@ -21,21 +21,22 @@
     base::Reason reason;
     address = server.listen({live::kLoopback, 0}, reason).value();
     client = std::make_unique<StoreClient>(http, address);
-    client->onEra([this](base::StoreEra era, std::string_view /*source*/) { eras.push_back(era); });
+    client->onEra(
+        [this](base::StoreEra era, std::string_view /*source*/) { reportedEras.push_back(era); });
   }
 
   void handle(const live::HttpExchangePtr& exchange) {
     requests.push_back(exchange->request());
-    if (answers.empty()) {
+    if (responses.empty()) {
       exchange->abort();
       return;
     }
-    const auto [status, body] = answers.front();
-    answers.erase(answers.begin());
+    const auto [status, body] = responses.front();
+    responses.erase(responses.begin());
     live::HttpResponse response{status, {{"Content-Type", "application/json"}}, body};
-    if (!eraNames.empty()) {
-      response.headers.push_back({"Store-Era", eraNames.front()});
-      if (eraNames.size() > 1) eraNames.erase(eraNames.begin());
+    if (!eraHeaders.empty()) {
+      response.headers.push_back({"Store-Era", eraHeaders.front()});
+      if (eraHeaders.size() > 1) eraHeaders.erase(eraHeaders.begin());
     }
     exchange->respond(std::move(response));
   }
@@ -73,12 +74,12 @@
 
   boost::asio::io_context context{1};
   std::vector<live::HttpRequest> requests;
-  std::vector<std::pair<unsigned, std::string>> answers;
+  std::vector<std::pair<unsigned, std::string>> responses;
   /// What answers name as their era, one after the other, and the last of them ever after; empty:
   /// they name none.
-  std::vector<std::string> eraNames;
+  std::vector<std::string> eraHeaders;
   /// What the client told of them.
-  std::vector<base::StoreEra> eras;
+  std::vector<base::StoreEra> reportedEras;
   live::HttpServer server{
       context, {}, [this](const live::HttpExchangePtr& exchange) { handle(exchange); }};
   base::Endpoint address;
@@ -91,10 +92,10 @@
 BOOST_FIXTURE_TEST_SUITE(StoreClientTest, StoreFixture)
 
 // Rows were looked for in the feed, which tells nothing older than its history.
-BOOST_AUTO_TEST_CASE(RowsOfAKindAreReadByTheirKeysHoweverOldTheyAre) {
-  answers = {{200, R"({"ver":90,"has_more":true,"rows":[
+BOOST_AUTO_TEST_CASE(RowsWithAPrefixAreReadByKeyRegardlessOfAge) {
+  responses = {{200, R"({"ver":90,"has_more":true,"rows":[
                  {"private_key":"kind/a","ver":80,"value":"YQ=="}]})"},
-             {200, R"({"ver":91,"has_more":false,"rows":[
+               {200, R"({"ver":91,"has_more":false,"rows":[
                  {"private_key":"kind/b","ver":7,"value":"Yg=="},
                  {"private_key":"kind/c","ver":85,"value":"Yw=="}]})"}};
   const auto reply = scan(0, 2);
@@ -109,15 +110,15 @@
   BOOST_TEST(reply.revision == 80U);
 }
 
-BOOST_AUTO_TEST_CASE(RowsOfAKindThatCannotBeReadAreNotTakenForNone) {
-  answers = {{429, "{}"}};
+BOOST_AUTO_TEST_CASE(FailedScanIsNotReportedAsEmpty) {
+  responses = {{429, "{}"}};
   BOOST_TEST((scan(0, 10).status == TableStatus::kRateLimited));
-  answers = {{503, "{}"}};
+  responses = {{503, "{}"}};
   BOOST_TEST((scan(0, 10).status == TableStatus::kUnavailable));
 }
 
-BOOST_AUTO_TEST_CASE(TransactionIsWrittenAsPublished) {
-  answers = {{200, R"({"ver":412,"now_ms":51230})"}};
+BOOST_AUTO_TEST_CASE(TransactionIsEncodedInThePublishedFormat) {
+  responses = {{200, R"({"ver":412,"now_ms":51230})"}};
   const auto reply = commit({{{"owner", 0}}, {{"owner", "node-1"}, {"old", std::nullopt}}});
   BOOST_TEST((reply.status == TableStatus::kOk));
   BOOST_TEST(reply.revision == 412U);
@@ -129,23 +130,23 @@
   BOOST_TEST(body["remove"][0]["private_key"] == "old");
 }
 
-BOOST_AUTO_TEST_CASE(ConflictCarriesTheRowsAsTheyAre) {
-  answers = {{412, R"({"rows":[{"private_key":"owner","value":"bm9kZS0x","ver":9}],"ver":10})"}};
+BOOST_AUTO_TEST_CASE(ConflictCarriesTheCurrentRows) {
+  responses = {{412, R"({"rows":[{"private_key":"owner","value":"bm9kZS0x","ver":9}],"ver":10})"}};
   const auto reply = commit({{{"owner", 0}}, {}});
   BOOST_TEST((reply.status == TableStatus::kConflict));
   BOOST_TEST(reply.rows.front().value == "node-1");
   BOOST_TEST(reply.rows.front().revision == 9U);
 }
 
-BOOST_AUTO_TEST_CASE(RefusalsAndLostAnswersAreToldApart) {
-  answers = {{429, ""}, {503, ""}};
+BOOST_AUTO_TEST_CASE(RefusalsAndLostResponsesAreDistinguished) {
+  responses = {{429, ""}, {503, ""}};
   BOOST_TEST((commit({}).status == TableStatus::kRateLimited));
   BOOST_TEST((commit({}).status == TableStatus::kUnavailable));
   BOOST_TEST((commit({}).status == TableStatus::kUnknown));
 }
 
-BOOST_AUTO_TEST_CASE(FeedTellsChangesAndRemovals) {
-  answers = {{200, R"({"rows":[{"private_key":"config","value":"YQ==","ver":531},
+BOOST_AUTO_TEST_CASE(FeedDeliversChangesAndRemovals) {
+  responses = {{200, R"({"rows":[{"private_key":"config","value":"YQ==","ver":531},
       {"private_key":"x","gone":true,"ver":533}],"ver":533})"}};
   const auto reply = changes();
   BOOST_TEST((reply.status == FeedStatus::kOk));
@@ -158,10 +159,10 @@
 
 // A row whose bytes could not be read passed for one that was gone, and one whose value was no text
 // made the whole answer none, so that a node stayed without the rows beside it.
-BOOST_AUTO_TEST_CASE(RowThatCannotBeReadIsThereAndSpoilsNoOther) {
+BOOST_AUTO_TEST_CASE(UnreadableRowIsKeptAndDoesNotAffectOthers) {
   for (const char* value : {"\"*not base64*\"", "7", "null", "{}", "[1]"}) {
-    answers = {{200, std::string{R"({"rows":[{"private_key":"odd","value":)"} + value +
-                         R"(,"ver":2},{"private_key":"a","value":"YQ==","ver":3}],"ver":5})"}};
+    responses = {{200, std::string{R"({"rows":[{"private_key":"odd","value":)"} + value +
+                           R"(,"ver":2},{"private_key":"a","value":"YQ==","ver":3}],"ver":5})"}};
     const auto reply = readAll();
     BOOST_TEST((reply.status == FeedStatus::kOk));
     BOOST_REQUIRE(reply.rows.size() == 2U);
@@ -171,16 +172,16 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(LostHistoryIsTold) {
-  answers = {{410, ""}, {429, ""}, {503, ""}};
+BOOST_AUTO_TEST_CASE(LostHistoryIsReported) {
+  responses = {{410, ""}, {429, ""}, {503, ""}};
   BOOST_TEST((changes().status == FeedStatus::kHistoryGone));
   BOOST_TEST((changes().status == FeedStatus::kRateLimited));
   BOOST_TEST((changes().status == FeedStatus::kUnavailable));
   BOOST_TEST((changes().status == FeedStatus::kUnavailable));
 }
 
-BOOST_AUTO_TEST_CASE(AllPagesAreReadAndTheFirstOnesRevisionCounts) {
-  answers = {
+BOOST_AUTO_TEST_CASE(AllPagesAreReadAndTheFirstPagesRevisionIsReported) {
+  responses = {
       {200, R"({"rows":[{"private_key":"a","value":"YQ==","ver":3}],"has_more":true,"ver":5})"},
       {200, R"({"rows":[{"private_key":"b","value":"YQ==","ver":6}],"has_more":false,"ver":8})"}};
   const auto reply = readAll();
@@ -189,16 +190,16 @@
   BOOST_TEST(requests.back().target.find("source=a%01") != std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(AnswerInAnotherFormIsNoAnswer) {
-  answers = {{200, "not json"}};
+BOOST_AUTO_TEST_CASE(MalformedResponseIsTreatedAsMissing) {
+  responses = {{200, "not json"}};
   BOOST_TEST((commit({}).status == TableStatus::kUnknown));
 }
 
-BOOST_AUTO_TEST_CASE(EachAnswerTellsItsEra) {
-  eraNames = {"3", "3", "4"};
-  answers = {{503, ""},
-             {200, R"({"rows":[{"private_key":"a","value":"YQ==","ver":6}],"ver":8})"},
-             {410, ""}};
+BOOST_AUTO_TEST_CASE(EachResponseReportsItsEra) {
+  eraHeaders = {"3", "3", "4"};
+  responses = {{503, ""},
+               {200, R"({"rows":[{"private_key":"a","value":"YQ==","ver":6}],"ver":8})"},
+               {410, ""}};
   BOOST_TEST((changes().status == FeedStatus::kUnavailable));
   const auto reply = readAll();
   BOOST_TEST(reply.revision == base::revisionAt(3, 8));
@@ -206,29 +207,30 @@
   const auto gone = changes();
   BOOST_TEST((gone.status == FeedStatus::kHistoryGone));
   BOOST_TEST(base::eraOf(gone.revision) == 4U);
-  BOOST_TEST(eras == (std::vector<base::StoreEra>{3, 3, 4}), boost::test_tools::per_element());
+  BOOST_TEST(reportedEras == (std::vector<base::StoreEra>{3, 3, 4}),
+             boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(EraThatCannotBeReadIsNoAnswerAndNoLowerEra) {
+BOOST_AUTO_TEST_CASE(ResponseWithUnreadableEraIsTreatedAsMissing) {
   for (const char* name : {"-1", "x", "3x", "99999999999", "65536", "1.5"}) {
-    eraNames = {name};
-    answers = {{200, R"({"rows":[],"ver":8})"}};
+    eraHeaders = {name};
+    responses = {{200, R"({"rows":[],"ver":8})"}};
     BOOST_TEST((changes().status == FeedStatus::kUnavailable));
   }
-  BOOST_TEST(eras.empty());
+  BOOST_TEST(reportedEras.empty());
 }
 
-BOOST_AUTO_TEST_CASE(ServiceIsAskedByItsOwnNumbers) {
-  eraNames = {"3"};
-  answers = {{200, R"({"rows":[],"ver":8})"}};
+BOOST_AUTO_TEST_CASE(TransactionCarriesTheServicesOwnRevisionNumbers) {
+  eraHeaders = {"3"};
+  responses = {{200, R"({"rows":[],"ver":8})"}};
   commit({{{"a", base::revisionAt(3, 7)}}, {{"a", "value"}}});
   const auto body = json::parse(requests.back().body);
   BOOST_TEST(body["expected_revision"][0]["ver"] == 7);
 }
 
-BOOST_AUTO_TEST_CASE(PagesOfTwoErasAreNoCopy) {
-  eraNames = {"3", "4"};
-  answers = {
+BOOST_AUTO_TEST_CASE(PagesOfTwoErasAreNotCombined) {
+  eraHeaders = {"3", "4"};
+  responses = {
       {200, R"({"rows":[{"private_key":"a","value":"YQ==","ver":3}],"has_more":true,"ver":5})"},
       {200, R"({"rows":[{"private_key":"b","value":"YQ==","ver":6}],"has_more":false,"ver":8})"}};
   BOOST_TEST((readAll().status == FeedStatus::kHistoryGone));
--- a/tests/platform/store_return_test.cc
+++ b/tests/platform/store_return_test.cc
@@ -33,12 +33,12 @@
 constexpr const char* kKey = "config";
 
 /// A stand-in of the store with one table, which answers at once.
-class ReturningStore {
+class RestorableStore {
  public:
   void put(const std::string& key, const std::string& value) { rows_[key] = {value, ++version_}; }
   /// Comes back with the given rows, from when the version was `version`.
-  void returnFromCopy(std::map<std::string, std::pair<std::string, std::uint64_t>> rows,
-                      std::uint64_t version) {
+  void restoreFromBackup(std::map<std::string, std::pair<std::string, std::uint64_t>> rows,
+                         std::uint64_t version) {
     rows_ = std::move(rows);
     version_ = version;
     ++era_;
@@ -46,15 +46,15 @@
 
   void handle(const live::HttpExchangePtr& exchange) {
     const auto& target = exchange->request().target;
-    const bool whole = target.starts_with("/-/rows-get");
-    const auto after = whole ? 0 : numberIn(target, "&after=");
+    const bool readsAllRows = target.starts_with("/-/rows-get");
+    const auto after = readsAllRows ? 0 : numberIn(target, "&after=");
     live::HttpResponse response{200, {{"Content-Type", "application/json"}}, {}};
     if (era_ > 0) response.headers.push_back({"Store-Era", std::to_string(era_)});
     if (after > version_) {
       response.status = 410;
       response.body = "{}";
     } else {
-      response.body = rowsBehind(after);
+      response.body = rowsAfter(after);
     }
     exchange->respond(std::move(response));
   }
@@ -63,7 +63,7 @@
   static std::uint64_t numberIn(const std::string& target, const std::string& name) {
     return std::stoull(target.substr(target.find(name) + name.size()));
   }
-  std::string rowsBehind(std::uint64_t after) const {
+  std::string rowsAfter(std::uint64_t after) const {
     json rows = json::array();
     for (const auto& [key, row] : rows_) {
       const auto& [value, version] = row;
@@ -83,7 +83,7 @@
 };
 
 /// The only node of its fleet.
-class OneMember final : public membership::MemberDirectory {
+class SingleMemberDirectory final : public membership::MemberDirectory {
  public:
   const membership::Member& self() const override { return members_.front(); }
   const std::vector<membership::Member>& liveMembers() const override { return members_; }
@@ -95,12 +95,12 @@
   std::vector<membership::Member> members_{membership::Member{}};
 };
 
-struct NoPeers final : base::PeerTransport {
+struct DiscardingPeerTransport final : base::PeerTransport {
   void send(const base::Endpoint& /*destination*/, base::Channel /*channel*/,
             std::string /*payload*/) override {}
 };
 
-struct KnownRows final : config::TableWatchListener {
+struct RecordedRows final : config::TableWatchListener {
   void onRow(const clients::FeedRow& row, config::RowSource /*source*/) override {
     rows[row.key] = *row.value;
   }
@@ -111,26 +111,26 @@
   int current = 0;
 };
 
-struct StoreReturnFixture {
-  StoreReturnFixture() {
+struct StoreRestoreFixture {
+  StoreRestoreFixture() {
     for (int version = 1; version <= 23; ++version) store.put(kKey, std::to_string(version));
     // Entries of replicas take the version far beyond that of the configuration.
     for (int heartbeat = 0; heartbeat < 500; ++heartbeat) store.put("heartbeat", "");
     eras.onReturn([this](const config::StoreReturn&) { watch.onStoreReturned(); });
     client.onEra([this](base::StoreEra era, std::string_view source) { eras.note(era, source); });
     watch.start();
-    awaitProofs(2);
-    BOOST_TEST(known.rows[kKey] == "23");
+    awaitCurrent(2);
+    BOOST_TEST(recorded.rows[kKey] == "23");
   }
 
   /// Runs until the feed has proved the copy current so often again.
-  void awaitProofs(int proofs) {
-    const int until = known.current + proofs;
-    live::runUntil(context, [&] { return known.current >= until; });
+  void awaitCurrent(int confirmations) {
+    const int awaitedCount = recorded.current + confirmations;
+    live::runUntil(context, [&] { return recorded.current >= awaitedCount; });
   }
 
   boost::asio::io_context context{1};
-  ReturningStore store;
+  RestorableStore store;
   live::HttpServer server{
       context, {}, [this](const live::HttpExchangePtr& exchange) { store.handle(exchange); }};
   live::HttpClient http{context};
@@ -141,36 +141,36 @@
   live::AsioTimerService timers{context};
   base::SeededRandom random{1};
   test_support::RecordingLog log;
-  NoPeers peers;
-  OneMember members;
+  DiscardingPeerTransport peers;
+  SingleMemberDirectory members;
   config::StoreEras eras{clock, log};
   config::SharedFeed feed{{}, {clock, timers, random, log, peers, members, client, eras}};
-  KnownRows known;
-  config::TableWatch watch{{kTable}, clock, timers, random, feed, known};
+  RecordedRows recorded;
+  config::TableWatch watch{{kTable}, clock, timers, random, feed, recorded};
 };
 
 }  // namespace
 
-BOOST_FIXTURE_TEST_SUITE(StoreReturnTest, StoreReturnFixture)
+BOOST_FIXTURE_TEST_SUITE(StoreReturnTest, StoreRestoreFixture)
 
-BOOST_AUTO_TEST_CASE(RowsAreReadThatWereWrittenBelowThePositionOfTheFormerHistory) {
-  store.returnFromCopy({{kKey, {"20", 20}}}, 500);
+BOOST_AUTO_TEST_CASE(RowsWrittenBelowTheFormerPositionAreRead) {
+  store.restoreFromBackup({{kKey, {"20", 20}}}, 500);
   store.put(kKey, "25");
   // Others' writes take the new counter beyond the position before the node asks.
   for (int heartbeat = 0; heartbeat < 60; ++heartbeat) store.put("heartbeat", "");
-  awaitProofs(5);
-  BOOST_TEST(known.rows[kKey] == "25");
+  awaitCurrent(5);
+  BOOST_TEST(recorded.rows[kKey] == "25");
 }
 
-BOOST_AUTO_TEST_CASE(RowsAreTakenWhoseVersionsAreLowerThanThoseOfTheFormerHistory) {
-  store.returnFromCopy({{kKey, {"20", 20}}}, 30);
+BOOST_AUTO_TEST_CASE(RowsWithLowerVersionsThanBeforeAreAccepted) {
+  store.restoreFromBackup({{kKey, {"20", 20}}}, 30);
   store.put("heartbeat", "");
-  awaitProofs(5);
+  awaitCurrent(5);
   store.put("heartbeat", "again");
   store.put(kKey, "25");
-  awaitProofs(5);
-  BOOST_TEST(known.rows[kKey] == "25");
-  BOOST_TEST(known.rows["heartbeat"] == "again");
+  awaitCurrent(5);
+  BOOST_TEST(recorded.rows[kKey] == "25");
+  BOOST_TEST(recorded.rows["heartbeat"] == "again");
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/platform/weights_order_client_test.cc
+++ b/tests/platform/weights_order_client_test.cc
@@ -7,7 +7,7 @@
 
 #include "live/http_server.h"
 #include "live/http_test_client.h"
-#include "platform/replica_run.h"
+#include "platform/replica_instance.h"
 
 namespace covewing::platform {
 
@@ -23,33 +23,33 @@
 
   void handle(const live::HttpExchangePtr& exchange) {
     request = exchange->request();
-    auto headers = notices;
+    auto headers = noticeHeaders;
     headers.push_back({"Content-Type", "application/json"});
-    exchange->respond({status, std::move(headers), answer});
+    exchange->respond({status, std::move(headers), responseBody});
   }
 
   boost::asio::io_context context{1};
   live::HttpRequest request;
   unsigned status = 200;
-  std::string answer;
-  std::vector<live::HeaderField> notices;
+  std::string responseBody;
+  std::vector<live::HeaderField> noticeHeaders;
   live::HttpServer server{
       context, {}, [this](const live::HttpExchangePtr& exchange) { handle(exchange); }};
   base::Endpoint address;
   live::HttpClient http{context};
   WeightsOrderClient client{http};
-  std::string run = runName("i-7f3a91c2", kStart);
+  std::string replicaInstance = instanceName("i-7f3a91c2", kStart);
 };
 
 }  // namespace
 
 BOOST_FIXTURE_TEST_SUITE(WeightsOrderClientTest, ReplicaFixture)
 
-BOOST_AUTO_TEST_CASE(OrderIsWrittenAsPublishedForTheReplicasIdentifier) {
+BOOST_AUTO_TEST_CASE(OrderIsEncodedInThePublishedFormatWithTheReplicasIdentifier) {
   status = 202;
   std::optional<clients::WeightsOrderStatus> result;
-  client.order(address, run, {"m", 2, "node-7", 41, 3},
-               [&](clients::WeightsOrderStatus taken) { result = taken; });
+  client.order(address, replicaInstance, {"m", 2, "node-7", 41, 3},
+               [&](clients::WeightsOrderStatus orderStatus) { result = orderStatus; });
   live::runUntil(context, [&] { return result.has_value(); });
   BOOST_TEST((result == clients::WeightsOrderStatus::kAccepted));
   BOOST_TEST(request.header("X-Covewing-Expected-Instance") == "i-7f3a91c2");
@@ -60,11 +60,11 @@
   BOOST_TEST(body["expected_revision"] == 3);
 }
 
-BOOST_AUTO_TEST_CASE(ReportIsAskedOfTheReplicasIdentifier) {
-  answer = R"({"models":[{"name":"m","version":2}],"busy":true,"sequence":4,
+BOOST_AUTO_TEST_CASE(ReportRequestCarriesTheReplicasIdentifier) {
+  responseBody = R"({"models":[{"name":"m","version":2}],"busy":true,"sequence":4,
                "queued_requests":1,"running_requests":12})";
   std::optional<clients::WeightsReport> result;
-  client.report(address, run, "m",
+  client.report(address, replicaInstance, "m",
                 [&](std::optional<clients::WeightsReport> report) { result = report; });
   live::runUntil(context, [&] { return result.has_value(); });
   BOOST_TEST(request.header("X-Covewing-Expected-Instance") == "i-7f3a91c2");
@@ -74,38 +74,41 @@
 }
 
 // Also a refused order says that its replica leaves.
-BOOST_AUTO_TEST_CASE(LeavingIsHeardInAnswersToOrdersAndReports) {
-  std::vector<std::string> heard;
-  client.onNotices([&](const std::string& instance, const clients::WeightsCallNotices& said) {
-    if (!said.leaving) return;
-    heard.push_back(instance + ' ' + std::string{said.call} + ' ' + std::to_string(said.status));
-  });
+BOOST_AUTO_TEST_CASE(LeavingIsReceivedInResponsesToOrdersAndReports) {
+  std::vector<std::string> leavingNotices;
+  client.onNotices(
+      [&](const std::string& instance, const clients::WeightsCallNotices& callNotices) {
+        if (!callNotices.leaving) return;
+        leavingNotices.push_back(instance + ' ' + std::string{callNotices.call} + ' ' +
+                                 std::to_string(callNotices.status));
+      });
   const auto order = [&] {
-    bool answered = false;
-    client.order(address, run, {"m", 2, "node-7", 41, 3},
-                 [&](clients::WeightsOrderStatus /*taken*/) { answered = true; });
-    live::runUntil(context, [&] { return answered; });
+    bool responded = false;
+    client.order(address, replicaInstance, {"m", 2, "node-7", 41, 3},
+                 [&](clients::WeightsOrderStatus /*orderStatus*/) { responded = true; });
+    live::runUntil(context, [&] { return responded; });
   };
   const auto report = [&] {
-    bool answered = false;
-    client.report(address, run, "m", [&](const std::optional<clients::WeightsReport>& /*report*/) {
-      answered = true;
-    });
-    live::runUntil(context, [&] { return answered; });
+    bool responded = false;
+    client.report(
+        address, replicaInstance, "m",
+        [&](const std::optional<clients::WeightsReport>& /*report*/) { responded = true; });
+    live::runUntil(context, [&] { return responded; });
   };
   order();
   report();
-  BOOST_TEST(heard.empty());
-  notices = {{"Server-Leaving", "1"}, {"X-Covewing-Instance-Id", "i-7f3a91c2"}};
+  BOOST_TEST(leavingNotices.empty());
+  noticeHeaders = {{"Server-Leaving", "1"}, {"X-Covewing-Instance-Id", "i-7f3a91c2"}};
   status = 409;
   order();
   status = 503;
   report();
   // Another replica answers at the address.
-  notices.back().value = "i-9";
+  noticeHeaders.back().value = "i-9";
   status = 421;
   order();
-  BOOST_TEST((heard == std::vector<std::string>{run + " order 409", run + " report 503"}));
+  BOOST_TEST((leavingNotices == std::vector<std::string>{replicaInstance + " order 409",
+                                                         replicaInstance + " report 503"}));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
