--- a/tests/platform/http_dialect_test.cc
+++ b/tests/platform/http_dialect_test.cc
@@ -1,4 +1,4 @@
-// The platform's headers as the product's model, both ways.
+// Translation between the platform's headers and the request model, in both directions.
 #include "platform/http_dialect.h"
 
 #include <boost/test/unit_test.hpp>
@@ -157,17 +157,17 @@
   BOOST_TEST(shed.notExecuted);
   const auto other = dialect.readAnswer({421, {{"X-Covewing-Instance-Id", "i-2"}}, {}}, terms);
   BOOST_TEST(other.otherInstance);
-  const auto answered = dialect.readAnswer({200,
+  const auto executed = dialect.readAnswer({200,
                                             {{"X-Covewing-Server-Signature", "s"},
                                              {"X-Covewing-Weight-Versions", "7"},
                                              {"Content-Length", "5"},
                                              {"Keep-Alive", "timeout=5"}},
                                             {}},
                                            terms);
-  BOOST_TEST(!answered.notExecuted);
-  BOOST_TEST(answered.version.value() == 7U);
-  BOOST_TEST(answered.length.value() == 5U);
-  BOOST_TEST(answered.headers.size() == 2U);
+  BOOST_TEST(!executed.notExecuted);
+  BOOST_TEST(executed.version.value() == 7U);
+  BOOST_TEST(executed.length.value() == 5U);
+  BOOST_TEST(executed.headers.size() == 2U);
 }
 
 BOOST_AUTO_TEST_CASE(ResponseOfAnyStatusReportsThatTheReplicaIsLeaving) {
@@ -183,7 +183,7 @@
   BOOST_TEST(isLeaving(200, {{"Server-Leaving", "0"}, {"Server-Leaving", "1"}}));
   BOOST_TEST(!isLeaving(200, {{"Server-Leaving", "0"}}));
   BOOST_TEST(!isLeaving(200, {}));
-  // Another replica answers at the address.
+  // Another replica responds at the address.
   BOOST_TEST(!isLeaving(421, {{"X-Covewing-Instance-Id", "i-2"}, {"Server-Leaving", "1"}}));
 }
 
@@ -217,7 +217,7 @@
       read(200, {{"Server-Limit", "4"}, {"Server-Limit", "soon"}, {"Server-Limit", "3"}});
   BOOST_TEST(several.perSecond == 3.0);
   BOOST_TEST(several.unreadable);
-  // Another replica answers at the address.
+  // Another replica responds at the address.
   const auto other = read(421, {{"X-Covewing-Instance-Id", "i-2"}, {"Server-Limit", "1"}});
   BOOST_TEST((other.kind == RateLimitNotice::Kind::kNothing));
 }
@@ -238,9 +238,9 @@
     BOOST_TEST((backOffOf(excessive) == std::chrono::hours(24)), excessive);
   for (const char* unreadable :
        {"-1", "", "soon", "nan", "3s", "1e3", "Thu, 03 Dec 2026 05:00:00 GMT"}) {
-    const auto answer = read(503, {{"Retry-After", unreadable}});
-    BOOST_TEST((answer.rest == milliseconds(0)), unreadable);
-    BOOST_TEST(answer.restUnreadable, unreadable);
+    const auto refused = read(503, {{"Retry-After", unreadable}});
+    BOOST_TEST((refused.rest == milliseconds(0)), unreadable);
+    BOOST_TEST(refused.restUnreadable, unreadable);
   }
   const auto several =
       read(503, {{"Retry-After", "1"}, {"retry-after", "4"}, {"Retry-After", "2"}});
@@ -248,7 +248,7 @@
   const auto partly = read(503, {{"Retry-After", "tomorrow"}, {"Retry-After", "2"}});
   BOOST_TEST((partly.rest == milliseconds(2000)));
   BOOST_TEST(partly.restUnreadable);
-  // An answer that serves the request turns nobody away.
+  // Only responses with status 429 or 503 set a back-off; Retry-After is ignored on others.
   BOOST_TEST((read(200, {{"Retry-After", "3"}}).rest == milliseconds(0)));
   BOOST_TEST((read(500, {{"Retry-After", "3"}}).rest == milliseconds(0)));
 }
--- a/tests/platform/replica_runs_test.cc
+++ b/tests/platform/replica_runs_test.cc
@@ -1,13 +1,15 @@
-// A replica that restarts keeps its identifier in the fleet's list; only the time of its start is
-// another. It then holds nothing of before: a node that had listed it with version 2 and a cached
-// prefix read the entry
+// Guards against a restarted replica being treated as the instance before its restart. A replica
+// keeps its identifier when it restarts; only its start time ("born") changes, and its state is
+// lost. If a node has recorded version 2 and a cached prefix for the replica and then reads the
+// entry
 //
 //     {"state":"ready","models":[{"name":"m","version":1}],"sequence":1,"born":1764720006300}
 //
-// and went on to expect version 2 and 1,000 cached tokens of it, since it kept the record of the
-// run before under the same name. Its requests were refused for their version, the next order of
-// weights would have expected the orders that the run before had taken, and requests that broke off
-// with that run counted as lost by a replica that lives.
+// it must not continue with the record of the former instance, as it would if both instances had
+// the same name. Otherwise it expects version 2 and 1,000 cached tokens, so that the replica
+// refuses its requests because of their version, the next order to change weights expects the
+// number of orders that the former instance had accepted, and requests that were interrupted with
+// the former instance are attributed to a running replica.
 #include <boost/test/unit_test.hpp>
 #include <nlohmann/json.hpp>
 
@@ -29,14 +31,14 @@
 const std::string kService = "huvo11a";
 const std::string kModel = "m";
 
-/// Gives no answer within the test.
+/// Never reports a result.
 class UnresponsiveReachability final : public clients::ReachabilityClient {
  public:
   void connect(const base::Endpoint& /*address*/, base::Duration /*timeout*/,
                std::function<void(clients::Reachability)> /*callback*/) override {}
 };
 
-/// An entry as replicas write it, with the version of its weights.
+/// An entry as replicas write it, with the given version of the model's weights.
 nlohmann::json entry(base::WeightsVersion version) {
   return {{"service", kService},
           {"address", "10.128.0.9:8080"},
@@ -70,7 +72,7 @@
   }
   void remove() { list.onRemoved({kIdentifier, std::nullopt, ++revision}); }
 
-  /// The replica in use; null when none is.
+  /// The listed replica of the service; null if none is listed.
   routing::ReplicaRecordPtr replica() const {
     const auto& replicas = directory.ofService(kService);
     return replicas.empty() ? nullptr : replicas.front();
@@ -86,7 +88,7 @@
     return selector.choose(query, 1, time.now());
   }
 
-  /// The replica's answer showed the version, and that it holds the prefix.
+  /// Records that a response of the replica reported the version, and that it holds the prefix.
   void recordServedPrefix(base::WeightsVersion version) {
     replica()->recordVersion(kModel, version);
     holders.addChain(base::engineIdOf(replica()->facts().instance),
@@ -130,7 +132,7 @@
   const auto decision = choose();
   BOOST_TEST(decision.version == 1U);
   BOOST_TEST(decision.matchedTokens == 0U);
-  // Homes, ledgers, orders and news of changes are kept by this name.
+  // Home nodes, ledgers, orders and updates about changes are keyed by this name.
   BOOST_TEST((replica()->facts().instance != former->facts().instance));
   BOOST_TEST(directory.all().size() == 1U);
   BOOST_TEST(former->terminated());
@@ -138,13 +140,15 @@
   BOOST_TEST(terminations[0].instance == former->facts().instance);
 }
 
-// Replicas that a request crashed and that were back within a second counted as ended once however
-// often they ended, and each run that broke off at the next run of a replica was reported without a
-// look at its address:
+// Guards against counting several crashes of a replica as one. If a replica that a request crashed
+// restarts within a second and its next instance is taken for the former one, further crashes are
+// not counted, and each request that is interrupted on the next instance is reported as lost
+// without a check of the replica's address:
 //
 //     name=ReplicaEndedUnderRuns replica="replica-0" why="it had ended before"
 //
-// So one request ended 19 replicas before all nodes refused it, where three ends should tell.
+// One request then crashed 19 replicas before all nodes refused it, although three crashes are
+// enough to identify it.
 BOOST_AUTO_TEST_CASE(EachInstanceTerminatesOnItsOwn) {
   write(entryOfInstance(1, kFirstStart));
   crashDetector.onRequestInterrupted(replica(), base::RequestFingerprint{7});
@@ -169,8 +173,8 @@
   BOOST_TEST(entry->second[1].value == instanceName(kIdentifier, kFirstStart));
 }
 
-// The address of a replica that had crashed answered for another one, so the replica counted as
-// ended for good, also after it had started again elsewhere.
+// Guards against a crashed replica being treated as terminated for good, even after it has
+// restarted at another address, because another replica responds at its former address.
 BOOST_AUTO_TEST_CASE(TerminatedReplicaIsUsedAgainAfterItsRestart) {
   write(entryOfInstance(1, kFirstStart));
   replica()->setTerminated();
@@ -196,7 +200,8 @@
   BOOST_TEST(choose().matchedTokens == 1000U);
 }
 
-// Its entry told of the restart 0.6 s after the new run had turned a request away.
+// The entry of a restarted replica can arrive 0.6 s after the new instance has already refused a
+// request, so a back-off recorded before that may have been requested by the new instance.
 BOOST_AUTO_TEST_CASE(BackOffSurvivesTheRestartOfItsReplica) {
   write(entryOfInstance(1, kFirstStart));
   replica()->notices().startBackOff(time.now() + std::chrono::seconds(3));
@@ -206,7 +211,7 @@
   BOOST_TEST((choose().replica != nullptr));
 }
 
-// Callers are promised that a run that leaves gets nothing new for the rest of its life.
+// Callers are guaranteed that a draining instance receives no new requests until it terminates.
 BOOST_AUTO_TEST_CASE(DrainingInstanceIsNotUsedAgainUntilItsRestart) {
   write(entryOfInstance(1, kFirstStart));
   auto draining = entryOfInstance(1, kFirstStart);
@@ -270,10 +275,10 @@
   terms.expectedInstance = instanceName(kIdentifier, kSecondStart);
   const auto forwarded = HttpDialect{}.dispatch({}, terms);
   BOOST_TEST(forwarded.header("X-Covewing-Expected-Instance") == kIdentifier);
-  live::HttpResponse answer{kMisdirected, {{"X-Covewing-Instance-Id", kIdentifier}}, {}};
-  BOOST_TEST(!HttpDialect{}.readAnswer(answer, terms).otherInstance);
-  answer.headers[0].value = "i-other";
-  BOOST_TEST(HttpDialect{}.readAnswer(answer, terms).otherInstance);
+  live::HttpResponse response{kMisdirected, {{"X-Covewing-Instance-Id", kIdentifier}}, {}};
+  BOOST_TEST(!HttpDialect{}.readAnswer(response, terms).otherInstance);
+  response.headers[0].value = "i-other";
+  BOOST_TEST(HttpDialect{}.readAnswer(response, terms).otherInstance);
 }
 
 BOOST_AUTO_TEST_CASE(IdentifierIsRecoveredFromEveryInstanceName) {
--- a/tests/platform/row_readers_test.cc
+++ b/tests/platform/row_readers_test.cc
@@ -1,4 +1,4 @@
-// Rows of the platform's store as the product's model.
+// Parsing of the rows of the platform's table service.
 #include "platform/row_readers.h"
 
 #include <boost/test/unit_test.hpp>
@@ -46,7 +46,7 @@
           {"born", 1'764'720'000'000}};
 }
 
-/// The reason for which the entry names no replica; empty where it names one.
+/// The reason why the entry is rejected; empty if it is accepted.
 std::string reasonForReplica(std::string_view value) {
   base::Reason reason;
   const auto replica = ReplicaReader{}.readReplica("i-7f3a91c2", value, reason);
@@ -148,8 +148,9 @@
   BOOST_TEST(!ReplicaReader{}.readReplica("i", R"({"service":"s","address":"x"})", reason));
 }
 
-// Entries may come from another writer. One with the state "booting" was taken for a ready replica,
-// one with the slots "64" or without a state as well; all of them name no replica to use.
+// Entries may have been written by something other than a replica. Guards against an entry with the
+// state "booting", with the text "64" as its slots, or without a state being accepted as a ready
+// replica.
 BOOST_AUTO_TEST_CASE(EntryWithInvalidFieldsIsRejected) {
   BOOST_TEST(reasonForReplica(replicaEntry().dump()).empty());
   for (const char* field :
--- a/tests/platform/store_client_test.cc
+++ b/tests/platform/store_client_test.cc
@@ -1,4 +1,4 @@
-// Calls to the platform's store, against a small stand-in that answers what the test says.
+// Calls to the platform's store, against a fake store whose responses the test sets.
 #include "platform/store_client.h"
 
 #include <boost/asio/io_context.hpp>
@@ -75,10 +75,10 @@
   boost::asio::io_context context{1};
   std::vector<live::HttpRequest> requests;
   std::vector<std::pair<unsigned, std::string>> responses;
-  /// What answers name as their era, one after the other, and the last of them ever after; empty:
-  /// they name none.
+  /// Values of the era header of successive responses; the last one is repeated. If empty,
+  /// responses have no era header.
   std::vector<std::string> eraHeaders;
-  /// What the client told of them.
+  /// Eras that the client passed to its listener.
   std::vector<base::StoreEra> reportedEras;
   live::HttpServer server{
       context, {}, [this](const live::HttpExchangePtr& exchange) { handle(exchange); }};
@@ -91,7 +91,8 @@
 
 BOOST_FIXTURE_TEST_SUITE(StoreClientTest, StoreFixture)
 
-// Rows were looked for in the feed, which tells nothing older than its history.
+// Guards against reading the rows from the change feed, which delivers nothing older than its
+// history.
 BOOST_AUTO_TEST_CASE(RowsWithAPrefixAreReadByKeyRegardlessOfAge) {
   responses = {{200, R"({"ver":90,"has_more":true,"rows":[
                  {"private_key":"kind/a","ver":80,"value":"YQ=="}]})"},
@@ -157,8 +158,8 @@
   BOOST_TEST(requests.back().target == "/-/rows-feed?table=op&after=530&wait_ms=1000");
 }
 
-// A row whose bytes could not be read passed for one that was gone, and one whose value was no text
-// made the whole answer none, so that a node stayed without the rows beside it.
+// Guards against two faults: treating a row whose value cannot be decoded as removed, and
+// discarding the whole response, with all other rows, because the value of one row is not a string.
 BOOST_AUTO_TEST_CASE(UnreadableRowIsKeptAndDoesNotAffectOthers) {
   for (const char* value : {"\"*not base64*\"", "7", "null", "{}", "[1]"}) {
     responses = {{200, std::string{R"({"rows":[{"private_key":"odd","value":)"} + value +
--- a/tests/platform/store_return_test.cc
+++ b/tests/platform/store_return_test.cc
@@ -1,14 +1,14 @@
-// The table service came back from a copy that was some seconds old and gave versions out again. A
-// node asked for the changes behind its own position, of a history that was gone: once the new
-// counter had passed that position, the service answered as ever, and the rows written in between
-// were never seen. The node went on serving with keys that had been taken away, and each answer
-// proved anew that it knew all rows:
+// Guards against missing rows after the table service has been restored from a backup that is some
+// seconds old and assigns row versions a second time. A node then requests the changes after its
+// own position, which belongs to the lost history. Once the new version counter has passed that
+// position, the service responds as usual, and the node never receives the rows written in between:
+// it continues to accept revoked keys, while each response seems to confirm that it has all rows:
 //
 //     event=3010 name=ConfigurationConfirmed version="23" revision="531" age_ms="12"
 //     (the operators had written version 25, as revision 528 of the new history)
 //
-// Where the counter lay behind the position, the service said 410, the node read all rows, and then
-// passed over each whose version was lower than the one that it had known.
+// If the counter is still below the position, the service responds with 410. The node then reads
+// all rows, and must not skip those whose versions are lower than the ones it received before.
 #include <boost/asio/io_context.hpp>
 #include <boost/test/unit_test.hpp>
 #include <map>
@@ -32,11 +32,11 @@
 constexpr const char* kTable = "op";
 constexpr const char* kKey = "config";
 
-/// A stand-in of the store with one table, which answers at once.
+/// Fake store with one table, which responds at once.
 class RestorableStore {
  public:
   void put(const std::string& key, const std::string& value) { rows_[key] = {value, ++version_}; }
-  /// Comes back with the given rows, from when the version was `version`.
+  /// Restores the given rows from a backup that was made when the table had the version `version`.
   void restoreFromBackup(std::map<std::string, std::pair<std::string, std::uint64_t>> rows,
                          std::uint64_t version) {
     rows_ = std::move(rows);
@@ -82,7 +82,7 @@
   unsigned era_ = 0;
 };
 
-/// The only node of its fleet.
+/// Directory of a fleet that consists of this node only.
 class SingleMemberDirectory final : public membership::MemberDirectory {
  public:
   const membership::Member& self() const override { return members_.front(); }
@@ -114,7 +114,7 @@
 struct StoreRestoreFixture {
   StoreRestoreFixture() {
     for (int version = 1; version <= 23; ++version) store.put(kKey, std::to_string(version));
-    // Entries of replicas take the version far beyond that of the configuration.
+    // Heartbeat rows of replicas raise the table's version far above that of the configuration row.
     for (int heartbeat = 0; heartbeat < 500; ++heartbeat) store.put("heartbeat", "");
     eras.onReturn([this](const config::StoreReturn&) { watch.onStoreReturned(); });
     client.onEra([this](base::StoreEra era, std::string_view source) { eras.note(era, source); });
@@ -123,7 +123,7 @@
     BOOST_TEST(recorded.rows[kKey] == "23");
   }
 
-  /// Runs until the feed has proved the copy current so often again.
+  /// Runs until the feed has confirmed that many more times that the recorded rows are current.
   void awaitCurrent(int confirmations) {
     const int awaitedCount = recorded.current + confirmations;
     live::runUntil(context, [&] { return recorded.current >= awaitedCount; });
@@ -156,7 +156,7 @@
 BOOST_AUTO_TEST_CASE(RowsWrittenBelowTheFormerPositionAreRead) {
   store.restoreFromBackup({{kKey, {"20", 20}}}, 500);
   store.put(kKey, "25");
-  // Others' writes take the new counter beyond the position before the node asks.
+  // Writes of others raise the new counter above the node's position before its next request.
   for (int heartbeat = 0; heartbeat < 60; ++heartbeat) store.put("heartbeat", "");
   awaitCurrent(5);
   BOOST_TEST(recorded.rows[kKey] == "25");
--- a/tests/platform/weights_order_client_test.cc
+++ b/tests/platform/weights_order_client_test.cc
@@ -1,4 +1,4 @@
-// Orders and reports as replicas take them, against a small stand-in.
+// Format of orders and reports, against a fake replica.
 #include "platform/weights_order_client.h"
 
 #include <boost/asio/io_context.hpp>
@@ -73,7 +73,7 @@
   BOOST_TEST(result->busy);
 }
 
-// Also a refused order says that its replica leaves.
+// The response to a refused order also reports that the replica is leaving.
 BOOST_AUTO_TEST_CASE(LeavingIsReceivedInResponsesToOrdersAndReports) {
   std::vector<std::string> leavingNotices;
   client.onNotices(
@@ -103,7 +103,7 @@
   order();
   status = 503;
   report();
-  // Another replica answers at the address.
+  // Another replica responds at the address.
   noticeHeaders.back().value = "i-9";
   status = 421;
   order();
