--- a/tests/platform/replica_runs_test.cc
+++ b/tests/platform/replica_runs_test.cc
@@ -1,19 +1,21 @@
-// A replica that restarts keeps its identifier in the fleet's list; only the time of its start is
-// another. It then holds nothing of before: a node that had listed it with version 2 and a cached
-// prefix read the entry
+// Guards against a restarted replica being treated as the instance before its restart. A replica
+// keeps its identifier when it restarts; only its start time ("born") changes, and its state is
+// lost. If a node has recorded version 2 and a cached prefix for the replica and then reads the
+// entry
 //
 //     {"state":"ready","models":[{"name":"m","version":1}],"sequence":1,"born":1764720006300}
 //
-// and went on to expect version 2 and 1,000 cached tokens of it, since it kept the record of the
-// run before under the same name. Its requests were refused for their version, the next order of
-// weights would have expected the orders that the run before had taken, and requests that broke off
-// with that run counted as lost by a replica that lives.
+// it must not continue with the record of the former instance, as it would if both instances had
+// the same name. Otherwise it expects version 2 and 1,000 cached tokens, so that the replica
+// refuses its requests because of their version, the next order to change weights expects the
+// number of orders that the former instance had accepted, and requests that were interrupted with
+// the former instance are attributed to a running replica.
 #include <boost/test/unit_test.hpp>
 #include <nlohmann/json.hpp>
 
 #include "node/replica_list.h"
 #include "platform/http_dialect.h"
-#include "platform/replica_run.h"
+#include "platform/replica_instance.h"
 #include "platform/row_readers.h"
 #include "routing/replica_selector.h"
 #include "support/recording_log.h"
@@ -29,14 +31,14 @@
 const std::string kService = "huvo11a";
 const std::string kModel = "m";
 
-/// Gives no answer within the test.
-class SilentReachability final : public clients::ReachabilityClient {
+/// Never reports a result.
+class UnresponsiveReachability final : public clients::ReachabilityClient {
  public:
   void connect(const base::Endpoint& /*address*/, base::Duration /*timeout*/,
                std::function<void(clients::Reachability)> /*callback*/) override {}
 };
 
-/// An entry as replicas write it, with the version of its weights.
+/// An entry as replicas write it, with the given version of the model's weights.
 nlohmann::json entry(base::WeightsVersion version) {
   return {{"service", kService},
           {"address", "10.128.0.9:8080"},
@@ -49,17 +51,19 @@
           {"sequence", 1}};
 }
 
-nlohmann::json entryOfRun(base::WeightsVersion version, std::uint64_t startedAt) {
-  auto run = entry(version);
-  run["born"] = startedAt;
-  return run;
+nlohmann::json entryOfInstance(base::WeightsVersion version, std::uint64_t startedAt) {
+  auto instanceEntry = entry(version);
+  instanceEntry["born"] = startedAt;
+  return instanceEntry;
 }
 
-struct ReplicaRunsFixture {
-  ReplicaRunsFixture() {
+struct ReplicaInstancesFixture {
+  ReplicaInstancesFixture() {
     engine.slots = 8;
     engine.cacheTokens = 100'000;
-    replicaEnds.setListener([this](const routing::LostRequests& runs) { ended.push_back(runs); });
+    crashDetector.setListener([this](const routing::LostRequests& lostRequests) {
+      terminations.push_back(lostRequests);
+    });
   }
 
   void write(const nlohmann::json& value) { writeBytes(value.dump()); }
@@ -68,7 +72,7 @@
   }
   void remove() { list.onRemoved({kIdentifier, std::nullopt, ++revision}); }
 
-  /// The replica in use; null when none is.
+  /// The listed replica of the service; null if none is listed.
   routing::ReplicaRecordPtr replica() const {
     const auto& replicas = directory.ofService(kService);
     return replicas.empty() ? nullptr : replicas.front();
@@ -81,11 +85,11 @@
     query.model = kModel;
     query.chain = &chain;
     query.tokens = 1300;
-    return choice.choose(query, 1, time.now());
+    return selector.choose(query, 1, time.now());
   }
 
-  /// The replica's answer showed the version, and that it holds the prefix.
-  void useWith(base::WeightsVersion version) {
+  /// Records that a response of the replica reported the version, and that it holds the prefix.
+  void recordServedPrefix(base::WeightsVersion version) {
     replica()->recordVersion(kModel, version);
     holders.addChain(base::engineIdOf(replica()->facts().instance),
                      routing::cacheScope(routing::cacheSalt(version, ""), kModel), chain);
@@ -93,96 +97,99 @@
 
   test_support::VirtualTime time;
   test_support::RecordingLog log;
-  SilentReachability reachability;
+  UnresponsiveReachability reachability;
   ReplicaReader reader;
   routing::ReplicaDirectory directory;
   routing::PrefixHolders holders;
-  routing::ReplicaCrashDetector replicaEnds{{}, {time, time, log, reachability}};
-  std::vector<routing::LostRequests> ended;
+  routing::ReplicaCrashDetector crashDetector{{}, {time, time, log, reachability}};
+  std::vector<routing::LostRequests> terminations;
   config::StoreEras eras{time, log};
-  node::ReplicaList list{reader, time, log, directory, holders, replicaEnds, eras};
+  node::ReplicaList list{reader, time, log, directory, holders, crashDetector, eras};
   config::EngineProfile engine;
   prefix::PartChain chain = *prefix::PartChain::parse("aa:500,bb:500,cc:200");
   base::SeededRandom random{1};
   routing::WeightsTargets targets{{std::chrono::seconds(8), std::chrono::seconds(1)}};
   routing::CacheStores stores;
   routing::FleetLoad fleet;
-  routing::ReplicaSelector choice{{directory, holders, targets, stores, fleet, "z1"}, {}, random};
+  routing::ReplicaSelector selector{{directory, holders, targets, stores, fleet, "z1"}, {}, random};
   base::Revision revision = 0;
 };
 
 }  // namespace
 
-BOOST_FIXTURE_TEST_SUITE(ReplicaRunsTest, ReplicaRunsFixture)
+BOOST_FIXTURE_TEST_SUITE(ReplicaRunsTest, ReplicaInstancesFixture)
 
-BOOST_AUTO_TEST_CASE(RestartedReplicaIsAnotherRun) {
-  write(entryOfRun(1, kFirstStart));
-  useWith(2);
+BOOST_AUTO_TEST_CASE(RestartedReplicaIsANewInstance) {
+  write(entryOfInstance(1, kFirstStart));
+  recordServedPrefix(2);
   const auto former = replica();
   BOOST_TEST(choose().version == 2U);
   BOOST_TEST(choose().matchedTokens == 1000U);
-  replicaEnds.onRequestInterrupted(former, base::RequestFingerprint{7});
+  crashDetector.onRequestInterrupted(former, base::RequestFingerprint{7});
 
-  write(entryOfRun(1, kSecondStart));
+  write(entryOfInstance(1, kSecondStart));
   BOOST_REQUIRE(replica() != nullptr);
   const auto decision = choose();
   BOOST_TEST(decision.version == 1U);
   BOOST_TEST(decision.matchedTokens == 0U);
-  // Homes, ledgers, orders and news of changes are kept by this name.
+  // Home nodes, ledgers, orders and updates about changes are keyed by this name.
   BOOST_TEST((replica()->facts().instance != former->facts().instance));
   BOOST_TEST(directory.all().size() == 1U);
   BOOST_TEST(former->terminated());
-  BOOST_REQUIRE(ended.size() == 1U);
-  BOOST_TEST(ended[0].instance == former->facts().instance);
+  BOOST_REQUIRE(terminations.size() == 1U);
+  BOOST_TEST(terminations[0].instance == former->facts().instance);
 }
 
-// Replicas that a request crashed and that were back within a second counted as ended once however
-// often they ended, and each run that broke off at the next run of a replica was reported without a
-// look at its address:
+// Guards against counting several crashes of a replica as one. If a replica that a request crashed
+// restarts within a second and its next instance is taken for the former one, further crashes are
+// not counted, and each request that is interrupted on the next instance is reported as lost
+// without a check of the replica's address:
 //
 //     name=ReplicaEndedUnderRuns replica="replica-0" why="it had ended before"
 //
-// So one request ended 19 replicas before all nodes refused it, where three ends should tell.
-BOOST_AUTO_TEST_CASE(EachRunOfAReplicaEndsOnItsOwn) {
-  write(entryOfRun(1, kFirstStart));
-  replicaEnds.onRequestInterrupted(replica(), base::RequestFingerprint{7});
-  write(entryOfRun(1, kSecondStart));
-  replicaEnds.onRequestInterrupted(replica(), base::RequestFingerprint{7});
-  BOOST_TEST(ended.size() == 1U);
-  write(entryOfRun(1, kSecondStart + 1));
-  BOOST_REQUIRE(ended.size() == 2U);
-  BOOST_TEST((base::engineIdOf(ended[0].instance) != base::engineIdOf(ended[1].instance)));
+// One request then crashed 19 replicas before all nodes refused it, although three crashes are
+// enough to identify it.
+BOOST_AUTO_TEST_CASE(EachInstanceTerminatesOnItsOwn) {
+  write(entryOfInstance(1, kFirstStart));
+  crashDetector.onRequestInterrupted(replica(), base::RequestFingerprint{7});
+  write(entryOfInstance(1, kSecondStart));
+  crashDetector.onRequestInterrupted(replica(), base::RequestFingerprint{7});
+  BOOST_TEST(terminations.size() == 1U);
+  write(entryOfInstance(1, kSecondStart + 1));
+  BOOST_REQUIRE(terminations.size() == 2U);
+  BOOST_TEST(
+      (base::engineIdOf(terminations[0].instance) != base::engineIdOf(terminations[1].instance)));
 }
 
-BOOST_AUTO_TEST_CASE(RestartIsLoggedWithBothRuns) {
-  write(entryOfRun(1, kFirstStart));
-  write(entryOfRun(1, kFirstStart));
+BOOST_AUTO_TEST_CASE(RestartIsLoggedWithBothInstances) {
+  write(entryOfInstance(1, kFirstStart));
+  write(entryOfInstance(1, kFirstStart));
   BOOST_TEST(log.count(base::Event::kReplicaRestarted) == 0U);
-  write(entryOfRun(1, kSecondStart));
+  write(entryOfInstance(1, kSecondStart));
   BOOST_REQUIRE(log.count(base::Event::kReplicaRestarted) == 1U);
   const auto entry = std::ranges::find(log.entries, base::Event::kReplicaRestarted,
                                        &decltype(log.entries)::value_type::first);
-  BOOST_TEST(entry->second[0].value == runName(kIdentifier, kSecondStart));
-  BOOST_TEST(entry->second[1].value == runName(kIdentifier, kFirstStart));
+  BOOST_TEST(entry->second[0].value == instanceName(kIdentifier, kSecondStart));
+  BOOST_TEST(entry->second[1].value == instanceName(kIdentifier, kFirstStart));
 }
 
-// The address of a replica that had crashed answered for another one, so the replica counted as
-// ended for good, also after it had started again elsewhere.
-BOOST_AUTO_TEST_CASE(ReplicaThatEndedIsUsedAgainAfterItsRestart) {
-  write(entryOfRun(1, kFirstStart));
+// Guards against a crashed replica being treated as terminated for good, even after it has
+// restarted at another address, because another replica responds at its former address.
+BOOST_AUTO_TEST_CASE(TerminatedReplicaIsUsedAgainAfterItsRestart) {
+  write(entryOfInstance(1, kFirstStart));
   replica()->setTerminated();
   BOOST_TEST((choose().replica == nullptr));
-  auto elsewhere = entryOfRun(1, kSecondStart);
+  auto elsewhere = entryOfInstance(1, kSecondStart);
   elsewhere["address"] = "10.128.0.10:8080";
   write(elsewhere);
   BOOST_REQUIRE((choose().replica != nullptr));
   BOOST_TEST(base::toString(choose().replica->facts().endpoint) == "10.128.0.10:8080");
 }
 
-BOOST_AUTO_TEST_CASE(EntryThatChangesWithinARunKeepsWhatIsKnown) {
-  write(entryOfRun(1, kFirstStart));
-  useWith(2);
-  auto changed = entryOfRun(1, kFirstStart);
+BOOST_AUTO_TEST_CASE(EntryChangeWithinAnInstanceKeepsItsRecord) {
+  write(entryOfInstance(1, kFirstStart));
+  recordServedPrefix(2);
+  auto changed = entryOfInstance(1, kFirstStart);
   changed["state"] = "by another writer";
   write(changed);
   BOOST_TEST((choose().replica == nullptr));
@@ -193,69 +200,70 @@
   BOOST_TEST(choose().matchedTokens == 1000U);
 }
 
-// Its entry told of the restart 0.6 s after the new run had turned a request away.
-BOOST_AUTO_TEST_CASE(RestThatTheNewRunMayHaveAskedForOutlivesTheOldOne) {
-  write(entryOfRun(1, kFirstStart));
+// The entry of a restarted replica can arrive 0.6 s after the new instance has already refused a
+// request, so a back-off recorded before that may have been requested by the new instance.
+BOOST_AUTO_TEST_CASE(BackOffSurvivesTheRestartOfItsReplica) {
+  write(entryOfInstance(1, kFirstStart));
   replica()->notices().startBackOff(time.now() + std::chrono::seconds(3));
-  write(entryOfRun(1, kSecondStart));
+  write(entryOfInstance(1, kSecondStart));
   BOOST_TEST((choose().replica == nullptr));
   time.advance(std::chrono::milliseconds(3001));
   BOOST_TEST((choose().replica != nullptr));
 }
 
-// Callers are promised that a run that leaves gets nothing new for the rest of its life.
-BOOST_AUTO_TEST_CASE(RunThatSaidThatItDrainsIsNotUsedAgainUntilItsRestart) {
-  write(entryOfRun(1, kFirstStart));
-  auto leaving = entryOfRun(1, kFirstStart);
-  leaving["state"] = "draining";
-  write(leaving);
-  write(entryOfRun(1, kFirstStart));
+// Callers are guaranteed that a draining instance receives no new requests until it terminates.
+BOOST_AUTO_TEST_CASE(DrainingInstanceIsNotUsedAgainUntilItsRestart) {
+  write(entryOfInstance(1, kFirstStart));
+  auto draining = entryOfInstance(1, kFirstStart);
+  draining["state"] = "draining";
+  write(draining);
+  write(entryOfInstance(1, kFirstStart));
   BOOST_TEST((choose().replica == nullptr));
-  write(entryOfRun(1, kSecondStart));
+  write(entryOfInstance(1, kSecondStart));
   BOOST_TEST((choose().replica != nullptr));
 }
 
-BOOST_AUTO_TEST_CASE(ReplicaThatDoesNotTellItsStartIsOneRun) {
+BOOST_AUTO_TEST_CASE(ReplicaWithoutStartTimeIsOneInstance) {
   write(entry(1));
-  useWith(2);
+  recordServedPrefix(2);
   write(entry(1));
   BOOST_TEST(replica()->facts().instance == kIdentifier);
   BOOST_TEST(choose().version == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(RowThatGoesEndsTheRunThatItNamed) {
-  write(entryOfRun(1, kFirstStart));
-  write(entryOfRun(1, kSecondStart));
-  useWith(1);
-  replicaEnds.onRequestInterrupted(replica(), base::RequestFingerprint{7});
+BOOST_AUTO_TEST_CASE(RemovedRowTerminatesItsInstance) {
+  write(entryOfInstance(1, kFirstStart));
+  write(entryOfInstance(1, kSecondStart));
+  recordServedPrefix(1);
+  crashDetector.onRequestInterrupted(replica(), base::RequestFingerprint{7});
   remove();
   BOOST_TEST(replica() == nullptr);
   BOOST_TEST(holders.size() == 0U);
-  BOOST_TEST(ended.size() == 1U);
+  BOOST_TEST(terminations.size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(EntryThatCannotBeReadNamesNoReplicaAndEndsNone) {
+BOOST_AUTO_TEST_CASE(UnreadableEntryListsNoReplicaAndTerminatesNone) {
   const std::string other = "i-other";
-  list.onRow({other, entryOfRun(1, kFirstStart).dump(), ++revision}, config::RowSource::kFeed);
-  auto unknownState = entryOfRun(1, kFirstStart);
+  list.onRow({other, entryOfInstance(1, kFirstStart).dump(), ++revision}, config::RowSource::kFeed);
+  auto unknownState = entryOfInstance(1, kFirstStart);
   unknownState["state"] = "booting";
   for (const auto& bytes : {std::string{}, std::string{"\xff\xfe"}, unknownState.dump()}) {
-    write(entryOfRun(1, kFirstStart));
-    useWith(2);
-    replicaEnds.onRequestInterrupted(directory.find(runName(kIdentifier, kFirstStart)),
-                                     base::RequestFingerprint{7});
+    write(entryOfInstance(1, kFirstStart));
+    recordServedPrefix(2);
+    crashDetector.onRequestInterrupted(directory.find(instanceName(kIdentifier, kFirstStart)),
+                                       base::RequestFingerprint{7});
     BOOST_TEST(directory.ofService(kService).size() == 2U);
     writeBytes(bytes);
     BOOST_REQUIRE(directory.ofService(kService).size() == 1U);
-    BOOST_TEST(replica()->facts().instance == runName(other, kFirstStart));
-    BOOST_TEST(ended.empty());
+    BOOST_TEST(replica()->facts().instance == instanceName(other, kFirstStart));
+    BOOST_TEST(terminations.empty());
   }
   BOOST_TEST(log.count(base::Event::kReplicaEntryRejected) == 3U);
   remove();
-  BOOST_TEST(ended.size() == 1U);
+  BOOST_TEST(terminations.size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(EntryThatIsNoReplicasGoesWithoutATrace) {
+BOOST_AUTO_TEST_CASE(RemovingAnUnreadableEntryHasNoEffect) {
   writeBytes("not an entry");
   remove();
   BOOST_TEST(directory.all().empty());
@@ -264,21 +272,21 @@
 BOOST_AUTO_TEST_CASE(ReplicaIsAddressedByItsIdentifier) {
   constexpr unsigned kMisdirected = 421;
   clients::DispatchTerms terms;
-  terms.expectedInstance = runName(kIdentifier, kSecondStart);
-  const auto sent = HttpDialect{}.dispatch({}, terms);
-  BOOST_TEST(sent.header("X-Covewing-Expected-Instance") == kIdentifier);
-  live::HttpResponse answer{kMisdirected, {{"X-Covewing-Instance-Id", kIdentifier}}, {}};
-  BOOST_TEST(!HttpDialect{}.readAnswer(answer, terms).otherInstance);
-  answer.headers[0].value = "i-other";
-  BOOST_TEST(HttpDialect{}.readAnswer(answer, terms).otherInstance);
+  terms.expectedInstance = instanceName(kIdentifier, kSecondStart);
+  const auto forwarded = HttpDialect{}.dispatch({}, terms);
+  BOOST_TEST(forwarded.header("X-Covewing-Expected-Instance") == kIdentifier);
+  live::HttpResponse response{kMisdirected, {{"X-Covewing-Instance-Id", kIdentifier}}, {}};
+  BOOST_TEST(!HttpDialect{}.readAnswer(response, terms).otherInstance);
+  response.headers[0].value = "i-other";
+  BOOST_TEST(HttpDialect{}.readAnswer(response, terms).otherInstance);
 }
 
-BOOST_AUTO_TEST_CASE(IdentifierIsReadBackFromEveryName) {
+BOOST_AUTO_TEST_CASE(IdentifierIsRecoveredFromEveryInstanceName) {
   for (const std::string identifier : {"i-7f3a91c2", "a@b", "x@5", "@", ""}) {
-    BOOST_TEST(identifierOf(runName(identifier, kFirstStart)) == identifier);
-    BOOST_TEST(identifierOf(runName(identifier, std::nullopt)) == identifier);
+    BOOST_TEST(identifierOf(instanceName(identifier, kFirstStart)) == identifier);
+    BOOST_TEST(identifierOf(instanceName(identifier, std::nullopt)) == identifier);
   }
-  BOOST_TEST(runName("x", 5) != runName("x@5", std::nullopt));
+  BOOST_TEST(instanceName("x", 5) != instanceName("x@5", std::nullopt));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/platform/store_return_test.cc
+++ b/tests/platform/store_return_test.cc
@@ -1,14 +1,14 @@
-// The table service came back from a copy that was some seconds old and gave versions out again. A
-// node asked for the changes behind its own position, of a history that was gone: once the new
-// counter had passed that position, the service answered as ever, and the rows written in between
-// were never seen. The node went on serving with keys that had been taken away, and each answer
-// proved anew that it knew all rows:
+// Guards against missing rows after the table service has been restored from a backup that is some
+// seconds old and assigns row versions a second time. A node then requests the changes after its
+// own position, which belongs to the lost history. Once the new version counter has passed that
+// position, the service responds as usual, and the node never receives the rows written in between:
+// it continues to accept revoked keys, while each response seems to confirm that it has all rows:
 //
 //     event=3010 name=ConfigurationConfirmed version="23" revision="531" age_ms="12"
 //     (the operators had written version 25, as revision 528 of the new history)
 //
-// Where the counter lay behind the position, the service said 410, the node read all rows, and then
-// passed over each whose version was lower than the one that it had known.
+// If the counter is still below the position, the service responds with 410. The node then reads
+// all rows, and must not skip those whose versions are lower than the ones it received before.
 #include <boost/asio/io_context.hpp>
 #include <boost/test/unit_test.hpp>
 #include <map>
@@ -32,13 +32,13 @@
 constexpr const char* kTable = "op";
 constexpr const char* kKey = "config";
 
-/// A stand-in of the store with one table, which answers at once.
-class ReturningStore {
+/// Fake store with one table, which responds at once.
+class RestorableStore {
  public:
   void put(const std::string& key, const std::string& value) { rows_[key] = {value, ++version_}; }
-  /// Comes back with the given rows, from when the version was `version`.
-  void returnFromCopy(std::map<std::string, std::pair<std::string, std::uint64_t>> rows,
-                      std::uint64_t version) {
+  /// Restores the given rows from a backup that was made when the table had the version `version`.
+  void restoreFromBackup(std::map<std::string, std::pair<std::string, std::uint64_t>> rows,
+                         std::uint64_t version) {
     rows_ = std::move(rows);
     version_ = version;
     ++era_;
@@ -46,15 +46,15 @@
 
   void handle(const live::HttpExchangePtr& exchange) {
     const auto& target = exchange->request().target;
-    const bool whole = target.starts_with("/-/rows-get");
-    const auto after = whole ? 0 : numberIn(target, "&after=");
+    const bool readsAllRows = target.starts_with("/-/rows-get");
+    const auto after = readsAllRows ? 0 : numberIn(target, "&after=");
     live::HttpResponse response{200, {{"Content-Type", "application/json"}}, {}};
     if (era_ > 0) response.headers.push_back({"Store-Era", std::to_string(era_)});
     if (after > version_) {
       response.status = 410;
       response.body = "{}";
     } else {
-      response.body = rowsBehind(after);
+      response.body = rowsAfter(after);
     }
     exchange->respond(std::move(response));
   }
@@ -63,7 +63,7 @@
   static std::uint64_t numberIn(const std::string& target, const std::string& name) {
     return std::stoull(target.substr(target.find(name) + name.size()));
   }
-  std::string rowsBehind(std::uint64_t after) const {
+  std::string rowsAfter(std::uint64_t after) const {
     json rows = json::array();
     for (const auto& [key, row] : rows_) {
       const auto& [value, version] = row;
@@ -82,8 +82,8 @@
   unsigned era_ = 0;
 };
 
-/// The only node of its fleet.
-class OneMember final : public membership::MemberDirectory {
+/// Directory of a fleet that consists of this node only.
+class SingleMemberDirectory final : public membership::MemberDirectory {
  public:
   const membership::Member& self() const override { return members_.front(); }
   const std::vector<membership::Member>& liveMembers() const override { return members_; }
@@ -95,12 +95,12 @@
   std::vector<membership::Member> members_{membership::Member{}};
 };
 
-struct NoPeers final : base::PeerTransport {
+struct DiscardingPeerTransport final : base::PeerTransport {
   void send(const base::Endpoint& /*destination*/, base::Channel /*channel*/,
             std::string /*payload*/) override {}
 };
 
-struct KnownRows final : config::TableWatchListener {
+struct RecordedRows final : config::TableWatchListener {
   void onRow(const clients::FeedRow& row, config::RowSource /*source*/) override {
     rows[row.key] = *row.value;
   }
@@ -111,26 +111,26 @@
   int current = 0;
 };
 
-struct StoreReturnFixture {
-  StoreReturnFixture() {
+struct StoreRestoreFixture {
+  StoreRestoreFixture() {
     for (int version = 1; version <= 23; ++version) store.put(kKey, std::to_string(version));
-    // Entries of replicas take the version far beyond that of the configuration.
+    // Heartbeat rows of replicas raise the table's version far above that of the configuration row.
     for (int heartbeat = 0; heartbeat < 500; ++heartbeat) store.put("heartbeat", "");
     eras.onReturn([this](const config::StoreReturn&) { watch.onStoreReturned(); });
     client.onEra([this](base::StoreEra era, std::string_view source) { eras.note(era, source); });
     watch.start();
-    awaitProofs(2);
-    BOOST_TEST(known.rows[kKey] == "23");
+    awaitCurrent(2);
+    BOOST_TEST(recorded.rows[kKey] == "23");
   }
 
-  /// Runs until the feed has proved the copy current so often again.
-  void awaitProofs(int proofs) {
-    const int until = known.current + proofs;
-    live::runUntil(context, [&] { return known.current >= until; });
+  /// Runs until the feed has confirmed that many more times that the recorded rows are current.
+  void awaitCurrent(int confirmations) {
+    const int awaitedCount = recorded.current + confirmations;
+    live::runUntil(context, [&] { return recorded.current >= awaitedCount; });
   }
 
   boost::asio::io_context context{1};
-  ReturningStore store;
+  RestorableStore store;
   live::HttpServer server{
       context, {}, [this](const live::HttpExchangePtr& exchange) { store.handle(exchange); }};
   live::HttpClient http{context};
@@ -141,36 +141,36 @@
   live::AsioTimerService timers{context};
   base::SeededRandom random{1};
   test_support::RecordingLog log;
-  NoPeers peers;
-  OneMember members;
+  DiscardingPeerTransport peers;
+  SingleMemberDirectory members;
   config::StoreEras eras{clock, log};
   config::SharedFeed feed{{}, {clock, timers, random, log, peers, members, client, eras}};
-  KnownRows known;
-  config::TableWatch watch{{kTable}, clock, timers, random, feed, known};
+  RecordedRows recorded;
+  config::TableWatch watch{{kTable}, clock, timers, random, feed, recorded};
 };
 
 }  // namespace
 
-BOOST_FIXTURE_TEST_SUITE(StoreReturnTest, StoreReturnFixture)
+BOOST_FIXTURE_TEST_SUITE(StoreReturnTest, StoreRestoreFixture)
 
-BOOST_AUTO_TEST_CASE(RowsAreReadThatWereWrittenBelowThePositionOfTheFormerHistory) {
-  store.returnFromCopy({{kKey, {"20", 20}}}, 500);
+BOOST_AUTO_TEST_CASE(RowsWrittenBelowTheFormerPositionAreRead) {
+  store.restoreFromBackup({{kKey, {"20", 20}}}, 500);
   store.put(kKey, "25");
-  // Others' writes take the new counter beyond the position before the node asks.
+  // Writes of others raise the new counter above the node's position before its next request.
   for (int heartbeat = 0; heartbeat < 60; ++heartbeat) store.put("heartbeat", "");
-  awaitProofs(5);
-  BOOST_TEST(known.rows[kKey] == "25");
+  awaitCurrent(5);
+  BOOST_TEST(recorded.rows[kKey] == "25");
 }
 
-BOOST_AUTO_TEST_CASE(RowsAreTakenWhoseVersionsAreLowerThanThoseOfTheFormerHistory) {
-  store.returnFromCopy({{kKey, {"20", 20}}}, 30);
+BOOST_AUTO_TEST_CASE(RowsWithLowerVersionsThanBeforeAreAccepted) {
+  store.restoreFromBackup({{kKey, {"20", 20}}}, 30);
   store.put("heartbeat", "");
-  awaitProofs(5);
+  awaitCurrent(5);
   store.put("heartbeat", "again");
   store.put(kKey, "25");
-  awaitProofs(5);
-  BOOST_TEST(known.rows[kKey] == "25");
-  BOOST_TEST(known.rows["heartbeat"] == "again");
+  awaitCurrent(5);
+  BOOST_TEST(recorded.rows[kKey] == "25");
+  BOOST_TEST(recorded.rows["heartbeat"] == "again");
 }
 
 BOOST_AUTO_TEST_SUITE_END()
