--- a/src/capacity/budget.cc
+++ b/src/capacity/budget.cc
@@ -64,27 +64,29 @@
   RoleBudget routing() const {
     const Slope& engines = slopes_.at(Dimension::kEngines);
     const Slope& requests = slopes_.at(Dimension::kRequests);
-    const Slope& plain = slopes_.at(Dimension::kRequestsWithoutLookups);
+    const Slope& withoutLookups = slopes_.at(Dimension::kRequestsWithoutLookups);
     // A node knows every engine of the fleet, so these grow with the fleet's engines.
-    const double listed = kEngines / static_cast<double>(engines.nodes);
+    const double enginesPerMeasuredNode = kEngines / static_cast<double>(engines.nodes);
     // All nodes together read the machine list at a constant rate: each reads less in larger
     // fleets.
     const double readingShare = static_cast<double>(engines.nodes) / kNodes;
     RoleBudget role{"routing"};
-    role.bytesPerSecond = growth(requests.bytes(Traffic::kCacheIndex), kRequestsPerNode) +
-                          total(engines.bytes(Traffic::kMachineList), listed) * readingShare;
+    role.bytesPerSecond =
+        growth(requests.bytes(Traffic::kCacheIndex), kRequestsPerNode) +
+        total(engines.bytes(Traffic::kMachineList), enginesPerMeasuredNode) * readingShare;
     role.cpuPercent = std::max(0.0, growth(requests.cpuPercent(), kRequestsPerNode) -
-                                        growth(plain.cpuPercent(), kRequestsPerNode));
-    role.memoryMegabytes = growth(engines.memoryBytes(), listed) / kBytesPerMegabyte;
+                                        growth(withoutLookups.cpuPercent(), kRequestsPerNode));
+    role.memoryMegabytes =
+        growth(engines.memoryBytes(), enginesPerMeasuredNode) / kBytesPerMegabyte;
     return role;
   }
 
   RoleBudget callerGateway() const {
     const Slope& requests = slopes_.at(Dimension::kRequests);
-    const Slope& plain = slopes_.at(Dimension::kRequestsWithoutLookups);
+    const Slope& withoutLookups = slopes_.at(Dimension::kRequestsWithoutLookups);
     RoleBudget role{"caller gateway"};
     role.bytesPerSecond = growth(requests.bytes(Traffic::kAdmission), kRequestsPerNode);
-    role.cpuPercent = growth(plain.cpuPercent(), kRequestsPerNode);
+    role.cpuPercent = growth(withoutLookups.cpuPercent(), kRequestsPerNode);
     role.memoryMegabytes = growth(requests.memoryBytes(), kRequestsPerNode) / kBytesPerMegabyte;
     return role;
   }
--- a/src/capacity/hollow_engine.cc
+++ b/src/capacity/hollow_engine.cc
@@ -18,11 +18,11 @@
       host_(network.addHost(process_, options_.endpoint, options_.zone, options_.region)),
       random_(base::mixHash(seed, base::hashName(options_.name))) {
   process_.start();
-  stamps_.reserve(options_.capacityBlocks + 1);
-  while (stamps_.size() < options_.capacityBlocks) store({random_.next()});
+  lastUses_.reserve(options_.capacityBlocks + 1);
+  while (lastUses_.size() < options_.capacityBlocks) store({random_.next()});
   // What was there before the fleet started is learned from a snapshot only.
   journal_.clear();
-  drawnUntil_ = scheduler_.now();
+  generatedUntil_ = scheduler_.now();
 }
 
 clients::Machine HollowEngine::machine() const {
@@ -36,24 +36,24 @@
 }
 
 void HollowEngine::setEventsPerSecond(double rate) {
-  catchUp();
+  generateDueEvents();
   options_.eventsPerSecond = rate;
 }
 
-clients::EngineReport HollowEngine::head() const {
+clients::EngineReport HollowEngine::reportHeader() const {
   clients::EngineReport report;
   report.incarnation = process_.incarnation();
   report.weights = {{options_.model, kVersion, {}}};
   report.load.running = running_;
-  report.load.cachedBlocks = static_cast<std::uint32_t>(stamps_.size());
+  report.load.cachedBlocks = static_cast<std::uint32_t>(lastUses_.size());
   report.load.capacityBlocks = options_.capacityBlocks;
   report.nextSequence = nextSequence_;
   return report;
 }
 
 clients::EngineReport HollowEngine::report(std::uint64_t fromSequence) {
-  catchUp();
-  auto report = head();
+  generateDueEvents();
+  auto report = reportHeader();
   const auto oldest = nextSequence_ - journal_.size();
   report.firstSequence = std::clamp(fromSequence, oldest, nextSequence_);
   const auto skipped = static_cast<std::ptrdiff_t>(report.firstSequence - oldest);
@@ -62,44 +62,44 @@
 }
 
 clients::EngineReport HollowEngine::snapshot() {
-  catchUp();
-  auto report = head();
+  generateDueEvents();
+  auto report = reportHeader();
   report.firstSequence = nextSequence_;
-  report.events.reserve(stamps_.size());
+  report.events.reserve(lastUses_.size());
   for (const auto& use : uses_) {
-    const auto found = stamps_.find(use.block);
-    if (found == stamps_.end() || found->second != use.stamp) continue;
+    const auto found = lastUses_.find(use.block);
+    if (found == lastUses_.end() || found->second != use.stamp) continue;
     report.events.push_back({clients::CacheEventKind::kStored, use.block});
   }
   return report;
 }
 
 std::uint32_t HollowEngine::admit(const std::vector<base::BlockHash>& chain) {
-  catchUp();
+  generateDueEvents();
   std::uint32_t matched = 0;
-  while (matched < chain.size() && stamps_.contains(chain[matched])) ++matched;
+  while (matched < chain.size() && lastUses_.contains(chain[matched])) ++matched;
   // From the end, so that a chain is evicted from its end.
   for (std::size_t index = chain.size(); index > 0; --index) store(chain[index - 1]);
   return matched;
 }
 
-void HollowEngine::catchUp() {
+void HollowEngine::generateDueEvents() {
   const auto now = scheduler_.now();
-  due_ += base::toSeconds(now - drawnUntil_) * options_.eventsPerSecond / 2;
-  drawnUntil_ = now;
+  dueEvents_ += base::toSeconds(now - generatedUntil_) * options_.eventsPerSecond / 2;
+  generatedUntil_ = now;
   // Each new block evicts one, as the cache is full.
-  for (; due_ >= 1; due_ -= 1) store({random_.next()});
+  for (; dueEvents_ >= 1; dueEvents_ -= 1) store({random_.next()});
 }
 
 void HollowEngine::store(base::BlockHash block) {
-  if (stamps_.contains(block)) return touch(block);
+  if (lastUses_.contains(block)) return touch(block);
   touch(block);
   publish(clients::CacheEventKind::kStored, block);
-  if (stamps_.size() > options_.capacityBlocks) evictOldest();
+  if (lastUses_.size() > options_.capacityBlocks) evictOldest();
 }
 
 void HollowEngine::touch(base::BlockHash block) {
-  stamps_[block] = nextStamp_;
+  lastUses_[block] = nextStamp_;
   uses_.push_back({block, nextStamp_});
   ++nextStamp_;
 }
@@ -108,9 +108,9 @@
   while (!uses_.empty()) {
     const Use use = uses_.front();
     uses_.pop_front();
-    const auto found = stamps_.find(use.block);
-    if (found == stamps_.end() || found->second != use.stamp) continue;
-    stamps_.erase(found);
+    const auto found = lastUses_.find(use.block);
+    if (found == lastUses_.end() || found->second != use.stamp) continue;
+    lastUses_.erase(found);
     publish(clients::CacheEventKind::kEvicted, use.block);
     return;
   }
--- a/src/capacity/hollow_engine.h
+++ b/src/capacity/hollow_engine.h
@@ -54,7 +54,7 @@
 
   /// Events published since the start.
   std::uint64_t published() const { return nextSequence_; }
-  std::size_t cachedBlocks() const { return stamps_.size(); }
+  std::size_t cachedBlocks() const { return lastUses_.size(); }
 
  private:
   struct Use {
@@ -62,9 +62,9 @@
     std::uint64_t stamp = 0;
   };
 
-  clients::EngineReport head() const;
+  clients::EngineReport reportHeader() const;
   /// Draws the steady events that are due.
-  void catchUp();
+  void generateDueEvents();
   void store(base::BlockHash block);
   void touch(base::BlockHash block);
   void evictOldest();
@@ -76,13 +76,13 @@
   sim::HostId host_;
   base::SeededRandom random_;
   /// Last use of each cached block; uses are in order, outdated ones among them.
-  std::unordered_map<base::BlockHash, std::uint64_t> stamps_;
+  std::unordered_map<base::BlockHash, std::uint64_t> lastUses_;
   std::deque<Use> uses_;
   std::uint64_t nextStamp_ = 1;
   std::deque<clients::CacheEvent> journal_;
   std::uint64_t nextSequence_ = 0;
-  base::TimePoint drawnUntil_{};
-  double due_ = 0;
+  base::TimePoint generatedUntil_{};
+  double dueEvents_ = 0;
   std::uint32_t running_ = 0;
 };
 
--- a/src/capacity/hollow_engine_client.cc
+++ b/src/capacity/hollow_engine_client.cc
@@ -10,9 +10,9 @@
 
 namespace {
 /// Time of a hollow engine from a request to its first token, and from there to its end.
-constexpr base::Duration kFirstTokenAfter = std::chrono::milliseconds(150);
+constexpr base::Duration kFirstTokenLatency = std::chrono::milliseconds(150);
 constexpr base::Duration kPrefillPerBlock = std::chrono::microseconds(1440);
-constexpr base::Duration kDecoding = std::chrono::milliseconds(850);
+constexpr base::Duration kDecodeTime = std::chrono::milliseconds(850);
 constexpr std::size_t kChunkBytes = 64;
 constexpr std::size_t kEndBytes = 110;
 
@@ -65,7 +65,7 @@
     end.outputTokens = static_cast<std::uint32_t>(request.nextPosition) + 1;
     end.finishReason = "stop";
     const auto uncached = chain.size() - matched;
-    const auto first = kFirstTokenAfter + kPrefillPerBlock * uncached;
+    const auto first = kFirstTokenLatency + kPrefillPerBlock * uncached;
     auto connection = connection_;
     if (connection == nullptr) return engine_.onEnded();
     connection->send(Side::kServer, sim::kEngineAnswerHead, [self = shared_from_this()] {
@@ -79,7 +79,7 @@
                            self->handler_->onChunk({position, "token"});
                        });
                      });
-    process.schedule(first + kDecoding, [self = shared_from_this(), connection, end] {
+    process.schedule(first + kDecodeTime, [self = shared_from_this(), connection, end] {
       self->engine_.onEnded();
       connection->send(Side::kServer, kEndBytes, [self, end] { self->finish(end); });
     });
@@ -118,7 +118,7 @@
 };
 
 /// Of an address without an engine.
-class NoStream final : public clients::EngineStream {
+class NullStream final : public clients::EngineStream {
  public:
   void setPaused(bool /*paused*/) override {}
 };
@@ -147,7 +147,7 @@
       handler.onError({clients::DispatchFailure::kNotSent,
                        {base::ResultCode::kBackEndUnreachable, "no engine at this address"}});
     });
-    return std::make_unique<NoStream>();
+    return std::make_unique<NullStream>();
   }
   auto stream = std::make_shared<HollowStream>(*target, handler, observer_);
   network_.connect(self_, target->host(), sim::TrafficClass::kData,
@@ -158,10 +158,10 @@
   return std::make_unique<StreamHandle>(stream);
 }
 
-void HollowEngineClient::ask(const clients::BackEndAddress& engine,
-                             std::function<clients::EngineReport(HollowEngine&)> read,
-                             std::function<void(ReportAnswer)> callback) {
-  using Result = sim::ExchangeResult<ReportAnswer>;
+void HollowEngineClient::requestReport(const clients::BackEndAddress& engine,
+                                       std::function<clients::EngineReport(HollowEngine&)> read,
+                                       std::function<void(OptionalReport)> callback) {
+  using Result = sim::ExchangeResult<OptionalReport>;
   const auto reply = process_.expect<Result>(
       [callback = std::move(callback)](Result result) { callback(std::move(result.response)); });
   auto* target = find(engine);
@@ -171,22 +171,22 @@
     });
     return;
   }
-  sim::ExchangePool<ReportAnswer>::Request request;
+  sim::ExchangePool<OptionalReport>::Request request;
   request.server = target->host();
   request.bytes = sim::kEngineRequestHead;
   request.timeout = sim::kEngineTimeout;
-  request.serve = [target,
-                   read = std::move(read)](const sim::ExchangePool<ReportAnswer>::Answer& answer) {
-    ReportAnswer report = read(*target);
-    const auto size = sim::reportBytes(report);
-    answer(std::move(report), size);
-  };
+  request.serve =
+      [target, read = std::move(read)](const sim::ExchangePool<OptionalReport>::Answer& answer) {
+        OptionalReport report = read(*target);
+        const auto size = sim::reportBytes(report);
+        answer(std::move(report), size);
+      };
   reports_.call(std::move(request), reply);
 }
 
 void HollowEngineClient::poll(const clients::BackEndAddress& engine, std::uint64_t fromSequence,
                               std::function<void(std::optional<clients::EngineReport>)> callback) {
-  ask(
+  requestReport(
       engine, [fromSequence](HollowEngine& target) { return target.report(fromSequence); },
       std::move(callback));
 }
@@ -194,7 +194,7 @@
 void HollowEngineClient::snapshot(
     const clients::BackEndAddress& engine,
     std::function<void(std::optional<clients::EngineReport>)> callback) {
-  ask(
+  requestReport(
       engine, [](HollowEngine& target) { return target.snapshot(); }, std::move(callback));
 }
 
--- a/src/capacity/hollow_engine_client.h
+++ b/src/capacity/hollow_engine_client.h
@@ -40,19 +40,19 @@
              std::function<void(clients::OrderReply)> callback) override;
 
  private:
-  using ReportAnswer = std::optional<clients::EngineReport>;
+  using OptionalReport = std::optional<clients::EngineReport>;
 
   HollowEngine* find(const clients::BackEndAddress& engine) const;
-  void ask(const clients::BackEndAddress& engine,
-           std::function<clients::EngineReport(HollowEngine&)> read,
-           std::function<void(ReportAnswer)> callback);
+  void requestReport(const clients::BackEndAddress& engine,
+                     std::function<clients::EngineReport(HollowEngine&)> read,
+                     std::function<void(OptionalReport)> callback);
 
   sim::Network& network_;
   sim::HostId self_;
   sim::Process& process_;
   HollowEngineLookup engines_;
   AdmissionObserver* observer_;
-  sim::ExchangePool<ReportAnswer> reports_;
+  sim::ExchangePool<OptionalReport> reports_;
 };
 
 }  // namespace covewing::capacity
--- a/src/capacity/hollow_fleet.cc
+++ b/src/capacity/hollow_fleet.cc
@@ -26,7 +26,7 @@
 /// all, and as many are evicted.
 constexpr double kEventsPerRequest = 20;
 constexpr double kJitter = 0.5;
-constexpr base::Duration kProbe = std::chrono::milliseconds(10);
+constexpr base::Duration kPollInterval = std::chrono::milliseconds(10);
 
 base::Duration fromSeconds(double seconds) {
   constexpr double kMicroseconds = 1e6;
@@ -168,26 +168,26 @@
   }
 }
 
-std::string HollowFleet::tenantDocument(std::size_t tenant, std::uint64_t mark) const {
-  constexpr std::uint64_t kLeastRate = 1000;
+std::string HollowFleet::tenantDocument(std::size_t tenant, std::uint64_t rateOffset) const {
+  constexpr std::uint64_t kMinimumRate = 1000;
   return fmt::format(
       R"({{"base":"base","key_digests":["{}"],"values":{{"model":"{}","rate":{}}}}})",
       config::digestBearerKey(bearerKey(tenant)), modelName(tenant % size_.models),
-      kLeastRate + mark);
+      kMinimumRate + rateOffset);
 }
 
 void HollowFleet::addEngines() {
-  constexpr std::uint32_t kTen = 10U << 24U;
+  constexpr std::uint32_t kPrivateNetwork = 10U << 24U;
   constexpr unsigned kNetworkShift = 16;
-  const double ofRequests = size_.requestsPerSecond * kEventsPerRequest;
-  const double steady = std::max(0.0, size_.eventsPerSecond - ofRequests);
+  const double fromRequests = size_.requestsPerSecond * kEventsPerRequest;
+  const double steady = std::max(0.0, size_.eventsPerSecond - fromRequests);
   for (std::size_t index = 0; index < size_.engines; ++index) {
     HollowEngineOptions options;
     options.name = "engine-" + std::to_string(index);
     // Models are spread over the zones.
     options.model = modelName(index / size_.zones % size_.models);
     options.endpoint = {
-        kTen | kEngineNetwork << kNetworkShift | static_cast<std::uint32_t>(index + 1),
+        kPrivateNetwork | kEngineNetwork << kNetworkShift | static_cast<std::uint32_t>(index + 1),
         kEnginePort};
     options.zone = locationOf(index).zone;
     options.region = locationOf(index).region;
@@ -202,7 +202,7 @@
 
 void HollowFleet::start() {
   fleet_->start();
-  loaded_ = true;
+  loadRunning_ = true;
   repeat(size_.requestsPerSecond, &HollowFleet::sendCompletion);
   repeat(size_.claimsPerSecond, &HollowFleet::sendProxied);
   repeat(size_.changesPerSecond, &HollowFleet::sendChange);
@@ -212,9 +212,9 @@
 
 void HollowFleet::repeat(double perSecond, void (HollowFleet::*send)()) {
   if (perSecond <= 0) return;
-  const auto pause = random_.jittered(fromSeconds(1 / perSecond), kJitter);
-  fleet_->scheduler().after(pause, [this, perSecond, send] {
-    if (!loaded_) return;
+  const auto interval = random_.jittered(fromSeconds(1 / perSecond), kJitter);
+  fleet_->scheduler().after(interval, [this, perSecond, send] {
+    if (!loadRunning_) return;
     (this->*send)();
     repeat(perSecond, send);
   });
@@ -319,29 +319,30 @@
   for (std::size_t index = 0; index < size_.nodes; ++index) {
     auto& node = fleet_->node(index);
     const auto& traffic = fleet_->network().traffic(node.host());
-    const auto both = [&](TrafficClass kind) {
+    const auto sentAndReceived = [&](TrafficClass kind) {
       const auto position = static_cast<std::size_t>(kind);
       return static_cast<double>(traffic.sent.at(position) + traffic.received.at(position));
     };
     Usage usage;
-    const auto put = [&](Traffic kind, double bytes) {
+    const auto add = [&](Traffic kind, double bytes) {
       usage.bytes.at(static_cast<std::size_t>(kind)) += bytes;
     };
-    put(Traffic::kEngineReports, both(TrafficClass::kEngineReports));
-    put(Traffic::kOrders, both(TrafficClass::kOrders));
-    put(Traffic::kTable, both(TrafficClass::kTable));
-    put(Traffic::kObjectStore, both(TrafficClass::kObjectStore));
-    put(Traffic::kMachineList, both(TrafficClass::kMachineList));
-    const double peer = both(TrafficClass::kPeerDatagram) + both(TrafficClass::kPeerStream);
-    double ownSum = 0;
-    for (const double bytes : sent.at(index)) ownSum += bytes;
+    add(Traffic::kEngineReports, sentAndReceived(TrafficClass::kEngineReports));
+    add(Traffic::kOrders, sentAndReceived(TrafficClass::kOrders));
+    add(Traffic::kTable, sentAndReceived(TrafficClass::kTable));
+    add(Traffic::kObjectStore, sentAndReceived(TrafficClass::kObjectStore));
+    add(Traffic::kMachineList, sentAndReceived(TrafficClass::kMachineList));
+    const double peer =
+        sentAndReceived(TrafficClass::kPeerDatagram) + sentAndReceived(TrafficClass::kPeerStream);
+    double nodeSum = 0;
+    for (const double bytes : sent.at(index)) nodeSum += bytes;
     for (std::size_t channel = 1; channel <= 6; ++channel) {
       const double part =
           sum > 0
-              ? (ownSum > 0 ? (sent.at(index).at(channel) / ownSum + share.at(channel) / sum) / 2
-                            : share.at(channel) / sum)
+              ? (nodeSum > 0 ? (sent.at(index).at(channel) / nodeSum + share.at(channel) / sum) / 2
+                             : share.at(channel) / sum)
               : 0;
-      put(static_cast<Traffic>(channel - 1), peer * part);
+      add(static_cast<Traffic>(channel - 1), peer * part);
     }
     usage.sentBytes = static_cast<double>(traffic.controlSent());
     usage.receivedBytes = static_cast<double>(traffic.controlReceived());
@@ -394,15 +395,15 @@
   fleet_->node(node).operate(std::move(request),
                              [](const std::optional<node::OperatorResponse>&) {});
   while (fleet_->scheduler().now() - start < limit) {
-    fleet_->runFor(kProbe);
-    bool everywhere = true;
-    for (std::size_t index = 0; index < size_.nodes && everywhere; ++index) {
+    fleet_->runFor(kPollInterval);
+    bool onAllNodes = true;
+    for (std::size_t index = 0; index < size_.nodes && onAllNodes; ++index) {
       auto* running = fleet_->node(index).node();
       if (running == nullptr) continue;
       const auto view = running->configuration().findByName(tenantName(tenant));
-      everywhere = view != nullptr && view->revision > before;
+      onAllNodes = view != nullptr && view->revision > before;
     }
-    if (everywhere) return fleet_->scheduler().now() - start;
+    if (onAllNodes) return fleet_->scheduler().now() - start;
   }
   return std::nullopt;
 }
@@ -412,15 +413,15 @@
   const auto start = fleet_->scheduler().now();
   fleet_->node(node).crash();
   while (fleet_->scheduler().now() - start < limit) {
-    fleet_->runFor(kProbe);
-    bool everywhere = true;
-    for (std::size_t index = 0; index < size_.nodes && everywhere; ++index) {
+    fleet_->runFor(kPollInterval);
+    bool onAllNodes = true;
+    for (std::size_t index = 0; index < size_.nodes && onAllNodes; ++index) {
       auto* running = fleet_->node(index).node();
       if (running == nullptr) continue;
       const auto* member = running->members().find(id);
-      everywhere = member == nullptr || member->state == membership::MemberState::kDead;
+      onAllNodes = member == nullptr || member->state == membership::MemberState::kDead;
     }
-    if (everywhere) return fleet_->scheduler().now() - start;
+    if (onAllNodes) return fleet_->scheduler().now() - start;
   }
   return std::nullopt;
 }
--- a/src/capacity/hollow_fleet.h
+++ b/src/capacity/hollow_fleet.h
@@ -66,7 +66,7 @@
   /// Starts nodes and load.
   void start();
   void runFor(base::Duration duration) { fleet_->runFor(duration); }
-  void stopLoad() { loaded_ = false; }
+  void stopLoad() { loadRunning_ = false; }
 
   /// Use by each node since its start.
   std::vector<Usage> usage();
@@ -97,7 +97,7 @@
   sim::Location locationOf(std::size_t index) const;
   void addEngines();
   void addTemplates(sim::FleetOptions& options) const;
-  std::string tenantDocument(std::size_t tenant, std::uint64_t mark) const;
+  std::string tenantDocument(std::size_t tenant, std::uint64_t rateOffset) const;
   /// Runs `send` this often a second, evenly with jitter, as long as there is load.
   void repeat(double perSecond, void (HollowFleet::*send)());
   void sendCompletion();
@@ -123,7 +123,7 @@
   std::map<std::uint64_t, std::unique_ptr<ProxiedCaller>> proxiedCallers_;
   std::vector<std::uint64_t> finished_;
   std::uint64_t nextNumber_ = 1;
-  bool loaded_ = false;
+  bool loadRunning_ = false;
   RequestOutcome outcome_;
 };
 
--- a/src/capacity/hollow_run.cc
+++ b/src/capacity/hollow_run.cc
@@ -10,19 +10,19 @@
 namespace {
 
 constexpr double kNanosecondsPerPercent = 1e7;
-constexpr base::Duration kPatience = std::chrono::seconds(60);
+constexpr base::Duration kMaximumWait = std::chrono::seconds(60);
 constexpr base::Duration kSecond = std::chrono::seconds(1);
 /// How long a zone or region stays cut off.
-constexpr base::Duration kCutFor = std::chrono::seconds(60);
+constexpr base::Duration kCutDuration = std::chrono::seconds(60);
 
 double processCpuSeconds() {
   return static_cast<double>(std::clock()) / static_cast<double>(CLOCKS_PER_SEC);
 }
 
 /// Watches a disturbed fleet second by second.
-class FailureWatch {
+class FailureMonitor {
  public:
-  FailureWatch(HollowFleet& fleet, double steadyBytesPerSecond)
+  FailureMonitor(HollowFleet& fleet, double steadyBytesPerSecond)
       : fleet_(fleet), steady_(steadyBytesPerSecond), before_(fleet.usage()) {}
 
   void runSecond() {
@@ -46,7 +46,7 @@
 
   FailureResult finish(std::string name) {
     const auto nodes = fleet_.size().nodes;
-    for (base::Duration waited{}; waited < kPatience;) {
+    for (base::Duration waited{}; waited < kMaximumWait;) {
       runSecond();
       waited += kSecond;
       if (fleet_.nodesThatSeeAll() != nodes || fleet_.nodesReady() != nodes) continue;
@@ -68,34 +68,34 @@
   const auto nodes = fleet.size().nodes;
   const auto inZone = [&](std::size_t index) { return fleet.zoneOf(index) == fleet.zoneOf(0); };
   {
-    FailureWatch watch(fleet, steady);
+    FailureMonitor monitor(fleet, steady);
     fleet.fleet().node(0).crash();
     fleet.fleet().node(0).start();
-    result.failures.push_back(watch.finish("one node replaced"));
+    result.failures.push_back(monitor.finish("one node replaced"));
   }
   {
-    FailureWatch watch(fleet, steady);
+    FailureMonitor monitor(fleet, steady);
     for (std::size_t index = 0; index < nodes; ++index) {
       if (!inZone(index)) continue;
       fleet.fleet().node(index).crash();
       fleet.fleet().node(index).start();
     }
-    result.failures.push_back(watch.finish("a zone's nodes restarted at once"));
+    result.failures.push_back(monitor.finish("a zone's nodes restarted at once"));
   }
   auto& network = fleet.fleet().network();
   {
-    FailureWatch watch(fleet, steady);
+    FailureMonitor monitor(fleet, steady);
     network.cutZone(fleet.zoneOf(0), true);
-    watch.runFor(kCutFor);
+    monitor.runFor(kCutDuration);
     network.cutZone(fleet.zoneOf(0), false);
-    result.failures.push_back(watch.finish("a zone cut off for 60 s"));
+    result.failures.push_back(monitor.finish("a zone cut off for 60 s"));
   }
   {
-    FailureWatch watch(fleet, steady);
+    FailureMonitor monitor(fleet, steady);
     network.cutRegions("region-0", "region-1", true);
-    watch.runFor(kCutFor);
+    monitor.runFor(kCutDuration);
     network.cutRegions("region-0", "region-1", false);
-    result.failures.push_back(watch.finish("regions apart for 60 s"));
+    result.failures.push_back(monitor.finish("regions apart for 60 s"));
   }
 }
 
@@ -134,11 +134,11 @@
   result.mean /= static_cast<double>(after.size());
   result.bytes = spreadOf(std::move(bytes));
   result.cpuPercent = spreadOf(std::move(cpu));
-  result.changeEverywhere = fleet.timeOfChange(options.size.nodes / 2, kPatience);
-  const std::size_t dying = options.size.nodes - 1;
-  result.deathEverywhere = fleet.timeOfDetection(dying, kPatience);
+  result.changeEverywhere = fleet.timeOfChange(options.size.nodes / 2, kMaximumWait);
+  const std::size_t crashedNode = options.size.nodes - 1;
+  result.deathEverywhere = fleet.timeOfDetection(crashedNode, kMaximumWait);
   if (options.failures) {
-    fleet.fleet().node(dying).start();
+    fleet.fleet().node(crashedNode).start();
     fleet.runFor(options.times.warmUp);
     runFailures(fleet, result.mean.totalBytes(), result);
   }
