--- a/src/capacity/budget.cc
+++ b/src/capacity/budget.cc
@@ -10,15 +10,18 @@
 
 constexpr double kBytesPerMegabyte = 1e6;
 
-/// A figure cannot shrink by more load: a slope below zero is noise.
+/// Increase of a figure at `x` over its intercept. More load cannot reduce a figure, so a negative
+/// slope is noise and counts as 0.
 double growth(const LineFit& fit, double x) { return std::max(0.0, fit.slope) * x; }
+/// Value of a figure at `x`, intercept included; never negative.
 double total(const LineFit& fit, double x) { return std::max(0.0, fit.at(x)); }
 
 class Extrapolation {
  public:
   explicit Extrapolation(const Slopes& slopes) : slopes_(slopes) {}
 
-  /// Without engines and load: detection, gossip, and the periodic work of every other role.
+  /// Measured without engines and load: failure detection, gossip, and the periodic work of all
+  /// other roles.
   RoleBudget membership() const {
     const Slope& nodes = slopes_.at(Dimension::kNodes);
     RoleBudget role{"membership"};
@@ -65,10 +68,11 @@
     const Slope& engines = slopes_.at(Dimension::kEngines);
     const Slope& requests = slopes_.at(Dimension::kRequests);
     const Slope& withoutLookups = slopes_.at(Dimension::kRequestsWithoutLookups);
-    // A node knows every engine of the fleet, so these grow with the fleet's engines.
+    // Every node tracks all engines of the fleet, so these figures grow with the total number of
+    // engines. The slope's x is engines per node of the measured fleet.
     const double enginesPerMeasuredNode = kEngines / static_cast<double>(engines.nodes);
-    // All nodes together read the machine list at a constant rate: each reads less in larger
-    // fleets.
+    // All nodes together read the machine list at a constant rate, so each node reads less often
+    // in a larger fleet.
     const double readingShare = static_cast<double>(engines.nodes) / kNodes;
     RoleBudget role{"routing"};
     role.bytesPerSecond =
--- a/src/capacity/budget.h
+++ b/src/capacity/budget.h
@@ -1,6 +1,6 @@
 /// \file
-/// What each role of one node spends at the two-year size, extrapolated from slopes, and the sum
-/// over all roles against the limits.
+/// Resource use of each role of one node at the two-year size, extrapolated from measured slopes,
+/// and the sum over all roles, compared with the limits of a node.
 #pragma once
 
 #include <map>
@@ -13,20 +13,21 @@
 
 struct RoleBudget {
   std::string role;
-  /// Sent and received together.
+  /// Control bytes sent plus received.
   double bytesPerSecond = 0;
+  /// Percent of one core.
   double cpuPercent = 0;
   double memoryMegabytes = 0;
 
-  /// Within all limits of a node.
+  /// True if no figure exceeds the limit of a node.
   bool within() const;
 };
 
 using Slopes = std::map<Dimension, Slope>;
 
-/// One budget a role, in a fixed order; needs a slope of each dimension.
+/// Returns one budget per role, in a fixed order. `slopes` must have a slope of every dimension.
 std::vector<RoleBudget> budgetsOf(const Slopes& slopes);
-/// The role "sum".
+/// Returns the sum over `roles` as a role named "sum".
 RoleBudget sumOf(const std::vector<RoleBudget>& roles);
 
 }  // namespace covewing::capacity
--- a/src/capacity/hollow_engine.cc
+++ b/src/capacity/hollow_engine.cc
@@ -6,7 +6,8 @@
 namespace covewing::capacity {
 
 namespace {
-/// Events that an engine remembers; whoever asks for older ones sees a gap.
+/// Number of most recent events that an engine keeps. A node that requests older ones detects a
+/// gap.
 constexpr std::size_t kJournalEvents = 4096;
 constexpr base::WeightsVersion kVersion = 1;
 }  // namespace
@@ -20,7 +21,7 @@
   process_.start();
   lastUses_.reserve(options_.capacityBlocks + 1);
   while (lastUses_.size() < options_.capacityBlocks) store({random_.next()});
-  // What was there before the fleet started is learned from a snapshot only.
+  // Blocks cached before the fleet starts are reported by a snapshot only, not as events.
   journal_.clear();
   generatedUntil_ = scheduler_.now();
 }
@@ -78,7 +79,7 @@
   generateDueEvents();
   std::uint32_t matched = 0;
   while (matched < chain.size() && lastUses_.contains(chain[matched])) ++matched;
-  // From the end, so that a chain is evicted from its end.
+  // Stores the last block first, so that the chain is also evicted from its end.
   for (std::size_t index = chain.size(); index > 0; --index) store(chain[index - 1]);
   return matched;
 }
@@ -87,7 +88,7 @@
   const auto now = scheduler_.now();
   dueEvents_ += base::toSeconds(now - generatedUntil_) * options_.eventsPerSecond / 2;
   generatedUntil_ = now;
-  // Each new block evicts one, as the cache is full.
+  // The cache is full, so each stored block also evicts one: two events a block.
   for (; dueEvents_ >= 1; dueEvents_ -= 1) store({random_.next()});
 }
 
--- a/src/capacity/hollow_engine.h
+++ b/src/capacity/hollow_engine.h
@@ -1,8 +1,9 @@
 /// \file
-/// A light stand-in of a model engine for large fleets: it answers reports, snapshots and requests
-/// as an engine does, but runs no batch. It keeps a cache of blocks with eviction of the least
-/// recently used, so that requests cause real cache events; further events are drawn at a steady
-/// rate. A request takes a fixed time and is answered by one chunk.
+/// A lightweight substitute for a model engine in simulations of large fleets. It serves reports,
+/// snapshots and requests like an engine, but does not simulate batching. It maintains an LRU cache
+/// of blocks, so that requests cause real cache events; additional events are generated at a steady
+/// rate. The response to a request is a single chunk, after a time that depends only on the number
+/// of uncached blocks.
 #pragma once
 
 #include <cstddef>
@@ -26,9 +27,10 @@
   base::Endpoint endpoint;
   std::string zone;
   std::string region;
-  /// The cache is full of blocks that nobody asks for from the start.
+  /// Size of the cache in blocks. It is filled at construction with blocks that no request uses.
   std::uint32_t capacityBlocks = 1024;
-  /// Cache events a second besides those of requests; half of them stored, half evicted.
+  /// Cache events per second in addition to those that requests cause; half of them report stored
+  /// blocks, half evicted ones.
   double eventsPerSecond = 0;
 };
 
@@ -47,12 +49,13 @@
   clients::EngineReport report(std::uint64_t fromSequence);
   clients::EngineReport snapshot();
 
-  /// What a request finds: leading blocks that were cached. Its other blocks are cached afterwards.
+  /// Caches all blocks of a request's chain. Returns the number of its leading blocks that were
+  /// cached before.
   std::uint32_t admit(const std::vector<base::BlockHash>& chain);
   void onStarted() { ++running_; }
   void onEnded() { --running_; }
 
-  /// Events published since the start.
+  /// Number of cache events published since construction, including those of the initial fill.
   std::uint64_t published() const { return nextSequence_; }
   std::size_t cachedBlocks() const { return lastUses_.size(); }
 
@@ -63,7 +66,7 @@
   };
 
   clients::EngineReport reportHeader() const;
-  /// Draws the steady events that are due.
+  /// Generates the steady events that are due since the last call.
   void generateDueEvents();
   void store(base::BlockHash block);
   void touch(base::BlockHash block);
@@ -75,8 +78,10 @@
   sim::Process process_;
   sim::HostId host_;
   base::SeededRandom random_;
-  /// Last use of each cached block; uses are in order, outdated ones among them.
+  /// Stamp of the last use of each cached block.
   std::unordered_map<base::BlockHash, std::uint64_t> lastUses_;
+  /// All uses in order of their stamps. An entry is outdated if `lastUses_` has a later stamp for
+  /// its block.
   std::deque<Use> uses_;
   std::uint64_t nextStamp_ = 1;
   std::deque<clients::CacheEvent> journal_;
--- a/src/capacity/hollow_engine_client.cc
+++ b/src/capacity/hollow_engine_client.cc
@@ -9,7 +9,8 @@
 namespace covewing::capacity {
 
 namespace {
-/// Time of a hollow engine from a request to its first token, and from there to its end.
+/// Timing of a hollow engine: the first token follows the request after kFirstTokenLatency plus
+/// kPrefillPerBlock for each uncached block; the response ends kDecodeTime later.
 constexpr base::Duration kFirstTokenLatency = std::chrono::milliseconds(150);
 constexpr base::Duration kPrefillPerBlock = std::chrono::microseconds(1440);
 constexpr base::Duration kDecodeTime = std::chrono::milliseconds(850);
@@ -18,7 +19,8 @@
 
 using Side = sim::Connection::Side;
 
-/// One request on its connection. Both ends share it; each touches it on its own process.
+/// One request on its connection. The client and the engine share the object; each accesses it from
+/// its own simulated process.
 class HollowStream final : public std::enable_shared_from_this<HollowStream> {
  public:
   HollowStream(HollowEngine& engine, clients::EngineStreamHandler& handler,
@@ -53,7 +55,7 @@
   }
 
  private:
-  /// Runs on the engine's process.
+  /// Runs in the engine's process.
   void serve(const clients::EngineRequest& request) {
     const auto chain = prefix::blockChain(request.identity, *request.prompt);
     const auto matched = engine_.admit(chain);
@@ -110,14 +112,14 @@
   ~StreamHandle() override { stream_->cancel(); }
   StreamHandle(const StreamHandle&) = delete;
   StreamHandle& operator=(const StreamHandle&) = delete;
-  /// The one chunk is small: it is delivered all the same.
+  /// Ignored: the response is a single small chunk, which is delivered even while paused.
   void setPaused(bool /*paused*/) override {}
 
  private:
   std::shared_ptr<HollowStream> stream_;
 };
 
-/// Of an address without an engine.
+/// Stream returned for an address without an engine.
 class NullStream final : public clients::EngineStream {
  public:
   void setPaused(bool /*paused*/) override {}
--- a/src/capacity/hollow_engine_client.h
+++ b/src/capacity/hollow_engine_client.h
@@ -1,6 +1,7 @@
 /// \file
-/// Binding of clients::EngineClient to hollow engines behind the simulated network, as seen from
-/// one run of one node. Messages have the sizes that they have with the full engine model.
+/// Implementation of clients::EngineClient that reaches hollow engines over the simulated network.
+/// Each incarnation of a node has its own client. Messages have the same sizes as with the full
+/// engine model.
 #pragma once
 
 #include <functional>
@@ -13,14 +14,14 @@
 
 namespace covewing::capacity {
 
-/// Finds the engine at a host; null when there is none.
+/// Returns the engine at a host; null if the host has none.
 using HollowEngineLookup = std::function<HollowEngine*(sim::HostId)>;
 
-/// Told of each request that an engine took.
+/// Notified of each request that an engine admitted.
 class AdmissionObserver {
  public:
   virtual ~AdmissionObserver() = default;
-  /// `matchedBlocks` leading blocks of the chain came from the cache.
+  /// `matchedBlocks` is the number of leading blocks of the chain that were cached.
   virtual void onAdmitted(const HollowEngine& engine, const std::vector<base::BlockHash>& chain,
                           std::uint32_t matchedBlocks) = 0;
 };
--- a/src/capacity/hollow_fleet.cc
+++ b/src/capacity/hollow_fleet.cc
@@ -17,13 +17,13 @@
 constexpr std::size_t kApplicationReplicas = 7;
 constexpr std::uint32_t kEngineNetwork = 5;
 constexpr std::uint16_t kEnginePort = 7200;
-/// A prompt: a document of the tenant, then what only this request has.
+/// A prompt consists of a document of the tenant, followed by a tail that is unique to the request.
 constexpr std::size_t kDocumentBlocks = 32;
 constexpr std::size_t kTailBlocks = 4;
 constexpr std::size_t kDocumentsPerTenant = 2;
 constexpr std::uint32_t kMaximumTokens = 50;
-/// A request stores the blocks of its tail and of a document that its engine has not, about ten in
-/// all, and as many are evicted.
+/// A request stores the blocks of its tail and those of the document that its engine has not
+/// cached, about ten in all, and as many are evicted.
 constexpr double kEventsPerRequest = 20;
 constexpr double kJitter = 0.5;
 constexpr base::Duration kPollInterval = std::chrono::milliseconds(10);
@@ -37,7 +37,7 @@
 std::string bearerKey(std::size_t tenant) { return "key-" + tenantName(tenant); }
 std::string modelName(std::size_t index) { return "model-" + std::to_string(index); }
 
-/// Text of whole blocks that differs between seeds.
+/// Returns text of exactly `blocks` blocks, which differs between seeds.
 std::string blocksOf(std::uint64_t seed, std::size_t blocks) {
   std::string text;
   text.reserve(blocks * prefix::kBytesPerBlock);
@@ -100,14 +100,15 @@
 HollowFleet::HollowFleet(const FleetSize& size)
     : size_(size), allocatedBefore_(allocatedBytes()), random_(size.seed) {
   fleet_ = std::make_unique<sim::Fleet>(fleetOptions());
-  // The table's rows are the platform's.
+  // The table's rows belong to the platform. The engines' allocations are recorded, so that
+  // memoryPerNode() can subtract them.
   const double before = allocatedBytes();
   addEngines();
   enginesAllocated_ = allocatedBytes() - before;
 }
 
 HollowFleet::~HollowFleet() {
-  // Engines have timers on the fleet's scheduler.
+  // Engines have timers on the fleet's scheduler, so they are destroyed before it.
   engines_.clear();
   fleet_.reset();
 }
@@ -184,7 +185,7 @@
   for (std::size_t index = 0; index < size_.engines; ++index) {
     HollowEngineOptions options;
     options.name = "engine-" + std::to_string(index);
-    // Models are spread over the zones.
+    // Each zone has engines of every model.
     options.model = modelName(index / size_.zones % size_.models);
     options.endpoint = {
         kPrivateNetwork | kEngineNetwork << kNetworkShift | static_cast<std::uint32_t>(index + 1),
@@ -223,7 +224,7 @@
 std::size_t HollowFleet::drawNode() { return random_.below(size_.nodes); }
 
 std::size_t HollowFleet::drawTenant() {
-  // Some tenants are busier than others: the first tenth sends about a third.
+  // The load is skewed: the first tenth of the tenants sends about a third of the requests.
   const double draw = random_.unit();
   return static_cast<std::size_t>(draw * draw * static_cast<double>(size_.tenants));
 }
@@ -287,7 +288,8 @@
                              std::uint32_t matchedBlocks) {
   if (chain.size() < kDocumentBlocks) return;
   auto& holders = holders_[chain[kDocumentBlocks - 1]];
-  // Without the request's own tail, the whole document is cached or none of it.
+  // The tail is unique to the request and cannot be reused. The document counts as reusable either
+  // as a whole or not at all.
   const bool reusable = !holders.empty();
   if (reusable) {
     outcome_.reusableBlocks += kDocumentBlocks;
@@ -296,13 +298,14 @@
   if (std::ranges::find(holders, &engine) == holders.end()) holders.push_back(&engine);
 }
 
-// --- reading
+// --- measurements
 
 std::vector<Usage> HollowFleet::usage() {
   constexpr std::size_t kUdpHeaders = 28;
   using sim::TrafficClass;
   std::vector<Usage> result;
-  // Receivers do not count by channel: what a fleet sends on a channel it receives.
+  // Nodes count sent peer traffic by channel, but not received traffic. As the fleet receives what
+  // it sends, the received part is split by the fleet's share of each channel.
   std::array<double, sim::kChannelCount> share{};
   double sum = 0;
   std::vector<std::array<double, sim::kChannelCount>> sent(size_.nodes);
--- a/src/capacity/hollow_fleet.h
+++ b/src/capacity/hollow_fleet.h
@@ -1,9 +1,10 @@
 /// \file
-/// A fleet of real nodes and hollow engines in one process, under steady load, whose nodes' use of
-/// network, processor and memory is read off.
+/// A fleet of real nodes and hollow engines in one process, under steady load, that measures the
+/// nodes' use of network, CPU and memory.
 ///
-/// Memory is what the allocator holds for the nodes, the simulated network's and timers' state
-/// included, in the mean over all nodes; engines, table and callers are left out.
+/// Memory is the number of bytes allocated for the nodes, including the state of the simulated
+/// network and of timers, as the mean over all nodes. Engines, the table and callers are meant
+/// to be left out; only the engines' allocations are subtracted.
 #pragma once
 
 #include <cstddef>
@@ -23,17 +24,18 @@
 
 namespace covewing::capacity {
 
-/// Size and load of a fleet. Rates are over the whole fleet.
+/// Size and load of a fleet. Rates are totals over the whole fleet.
 struct FleetSize {
   std::size_t nodes = 28;
   std::size_t engines = 56;
   std::uint32_t blocksPerEngine = 1024;
-  /// Cache events by engines, those that requests cause included.
+  /// Cache events that engines publish, including those that requests cause.
   double eventsPerSecond = 0;
   std::size_t tenants = 100;
   double requestsPerSecond = 0;
-  /// Calls to an application that must run at most once, each under a key of its own.
+  /// Calls to an application that must be executed at most once, each with its own idempotency key.
   double claimsPerSecond = 0;
+  /// Configuration changes.
   double changesPerSecond = 0;
   std::size_t regions = 2;
   std::size_t zones = 7;
@@ -42,13 +44,14 @@
   std::uint64_t seed = 1;
 };
 
-/// Ends of the requests, and what their prompts found cached.
+/// Outcomes of the requests, and the cache reuse of their prompts.
 struct RequestOutcome {
   std::uint64_t answered = 0;
   std::uint64_t refused = 0;
-  /// Blocks of shared prefixes that some engine held when the request was admitted, and those that
-  /// the chosen engine held.
+  /// Blocks of shared prefixes that at least one engine had computed before the request was
+  /// admitted.
   std::uint64_t reusableBlocks = 0;
+  /// Those of them that the chosen engine had cached.
   std::uint64_t reusedBlocks = 0;
   std::map<base::ResultCode, std::uint64_t> refusals;
 };
@@ -63,28 +66,30 @@
   sim::Fleet& fleet() { return *fleet_; }
   const FleetSize& size() const { return size_; }
 
-  /// Starts nodes and load.
+  /// Starts the nodes and the load.
   void start();
   void runFor(base::Duration duration) { fleet_->runFor(duration); }
   void stopLoad() { loadRunning_ = false; }
 
-  /// Use by each node since its start.
+  /// Resource use of each node since its start.
   std::vector<Usage> usage();
-  /// Allocated bytes a node, since before the fleet was built.
+  /// Bytes per node allocated since before the fleet was built, without those of the engines.
   double memoryPerNode() const;
-  /// Nodes that see all other nodes, and that serve.
+  /// Number of nodes whose membership view contains all nodes as live.
   std::size_t nodesThatSeeAll();
+  /// Number of nodes that are ready to serve.
   std::size_t nodesReady();
   const RequestOutcome& outcome() const { return outcome_; }
-  /// Cache events of all engines since the start.
+  /// Cache events that all engines have published since their construction.
   std::uint64_t publishedEvents() const;
   void resetOutcome() { outcome_ = {}; }
 
-  /// An operator's change at one node, and the time until it is in force on all running nodes;
-  /// empty if that takes longer than `limit`. The fleet runs meanwhile.
+  /// Submits an operator's configuration change at one node and runs the fleet until the change is
+  /// in force on all running nodes. Returns the time that this took; empty if it took longer than
+  /// `limit`.
   std::optional<base::Duration> timeOfChange(std::size_t node, base::Duration limit);
-  /// Crashes a node, and runs on until every other running node holds it dead; empty if that takes
-  /// longer than `limit`.
+  /// Crashes a node and runs the fleet until every other running node regards it as dead. Returns
+  /// the time that this took; empty if it took longer than `limit`.
   std::optional<base::Duration> timeOfDetection(std::size_t node, base::Duration limit);
 
   std::string zoneOf(std::size_t index) const;
@@ -97,8 +102,11 @@
   sim::Location locationOf(std::size_t index) const;
   void addEngines();
   void addTemplates(sim::FleetOptions& options) const;
+  /// Template document of a tenant. `rateOffset` is added to its rate limit, so that each change
+  /// differs from the previous one.
   std::string tenantDocument(std::size_t tenant, std::uint64_t rateOffset) const;
-  /// Runs `send` this often a second, evenly with jitter, as long as there is load.
+  /// Calls `send` `perSecond` times a second, at even intervals with jitter, until the load is
+  /// stopped.
   void repeat(double perSecond, void (HollowFleet::*send)());
   void sendCompletion();
   void sendProxied();
@@ -117,7 +125,8 @@
   std::unique_ptr<sim::Fleet> fleet_;
   std::vector<std::unique_ptr<HollowEngine>> engines_;
   std::unordered_map<sim::HostId, HollowEngine*> engineByHost_;
-  /// Last shared block of each document that some engine has computed, and its last engines.
+  /// For the last block of each document, the engines that have computed it. Entries stay when the
+  /// block is evicted.
   std::unordered_map<base::BlockHash, std::vector<const HollowEngine*>> holders_;
   std::map<std::uint64_t, std::unique_ptr<Caller>> callers_;
   std::map<std::uint64_t, std::unique_ptr<ProxiedCaller>> proxiedCallers_;
@@ -127,7 +136,7 @@
   RequestOutcome outcome_;
 };
 
-/// Bytes that the process has allocated and not freed.
+/// Returns the number of bytes that the process has allocated and not freed.
 double allocatedBytes();
 
 }  // namespace covewing::capacity
--- a/src/capacity/hollow_run.cc
+++ b/src/capacity/hollow_run.cc
@@ -10,16 +10,17 @@
 namespace {
 
 constexpr double kNanosecondsPerPercent = 1e7;
+/// Limit on the wait for a change, a detection or a recovery.
 constexpr base::Duration kMaximumWait = std::chrono::seconds(60);
 constexpr base::Duration kSecond = std::chrono::seconds(1);
-/// How long a zone or region stays cut off.
+/// Time for which a zone or region stays cut off.
 constexpr base::Duration kCutDuration = std::chrono::seconds(60);
 
 double processCpuSeconds() {
   return static_cast<double>(std::clock()) / static_cast<double>(CLOCKS_PER_SEC);
 }
 
-/// Watches a disturbed fleet second by second.
+/// Measures a disturbed fleet second by second.
 class FailureMonitor {
  public:
   FailureMonitor(HollowFleet& fleet, double steadyBytesPerSecond)
--- a/src/capacity/line_fit.h
+++ b/src/capacity/line_fit.h
@@ -1,5 +1,5 @@
 /// \file
-/// Least-squares line through measured points.
+/// Least-squares line fit to measured points.
 #pragma once
 
 #include <span>
@@ -15,13 +15,14 @@
 struct LineFit {
   double slope = 0;
   double intercept = 0;
-  /// Root of the mean squared distance of the points from the line, in units of y.
+  /// Root mean square of the distances of the points from the line, in units of y.
   double residual = 0;
 
   double at(double x) const { return intercept + slope * x; }
 };
 
-/// The best line; flat through the mean where all x are equal, zero without points.
+/// Fits a line to `points`. Returns a flat line through the mean of y if all x are equal, and a
+/// zero line if there are no points.
 LineFit fitLine(std::span<const Point> points);
 
 }  // namespace covewing::capacity
--- a/src/capacity/report.cc
+++ b/src/capacity/report.cc
@@ -14,7 +14,7 @@
 
 constexpr double kBytesPerMegabyte = 1e6;
 
-/// Six digits at most, so that lines stay readable.
+/// Rounds to at most six significant digits, so that lines stay readable.
 double rounded(double value) {
   constexpr double kDigits = 6;
   if (value == 0 || !std::isfinite(value)) return 0;
--- a/src/capacity/report.h
+++ b/src/capacity/report.h
@@ -1,5 +1,5 @@
 /// \file
-/// Measured figures as JSON lines.
+/// Formats measured figures as JSON lines.
 #pragma once
 
 #include <string>
@@ -11,11 +11,14 @@
 
 namespace covewing::capacity {
 
-/// One line a figure of the slope that is not zero throughout: "slope", "metric", "per_unit",
-/// "intercept", "residual", "x", "values". Without line breaks at the ends.
+/// Returns one line per figure of the slope, without line breaks; figures that are zero in all
+/// samples are omitted. Fields: "slope", "metric", "per_unit", "intercept", "residual", "x",
+/// "values".
 std::vector<std::string> slopeLines(const Slope& slope);
-/// "budget" with its limits.
+/// Returns the line of a role's budget with the limits of a node: fields "budget", "role", the
+/// figures, their limits and "within".
 std::string budgetLine(const RoleBudget& role);
+/// Returns the line of one run of a hollow fleet.
 std::string hollowLine(const HollowResult& result);
 
 }  // namespace covewing::capacity
--- a/src/capacity/slopes.cc
+++ b/src/capacity/slopes.cc
@@ -8,6 +8,7 @@
 
 constexpr double kNanosecondsPerPercent = 1e7;
 
+/// Position of a fleet of this size on the x axis of the dimension.
 double xOf(Dimension dimension, const FleetSize& size) {
   const auto nodes = static_cast<double>(size.nodes);
   switch (dimension) {
@@ -40,7 +41,7 @@
   return fitLine(points);
 }
 
-/// Sets one dimension of a fleet to its `step`th size, from 0.
+/// Sets one dimension of `size` to the value of measurement `step`, counted from 0.
 void grow(Dimension dimension, double factor, std::size_t step, FleetSize& size) {
   const auto nodes = static_cast<double>(size.nodes);
   const auto scaled = [&](double value) { return static_cast<std::size_t>(value * factor); };
@@ -157,7 +158,7 @@
   Slope slope;
   slope.dimension = dimension;
   MeasuringTimes times;
-  // Snapshots of many blocks come in slowly.
+  // Nodes need longer to receive the snapshots of engines with many blocks.
   if (dimension == Dimension::kBlocks) times.warmUp *= 2;
   for (const FleetSize& size : sizesOf(dimension, sweep)) {
     Sample sample = measure(size, times);
--- a/src/capacity/two_year_size.h
+++ b/src/capacity/two_year_size.h
@@ -1,6 +1,7 @@
 /// \file
-/// The size that the fleet is to reach within two years, and what a node may spend on control
-/// there. From the users' aim; the share of calls that need a claim is an assumption of this page.
+/// The planned size of the fleet in two years, and the limits of a node's resource use for control
+/// at that size. The figures are the users' target, except for the share of calls that need a
+/// claim, which is an assumption.
 #pragma once
 
 namespace covewing::capacity {
@@ -16,11 +17,11 @@
 inline constexpr double kRegions = 2;
 inline constexpr double kModels = 4;
 
-/// Assumed: two in a hundred requests are calls that must run at most once.
+/// Assumption: two in a hundred requests are calls that must be executed at most once.
 inline constexpr double kClaimShare = 0.02;
 inline constexpr double kClaimsPerSecond = kRequestsPerSecond * kClaimShare;
 
-/// Limits of one node.
+/// Limits of one node's use for control.
 inline constexpr double kLimitBytesPerSecond = 14'000;
 inline constexpr double kLimitCpuPercent = 1.1;
 inline constexpr double kLimitMemoryMegabytes = 64;
--- a/src/capacity/usage.h
+++ b/src/capacity/usage.h
@@ -1,5 +1,5 @@
 /// \file
-/// What nodes spend on control: bytes by what they were sent for, processor time, memory.
+/// Resource use of nodes for control: bytes by purpose, and CPU time.
 #pragma once
 
 #include <array>
@@ -10,7 +10,8 @@
 
 namespace covewing::capacity {
 
-/// What control bytes of a node were for: the channels between nodes, then platform services.
+/// Purpose of a node's control bytes: first the channels between nodes, in the order of their
+/// numbers, then engines and platform services.
 enum class Traffic : std::uint8_t {
   kMembership,
   kConfiguration,
@@ -25,12 +26,12 @@
   kMachineList,
 };
 inline constexpr std::size_t kTrafficCount = 11;
-/// Name in reports, such as "engine_reports".
+/// Name of the purpose in reports, such as "engine_reports".
 std::string_view toString(Traffic traffic);
 
-/// Sums of one node since its start, or their differences over a time.
+/// Totals of one node since its start, or differences of such totals.
 struct Usage {
-  /// Sent and received together, network headers included.
+  /// Bytes sent plus received, including network headers, by Traffic.
   std::array<double, kTrafficCount> bytes{};
   double sentBytes = 0;
   double receivedBytes = 0;
@@ -42,12 +43,13 @@
   Usage& operator/=(double divisor);
 };
 
-/// Distribution of one figure over the nodes.
+/// Distribution of one figure over the nodes of a fleet.
 struct Spread {
   double mean = 0;
   double p99 = 0;
   double worst = 0;
 };
+/// Returns zeros if `values` is empty. `p99` is the nearest-rank quantile.
 Spread spreadOf(std::vector<double> values);
 
 }  // namespace covewing::capacity
