--- a/tests/capacity/budget_test.cc
+++ b/tests/capacity/budget_test.cc
@@ -10,7 +10,8 @@
 
 namespace {
 
-/// One byte of each kind of traffic, one percent of a core and one byte of memory a unit of x.
+/// Slopes of one byte of each kind of traffic, one percent of a core and one byte of memory per
+/// unit of x.
 Slopes unitSlopes() {
   Slopes slopes;
   for (std::size_t number = 0; number < kDimensionCount; ++number) {
--- a/tests/capacity/hollow_fleet_test.cc
+++ b/tests/capacity/hollow_fleet_test.cc
@@ -24,7 +24,7 @@
 
 BOOST_AUTO_TEST_SUITE(HollowFleetTest)
 
-BOOST_AUTO_TEST_CASE(SeesAllNodesAndAnswersRequests) {
+BOOST_AUTO_TEST_CASE(NodesSeeAllNodesAndServeRequests) {
   HollowFleet fleet(smallFleet());
   fleet.start();
   fleet.runFor(std::chrono::seconds(6));
@@ -38,7 +38,7 @@
   BOOST_TEST(fleet.outcome().reusedBlocks <= fleet.outcome().reusableBlocks);
 }
 
-BOOST_AUTO_TEST_CASE(SpreadsAChangeAndNoticesADeath) {
+BOOST_AUTO_TEST_CASE(DistributesAChangeAndDetectsACrash) {
   HollowFleet fleet(smallFleet());
   fleet.start();
   fleet.runFor(std::chrono::seconds(6));
@@ -59,7 +59,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(SpreadNamesMeanNinetyNinthPercentileAndWorst) {
+BOOST_AUTO_TEST_CASE(SpreadHasMeanNinetyNinthPercentileAndMaximum) {
   std::vector<double> values;
   for (int value = 200; value >= 1; --value) values.push_back(value);
   const Spread spread = spreadOf(values);
--- a/tests/capacity/line_fit_test.cc
+++ b/tests/capacity/line_fit_test.cc
@@ -16,15 +16,15 @@
   BOOST_TEST(fit.at(10) == 23, boost::test_tools::tolerance(1e-12));
 }
 
-BOOST_AUTO_TEST_CASE(TellsTheDistanceFromTheLine) {
-  // The best line is y = 1; two points lie 1 off, two on the other side.
+BOOST_AUTO_TEST_CASE(ResidualIsTheDistanceFromTheLine) {
+  // The best line is y = 1; two points lie 1 below it and two points 1 above it.
   const std::array<Point, 4> points = {{{0, 0}, {1, 2}, {1, 0}, {0, 2}}};
   const LineFit fit = fitLine(points);
   BOOST_TEST(fit.slope == 0, boost::test_tools::tolerance(1e-12));
   BOOST_TEST(fit.residual == 1, boost::test_tools::tolerance(1e-12));
 }
 
-BOOST_AUTO_TEST_CASE(IsFlatWithoutASpreadOfX) {
+BOOST_AUTO_TEST_CASE(IsFlatIfAllXAreEqual) {
   const std::array<Point, 2> points = {{{3, 4}, {3, 6}}};
   const LineFit fit = fitLine(points);
   BOOST_TEST(fit.slope == 0);
