--- a/src/bench/arrival_process.cc
+++ b/src/bench/arrival_process.cc
@@ -41,15 +41,16 @@
 std::vector<Duration> drawArrivalTimes(base::RandomSource& random, const PeakEnvelope& envelope,
                                        const std::vector<Burst>& bursts, const ArrivalRate& rate) {
   std::vector<Duration> times;
-  const double highest = rate.peak * std::max(1.0, rate.burstFactor);
-  if (highest <= 0) return times;
-  const Duration mean{static_cast<Duration::rep>(kMicrosecondsPerSecond / highest)};
-  // Thinning: candidates at the highest rate, each kept with the share of the rate at its time.
+  const double maximumRate = rate.peak * std::max(1.0, rate.burstFactor);
+  if (maximumRate <= 0) return times;
+  const Duration mean{static_cast<Duration::rep>(kMicrosecondsPerSecond / maximumRate)};
+  // Thinning: draws candidates at the maximum rate and keeps each with a probability equal to the
+  // ratio of the rate at its time to the maximum rate.
   for (Duration time = drawExponential(random, mean); time < envelope.duration;
        time += drawExponential(random, mean)) {
     const double factor = within(bursts, time) ? rate.burstFactor : 1.0;
     const double current = rate.peak * envelope.at(time) * factor;
-    if (drawChance(random, current / highest)) times.push_back(time);
+    if (drawChance(random, current / maximumRate)) times.push_back(time);
   }
   return times;
 }
--- a/src/bench/cache_ground_truth.cc
+++ b/src/bench/cache_ground_truth.cc
@@ -9,8 +9,8 @@
 
 namespace {
 
-double ratio(std::uint64_t part, std::uint64_t whole) {
-  return whole == 0 ? 0 : static_cast<double>(part) / static_cast<double>(whole);
+double ratio(std::uint64_t numerator, std::uint64_t denominator) {
+  return denominator == 0 ? 0 : static_cast<double>(numerator) / static_cast<double>(denominator);
 }
 
 }  // namespace
--- a/src/bench/draw.h
+++ b/src/bench/draw.h
@@ -16,10 +16,10 @@
 inline std::size_t drawIndex(base::RandomSource& random, std::span<const double> weights) {
   double total = 0;
   for (const double weight : weights) total += weight;
-  double left = random.unit() * total;
+  double remaining = random.unit() * total;
   for (std::size_t index = 0; index < weights.size(); ++index) {
-    left -= weights[index];
-    if (left < 0) return index;
+    remaining -= weights[index];
+    if (remaining < 0) return index;
   }
   return weights.empty() ? 0 : weights.size() - 1;
 }
--- a/src/bench/experiment.cc
+++ b/src/bench/experiment.cc
@@ -35,7 +35,7 @@
 
 Duration fromMilliseconds(double milliseconds) { return fromSeconds(milliseconds / 1000.0); }
 
-bool lacksCapacity(ResultCode code) {
+bool isCapacityRefusal(ResultCode code) {
   switch (code) {
     case ResultCode::kShed:
     case ResultCode::kDeadlineUnreachable:
@@ -78,12 +78,12 @@
  protected:
   sim::CallRecord& record() { return history_.history().calls[record_]; }
   Duration elapsed() const { return scheduler_.now() - startedAt_; }
-  void taken(const base::RequestId& id, base::Incarnation incarnation) {
+  void recordAccepted(const base::RequestId& id, base::Incarnation incarnation) {
     record().requestId = id;
     record().nodeIncarnation = incarnation;
   }
   /// False where the call was over before.
-  bool end(sim::CallEnding ending) {
+  bool endCall(sim::CallEnding ending) {
     sim::CallRecord& call = record();
     if (call.ending != sim::CallEnding::kOpen) {
       ++call.callsAfterEnd;
@@ -112,26 +112,26 @@
  public:
   using RecordedCall::RecordedCall;
   void onTaken(const base::RequestId& id, base::Incarnation incarnation) override {
-    taken(id, incarnation);
+    recordAccepted(id, incarnation);
   }
   void onChunk(const clients::StreamChunk& chunk) override {
     if (record().ending != sim::CallEnding::kOpen) ++record().callsAfterEnd;
     if (record().chunks.empty()) recorder_.onFirstChunk(arrival_, elapsed());
     record().chunks.push_back({chunk.position, chunk.text});
   }
-  void onEnd(const clients::StreamEnd& got) override {
-    if (!end(sim::CallEnding::kComplete)) return;
-    record().end = got;
+  void onEnd(const clients::StreamEnd& streamEnd) override {
+    if (!endCall(sim::CallEnding::kComplete)) return;
+    record().end = streamEnd;
     recorder_.onAnswered(arrival_, elapsed());
   }
   void onRefused(const request::Refusal& refusal) override {
-    if (!end(sim::CallEnding::kRefused)) return;
+    if (!endCall(sim::CallEnding::kRefused)) return;
     record().refusal = refusal;
     const bool started = !record().chunks.empty();
     started ? recorder_.onFailed(arrival_) : recorder_.onRefused(arrival_, refusal);
   }
   void onNodeLost() override {
-    if (end(sim::CallEnding::kNodeLost)) recorder_.onFailed(arrival_);
+    if (endCall(sim::CallEnding::kNodeLost)) recorder_.onFailed(arrival_);
   }
 };
 
@@ -139,21 +139,21 @@
  public:
   using RecordedCall::RecordedCall;
   void onTaken(const base::RequestId& id, base::Incarnation incarnation) override {
-    taken(id, incarnation);
+    recordAccepted(id, incarnation);
   }
   void onResponse(const clients::ApplicationResponse& response) override {
-    if (!end(sim::CallEnding::kComplete)) return;
+    if (!endCall(sim::CallEnding::kComplete)) return;
     record().answeredRequestId = response.requestId;
     record().answerBody = response.body;
     recorder_.onAnswered(arrival_, elapsed());
   }
   void onRefused(const request::Refusal& refusal) override {
-    if (!end(sim::CallEnding::kRefused)) return;
+    if (!endCall(sim::CallEnding::kRefused)) return;
     record().refusal = refusal;
     recorder_.onRefused(arrival_, refusal);
   }
   void onNodeLost() override {
-    if (end(sim::CallEnding::kNodeLost)) recorder_.onFailed(arrival_);
+    if (endCall(sim::CallEnding::kNodeLost)) recorder_.onFailed(arrival_);
   }
 };
 
@@ -188,10 +188,10 @@
   ResourceReading readResources();
 
   // Results.
-  bool measured(const Arrival& arrival) const;
+  bool isMeasured(const Arrival& arrival) const;
   template <class Change>
   void count(const Arrival& arrival, Change change);
-  void noteShift(const Arrival& arrival, Duration after);
+  void recordShift(const Arrival& arrival, Duration after);
   void finishResult();
   void countViolations();
 
@@ -451,13 +451,13 @@
   return calls.size() - 1;
 }
 
-bool Experiment::measured(const Arrival& arrival) const {
+bool Experiment::isMeasured(const Arrival& arrival) const {
   return arrival.at >= warmup_ && arrival.at < warmup_ + measuredTime_;
 }
 
 template <class Change>
 void Experiment::count(const Arrival& arrival, Change change) {
-  if (!measured(arrival)) return;
+  if (!isMeasured(arrival)) return;
   change(result_.all);
   change(result_.classes.at(static_cast<std::size_t>(arrival.priority)));
   change(result_.labels[arrival.label]);
@@ -466,10 +466,10 @@
 void Experiment::onFirstChunk(const Arrival& arrival, Duration after) {
   count(arrival,
         [after](CallCounts& counts) { counts.firstToken.add(base::toMilliseconds(after)); });
-  noteShift(arrival, after);
+  recordShift(arrival, after);
 }
 
-void Experiment::noteShift(const Arrival& arrival, Duration after) {
+void Experiment::recordShift(const Arrival& arrival, Duration after) {
   if (shiftAt_ == Duration::zero() || arrival.label != "ruling") return;
   const auto second =
       static_cast<int>(std::chrono::floor<std::chrono::seconds>(arrival.at - shiftAt_).count());
@@ -484,7 +484,7 @@
 }
 
 void Experiment::onRefused(const Arrival& arrival, const request::Refusal& refusal) {
-  const bool capacity = lacksCapacity(refusal.reason.code);
+  const bool capacityRefusal = isCapacityRefusal(refusal.reason.code);
   bool lowerRan = false;
   for (std::size_t lower = static_cast<std::size_t>(arrival.priority) + 1;
        lower < base::kPriorityClassCount; ++lower) {
@@ -492,10 +492,10 @@
   }
   count(arrival, [&](CallCounts& counts) {
     ++counts.refused;
-    if (capacity) ++counts.shed;
-    if (capacity && lowerRan) ++counts.refusedWhileLowerRan;
+    if (capacityRefusal) ++counts.shed;
+    if (capacityRefusal && lowerRan) ++counts.refusedWhileLowerRan;
   });
-  if (measured(arrival)) ++result_.refusals[refusal.reason.code];
+  if (isMeasured(arrival)) ++result_.refusals[refusal.reason.code];
 }
 
 void Experiment::onFailed(const Arrival& arrival) {
--- a/src/bench/markets_workload.cc
+++ b/src/bench/markets_workload.cc
@@ -38,8 +38,8 @@
 constexpr std::uint32_t kRegions = 4;
 constexpr std::uint32_t kRegionTokens = 2'500;
 constexpr std::uint32_t kTenantTokens = 600;
-constexpr std::uint32_t kShortestStock = 600;
-constexpr std::uint32_t kLongestStock = 2'400;
+constexpr std::uint32_t kMinimumStockTokens = 600;
+constexpr std::uint32_t kMaximumStockTokens = 2'400;
 constexpr std::uint32_t kReadQuestionTokens = 80;
 constexpr std::uint32_t kReadAnswerTokens = 220;
 constexpr std::uint32_t kLabelGuideTokens = 2'500;
@@ -58,12 +58,12 @@
 constexpr double kPaymentChecks = 7.0;
 
 constexpr double kFollowUpChance = 0.4;
-constexpr Duration kFollowUpShortest = seconds(4);
-constexpr Duration kFollowUpMean = seconds(12);
+constexpr Duration kMinimumFollowUpDelay = seconds(4);
+constexpr Duration kMeanExtraFollowUpDelay = seconds(12);
 
 /// Stallholders of one market open together.
 constexpr Duration kOpeningGap = seconds(15);
-constexpr Duration kOpening = seconds(3);
+constexpr Duration kOpeningLength = seconds(3);
 
 constexpr std::array kZoneWeights = {0.40, 0.35, 0.25};
 
@@ -93,16 +93,16 @@
       markets_.push_back(drawMarket(shape));
     }
     const PeakEnvelope envelope{.duration = options_.duration};
-    const auto openings = drawBursts(random_, options_.duration, kOpeningGap, kOpening);
-    const auto each = [&](double peak, double burstFactor, auto add) {
+    const auto openings = drawBursts(random_, options_.duration, kOpeningGap, kOpeningLength);
+    const auto addCalls = [&](double peak, double burstFactor, auto add) {
       const ArrivalRate rate{peak * options_.load, burstFactor};
       for (const Duration at : drawArrivalTimes(random_, envelope, openings, rate)) add(at);
     };
-    each(kFirstReads * options_.lowerLoad, 1.8, [this](Duration at) { addReads(at); });
-    each(kLabelQuestions, 1.5, [this](Duration at) { addLabelQuestion(at); });
-    each(kSummaries * options_.lowerLoad, 1.0, [this](Duration at) { addSummary(at); });
-    each(kPitchMapReads, 2.0, [this](Duration at) { addPitchMapRead(at); });
-    each(kPaymentChecks, 1.5, [this](Duration at) { addPaymentCheck(at); });
+    addCalls(kFirstReads * options_.lowerLoad, 1.8, [this](Duration at) { addReads(at); });
+    addCalls(kLabelQuestions, 1.5, [this](Duration at) { addLabelQuestion(at); });
+    addCalls(kSummaries * options_.lowerLoad, 1.0, [this](Duration at) { addSummary(at); });
+    addCalls(kPitchMapReads, 2.0, [this](Duration at) { addPitchMapRead(at); });
+    addCalls(kPaymentChecks, 1.5, [this](Duration at) { addPaymentCheck(at); });
     sortArrivals(workload_.arrivals);
     return std::move(workload_);
   }
@@ -145,7 +145,7 @@
     for (std::uint32_t index = 0; index < shape.stalls; ++index) {
       Stall stall;
       stall.region = static_cast<std::uint32_t>(random_.below(kRegions));
-      stall.stock.push_back(text(drawBetween(random_, kShortestStock, kLongestStock)));
+      stall.stock.push_back(text(drawBetween(random_, kMinimumStockTokens, kMaximumStockTokens)));
       market.stalls.push_back(std::move(stall));
     }
     return market;
@@ -165,14 +165,14 @@
   }
 
   Arrival& addArrival(std::string_view label, Duration at, std::uint32_t tenant,
-                      PriorityClass wanted) {
+                      PriorityClass requestedPriority) {
     Arrival& arrival = workload_.arrivals.emplace_back();
     arrival.at = at;
     arrival.label = label;
     arrival.tenant = tenant;
     arrival.zone = static_cast<std::uint32_t>(drawIndex(random_, kZoneWeights)) % options_.zones;
     arrival.nodeDraw = static_cast<std::uint32_t>(random_.below(1U << 16U));
-    arrival.priority = std::max(wanted, kTenants[tenant].priority);
+    arrival.priority = std::max(requestedPriority, kTenants[tenant].priority);
     return arrival;
   }
 
@@ -184,7 +184,7 @@
     while (at < options_.duration) {
       addRead(at, tenant, market, stall);
       if (!drawChance(random_, kFollowUpChance)) return;
-      at += kFollowUpShortest + drawExponential(random_, kFollowUpMean);
+      at += kMinimumFollowUpDelay + drawExponential(random_, kMeanExtraFollowUpDelay);
     }
   }
 
--- a/src/bench/oracle_policy.cc
+++ b/src/bench/oracle_policy.cc
@@ -11,7 +11,7 @@
 
 namespace {
 /// A request that has not arrived by then never will.
-constexpr Duration kLongestWay = std::chrono::seconds(1);
+constexpr Duration kMaximumTransit = std::chrono::seconds(1);
 /// Expected wait for memory where an engine cannot start the request at once.
 constexpr Duration kMemoryWait = std::chrono::milliseconds(500);
 /// A block that so many prompts contained is worth keeping in the store.
@@ -38,21 +38,22 @@
              static_cast<Duration::rep>(steps);
 }
 
-OracleKnowledge::Estimate OracleKnowledge::estimate(Known& known, const routing::RouteQuery& query,
+OracleKnowledge::Estimate OracleKnowledge::estimate(EngineEntry& entry,
+                                                    const routing::RouteQuery& query,
                                                     std::uint32_t storedBlocks) const {
-  const emulator::EngineModel& model = *known.engine.model;
+  const emulator::EngineModel& model = *entry.engine.model;
   const clients::EngineLoad load = model.currentLoad();
-  std::erase_if(known.inFlight, [this](const InFlight& request) {
-    return scheduler_.now() - request.sentAt > kLongestWay;
+  std::erase_if(entry.inFlight, [this](const InFlight& request) {
+    return scheduler_.now() - request.sentAt > kMaximumTransit;
   });
-  std::uint64_t ahead = 0;
+  std::uint64_t tokensAhead = 0;
   std::uint32_t waiting = 0;
   for (std::size_t index = 0; index <= static_cast<std::size_t>(query.priority); ++index) {
-    ahead += load.queuedPrefillTokens.at(index);
+    tokensAhead += load.queuedPrefillTokens.at(index);
     waiting += load.waiting.at(index);
   }
-  for (const InFlight& request : known.inFlight) {
-    if (request.priority <= query.priority) ahead += request.tokens;
+  for (const InFlight& request : entry.inFlight) {
+    if (request.priority <= query.priority) tokensAhead += request.tokens;
   }
   Estimate estimate;
   estimate.cachedBlocks = model.cachedLeadingBlocks(*query.chain);
@@ -62,7 +63,7 @@
     const std::uint32_t imported = storedBlocks - estimate.cachedBlocks;
     const Duration importTime =
         store_->backlog() + storeOptions_.latency + storeOptions_.perBlock * imported;
-    const Duration saved = computeTime(known.engine, imported * prefix::kTokensPerBlock, 0);
+    const Duration saved = computeTime(entry.engine, imported * prefix::kTokensPerBlock, 0);
     if (importTime < saved) {
       estimate.importBlocks = storedBlocks;
       reusedBlocks = storedBlocks;
@@ -73,14 +74,16 @@
       std::min<std::uint64_t>(query.promptTokens, reusedBlocks * prefix::kTokensPerBlock);
   estimate.computedTokens = query.promptTokens - reused;
   const std::uint32_t decoding = load.running;
-  const Duration own = computeTime(known.engine, estimate.computedTokens, decoding);
-  const Duration queue = ahead == 0 ? Duration::zero() : computeTime(known.engine, ahead, decoding);
-  estimate.firstToken = queue + transfer + own;
+  const Duration ownComputeTime = computeTime(entry.engine, estimate.computedTokens, decoding);
+  const Duration queueTime =
+      tokensAhead == 0 ? Duration::zero() : computeTime(entry.engine, tokensAhead, decoding);
+  estimate.firstToken = queueTime + transfer + ownComputeTime;
   const auto needed = static_cast<std::uint32_t>(query.chain->size()) - estimate.cachedBlocks;
-  const bool memoryFree = waiting == 0 && model.cache().canReserve(needed, estimate.cachedBlocks);
-  if (!memoryFree) estimate.firstToken += kMemoryWait;
+  const bool memoryAvailable =
+      waiting == 0 && model.cache().canReserve(needed, estimate.cachedBlocks);
+  if (!memoryAvailable) estimate.firstToken += kMemoryWait;
   estimate.cost = base::toSeconds(estimate.firstToken) +
-                  options_.computeWeight * base::toSeconds(own + transfer);
+                  options_.computeWeight * base::toSeconds(ownComputeTime + transfer);
   return estimate;
 }
 
@@ -91,11 +94,11 @@
   const routing::EngineState* best = nullptr;
   Estimate bestEstimate;
   for (const routing::EngineState& engine : fleet.engines()) {
-    const auto known = engines_.find(engine.address.id);
-    if (known == engines_.end() || !routing::qualifies(engine, query)) continue;
-    const emulator::EngineModel& model = *known->second.engine.model;
+    const auto entry = engines_.find(engine.address.id);
+    if (entry == engines_.end() || !routing::qualifies(engine, query)) continue;
+    const emulator::EngineModel& model = *entry->second.engine.model;
     if (!model.isUp() || model.isPaused() || model.isLeaving()) continue;
-    const Estimate candidate = estimate(known->second, query, storedBlocks);
+    const Estimate candidate = estimate(entry->second, query, storedBlocks);
     if (best != nullptr && candidate.cost >= bestEstimate.cost) continue;
     best = &engine;
     bestEstimate = candidate;
@@ -104,7 +107,7 @@
     decision.reason = {base::ResultCode::kNoBackEnd, "no engine qualifies"};
     return decision;
   }
-  Known& chosen = engines_.at(best->address.id);
+  EngineEntry& chosen = engines_.at(best->address.id);
   chosen.inFlight.push_back(
       {query.requestId.value, query.priority, bestEstimate.computedTokens, scheduler_.now()});
   decision.engine = best->address.id;
@@ -129,9 +132,9 @@
 }
 
 void OracleKnowledge::onAccepted(base::EngineId engine, const base::RequestId& request) {
-  const auto known = engines_.find(engine);
-  if (known == engines_.end()) return;
-  std::erase_if(known->second.inFlight,
+  const auto entry = engines_.find(engine);
+  if (entry == engines_.end()) return;
+  std::erase_if(entry->second.inFlight,
                 [&](const InFlight& sent) { return sent.request == request.value; });
 }
 
--- a/src/bench/oracle_policy.h
+++ b/src/bench/oracle_policy.h
@@ -53,7 +53,7 @@
     std::uint64_t tokens;
     base::TimePoint sentAt;
   };
-  struct Known {
+  struct EngineEntry {
     OracleEngine engine;
     std::vector<InFlight> inFlight;
   };
@@ -65,7 +65,7 @@
     std::uint64_t computedTokens = 0;
   };
 
-  Estimate estimate(Known& known, const routing::RouteQuery& query,
+  Estimate estimate(EngineEntry& entry, const routing::RouteQuery& query,
                     std::uint32_t storedBlocks) const;
   static base::Duration computeTime(const OracleEngine& engine, std::uint64_t tokens,
                                     std::uint32_t decoding);
@@ -73,7 +73,7 @@
 
   OracleOptions options_;
   const sim::Scheduler& scheduler_;
-  std::map<base::EngineId, Known> engines_;
+  std::map<base::EngineId, EngineEntry> engines_;
   const emulator::KeptCacheStoreModel* store_;
   emulator::KeptCacheStoreOptions storeOptions_;
   /// How often a block was part of a prompt; only looked up, never iterated.
--- a/src/bench/report.cc
+++ b/src/bench/report.cc
@@ -51,14 +51,14 @@
     return requests > 0 ? sum / requests : 0.0;
   };
   constexpr int kSteadySeconds = 15;
-  constexpr int kBackAfter = 2;
-  constexpr int kBackWindow = 5;
+  constexpr int kRecoveryBegin = 2;
+  constexpr int kRecoveryWindow = 5;
   const double steady = mean(-kSteadySeconds, 0);
-  const double back = mean(kBackAfter, kBackAfter + kBackWindow);
+  const double recovered = mean(kRecoveryBegin, kRecoveryBegin + kRecoveryWindow);
   json["shift_steady_ttft_mean_ms"] = milliseconds(steady);
-  json["shift_first_2s_ttft_mean_ms"] = milliseconds(mean(0, kBackAfter));
-  json["shift_2s_to_7s_ttft_mean_ms"] = milliseconds(back);
-  json["shift_2s_to_7s_over_steady"] = share(steady > 0 ? back / steady : 0);
+  json["shift_first_2s_ttft_mean_ms"] = milliseconds(mean(0, kRecoveryBegin));
+  json["shift_2s_to_7s_ttft_mean_ms"] = milliseconds(recovered);
+  json["shift_2s_to_7s_over_steady"] = share(steady > 0 ? recovered / steady : 0);
 }
 
 }  // namespace
@@ -185,8 +185,8 @@
     }
     const std::string scenario = line.value("scenario", "");
     const std::string policy = line.value("policy", "");
-    auto row = std::find_if(rows.begin(), rows.end(), [&](const PolicyRow& known) {
-      return known.scenario == scenario && known.policy == policy;
+    auto row = std::find_if(rows.begin(), rows.end(), [&](const PolicyRow& candidate) {
+      return candidate.scenario == scenario && candidate.policy == policy;
     });
     if (row == rows.end()) {
       rows.emplace_back();
--- a/src/bench/tournaments_workload.cc
+++ b/src/bench/tournaments_workload.cc
@@ -50,8 +50,8 @@
 constexpr std::uint32_t kEventTokens = 2'500;
 constexpr std::uint32_t kHouseRuleTokens = 800;
 constexpr std::uint32_t kTablesPerEvent = 40;
-constexpr std::uint32_t kShortestHistory = 1'200;
-constexpr std::uint32_t kLongestHistory = 4'000;
+constexpr std::uint32_t kMinimumHistoryTokens = 1'200;
+constexpr std::uint32_t kMaximumHistoryTokens = 4'000;
 constexpr std::uint32_t kQuestionTokens = 120;
 constexpr std::uint32_t kAnswerTokens = 220;
 constexpr std::uint32_t kDeckGuideTokens = 900;
@@ -72,11 +72,11 @@
 constexpr double kStandingsPosts = 3.0;
 
 constexpr double kFollowUpChance = 0.45;
-constexpr Duration kFollowUpShortest = seconds(3);
-constexpr Duration kFollowUpMean = seconds(8);
+constexpr Duration kMinimumFollowUpDelay = seconds(3);
+constexpr Duration kMeanExtraFollowUpDelay = seconds(8);
 
 constexpr Duration kRoundGap = seconds(12);
-constexpr Duration kRoundEnd = seconds(2);
+constexpr Duration kRoundEndLength = seconds(2);
 
 /// Where the callers are.
 constexpr std::array kZoneWeights = {0.45, 0.30, 0.25};
@@ -110,18 +110,18 @@
     drawDocuments();
     drawTenants();
     const PeakEnvelope envelope{.duration = options_.duration};
-    const auto rounds = drawBursts(random_, options_.duration, kRoundGap, kRoundEnd);
-    const auto each = [&](double peak, double burstFactor, auto add) {
+    const auto rounds = drawBursts(random_, options_.duration, kRoundGap, kRoundEndLength);
+    const auto addCalls = [&](double peak, double burstFactor, auto add) {
       const ArrivalRate rate{peak * options_.load, burstFactor};
       for (const Duration at : drawArrivalTimes(random_, envelope, rounds, rate)) add(at);
     };
-    each(kFirstRulings, 1.6, [this](Duration at) { addRulings(at); });
-    each(kDeckChecks * options_.lowerLoad, 3.0, [this](Duration at) { addDeckCheck(at); });
-    each(kPlayerQuestions * options_.lowerLoad, 1.0,
-         [this](Duration at) { addPlayerQuestion(at); });
-    each(kMatchReports * options_.lowerLoad, 2.0, [this](Duration at) { addMatchReport(at); });
-    each(kPageReads, 2.0, [this](Duration at) { addPageRead(at); });
-    each(kStandingsPosts, 3.0, [this](Duration at) { addStandingsPost(at); });
+    addCalls(kFirstRulings, 1.6, [this](Duration at) { addRulings(at); });
+    addCalls(kDeckChecks * options_.lowerLoad, 3.0, [this](Duration at) { addDeckCheck(at); });
+    addCalls(kPlayerQuestions * options_.lowerLoad, 1.0,
+             [this](Duration at) { addPlayerQuestion(at); });
+    addCalls(kMatchReports * options_.lowerLoad, 2.0, [this](Duration at) { addMatchReport(at); });
+    addCalls(kPageReads, 2.0, [this](Duration at) { addPageRead(at); });
+    addCalls(kStandingsPosts, 3.0, [this](Duration at) { addStandingsPost(at); });
     sortArrivals(workload_.arrivals);
     return std::move(workload_);
   }
@@ -175,7 +175,8 @@
     event.text = text(kEventTokens);
     event.format = text(kFormatTokens);
     for (std::uint32_t table = 0; table < kTablesPerEvent; ++table) {
-      event.tables.push_back({{text(drawBetween(random_, kShortestHistory, kLongestHistory))}});
+      event.tables.push_back(
+          {{text(drawBetween(random_, kMinimumHistoryTokens, kMaximumHistoryTokens))}});
     }
     return event;
   }
@@ -198,16 +199,17 @@
     return organiser.events[drawIndex(random_, organiser.eventWeights)];
   }
 
-  /// A call with its caller; its class is the wanted one or the best that the tenant has bought.
+  /// Adds a call with a random caller zone. Its class is the requested one, or the tenant's highest
+  /// class if the requested one is higher.
   Arrival& addArrival(std::string_view label, Duration at, std::uint32_t tenant,
-                      PriorityClass wanted) {
+                      PriorityClass requestedPriority) {
     Arrival& arrival = workload_.arrivals.emplace_back();
     arrival.at = at;
     arrival.label = label;
     arrival.tenant = tenant;
     arrival.zone = static_cast<std::uint32_t>(drawIndex(random_, kZoneWeights)) % options_.zones;
     arrival.nodeDraw = static_cast<std::uint32_t>(random_.below(1U << 16U));
-    arrival.priority = std::max(wanted, kTenants[tenant].priority);
+    arrival.priority = std::max(requestedPriority, kTenants[tenant].priority);
     return arrival;
   }
 
@@ -219,7 +221,7 @@
     while (at < options_.duration) {
       addRuling(at, tenant, event, table);
       if (!drawChance(random_, kFollowUpChance)) return;
-      at += kFollowUpShortest + drawExponential(random_, kFollowUpMean);
+      at += kMinimumFollowUpDelay + drawExponential(random_, kMeanExtraFollowUpDelay);
     }
   }
 
