--- a/src/bench/arrival_process.cc
+++ b/src/bench/arrival_process.cc
@@ -10,6 +10,7 @@
 
 namespace {
 
+/// Share of the run over which the rate rises to the peak.
 constexpr double kRiseShare = 0.25;
 constexpr double kMicrosecondsPerSecond = 1e6;
 
--- a/src/bench/arrival_process.h
+++ b/src/bench/arrival_process.h
@@ -9,14 +9,15 @@
 
 namespace covewing::bench {
 
-/// A period in which callers come together, such as the end of a round.
+/// A period with a raised rate of calls, such as the end of a round, when many callers call at the
+/// same time. Times are from the start of the workload.
 struct Burst {
   base::Duration begin{};
   base::Duration end{};
 };
 
-/// The rate over the run as a share of the peak: rises linearly to 1 within the first quarter and
-/// stays there.
+/// The rate over the run as a share of the peak rate. It rises linearly from `startShare` to 1
+/// within the first quarter of the run and stays at 1.
 struct PeakEnvelope {
   base::Duration duration{};
   double startShare = 0.6;
@@ -24,18 +25,19 @@
   double at(base::Duration time) const;
 };
 
-/// Bursts of `length` with exponentially distributed gaps of mean `gap`, none closer than `length`.
+/// Draws bursts of `length`. The gap between two bursts is at least `length`, plus an exponentially
+/// distributed time of mean `gap`.
 std::vector<Burst> drawBursts(base::RandomSource& random, base::Duration duration,
                               base::Duration gap, base::Duration length);
 
 struct ArrivalRate {
-  /// Calls a second at the peak, outside of bursts.
+  /// Calls per second at the peak, outside of bursts.
   double peak = 0;
-  /// Factor on the rate within bursts.
+  /// Factor by which the rate is multiplied within bursts.
   double burstFactor = 1.0;
 };
 
-/// Times of calls over the envelope's duration, ascending.
+/// Draws the times of calls over the envelope's duration, in ascending order.
 std::vector<base::Duration> drawArrivalTimes(base::RandomSource& random,
                                              const PeakEnvelope& envelope,
                                              const std::vector<Burst>& bursts,
--- a/src/bench/cache_ground_truth.h
+++ b/src/bench/cache_ground_truth.h
@@ -1,5 +1,6 @@
 /// \file
-/// What engines really had cached and really reused, for the hit rate and wasted recomputation.
+/// Records the actual cache contents of engines and their actual reuse, from which the hit rate and
+/// the wasted recomputation are computed.
 #pragma once
 
 #include <array>
@@ -17,40 +18,44 @@
 
 namespace covewing::bench {
 
-/// Sums over the executions that started while measuring, in tokens.
+/// Totals in tokens over the executions that started during the measured period.
 struct ReuseTotals {
+  /// Number of executions, not tokens.
   std::uint64_t executions = 0;
   std::uint64_t prompt = 0;
-  /// Found in the engine's own memory.
+  /// Reused from the engine's own memory.
   std::uint64_t local = 0;
-  /// Taken from the store of kept KV cache.
+  /// Imported from the store of kept KV cache.
   std::uint64_t imported = 0;
-  /// What a perfect index could have had reused: the longest leading run of the prompt's blocks
-  /// in any one live engine, or what was reused where that is more.
+  /// Tokens that a perfect index would have allowed to reuse: the maximum number of leading blocks
+  /// of the prompt that any one live engine had cached, or the reused tokens if these are more.
   std::uint64_t reusable = 0;
-  /// Computed.
+  /// Computed by prefill.
   std::uint64_t prefilled = 0;
-  /// Computed although some live engine had them.
+  /// Computed although a live engine had them cached.
   std::uint64_t wasted = 0;
-  /// Put out by engines.
+  /// Output tokens that engines generated.
   std::uint64_t generated = 0;
 
   std::uint64_t reused() const { return local + imported; }
+  /// Reused tokens per reusable token; 0 if there are none.
   double hitRate() const;
+  /// Wasted tokens per prefilled token; 0 if there are none.
   double wastedRatio() const;
+  /// Reused tokens per prompt token; 0 if there are none.
   double reusedShare() const;
 };
 
 class CacheGroundTruth final : public emulator::ExecutionObserver {
  public:
-  /// Most engines of a fleet: one bit of a mask each.
+  /// Maximum number of engines of a fleet, as each has one bit of a 64-bit mask.
   static constexpr std::size_t kMaximumEngines = 64;
 
   explicit CacheGroundTruth(std::span<const base::EngineId> engines);
 
   void setMeasuring(bool measuring) { measuring_ = measuring; }
   const ReuseTotals& totals() const { return totals_; }
-  /// Accepted executions that are not over, over all engines.
+  /// Number of accepted executions of the class that have not ended, over all engines.
   std::uint32_t running(base::PriorityClass priority) const {
     return running_.at(static_cast<std::size_t>(priority));
   }
@@ -58,7 +63,7 @@
   void setOnAccepted(std::function<void(const emulator::ExecutionRecord&)> callback) {
     onAccepted_ = std::move(callback);
   }
-  /// Leading blocks of the chain in the engine that has most of them.
+  /// Maximum number of leading blocks of the chain that any one engine has cached.
   std::uint32_t bestLeadingBlocks(std::span<const base::BlockHash> chain) const;
 
   void onAccepted(const emulator::ExecutionRecord& record) override;
@@ -76,7 +81,7 @@
   EngineMask maskOf(base::EngineId engine) const;
 
   std::map<base::EngineId, EngineMask> masks_;
-  /// Which engines hold a block. Never iterated where order matters.
+  /// Engines that have a block cached. Never iterated where the order matters.
   std::unordered_map<base::BlockHash, EngineMask> holders_;
   std::array<std::uint32_t, base::kPriorityClassCount> running_{};
   std::function<void(const emulator::ExecutionRecord&)> onAccepted_;
--- a/src/bench/draw.h
+++ b/src/bench/draw.h
@@ -1,6 +1,6 @@
 /// \file
-/// Draws from distributions, computed from uniform numbers so that equal seeds give equal
-/// workloads.
+/// Random draws from distributions. They are computed from uniform numbers, so that equal seeds
+/// give equal workloads.
 #pragma once
 
 #include <cmath>
@@ -12,7 +12,7 @@
 
 namespace covewing::bench {
 
-/// Index drawn with probability proportional to its weight; 0 for no weights.
+/// Draws an index with a probability proportional to its weight; returns 0 if there are no weights.
 inline std::size_t drawIndex(base::RandomSource& random, std::span<const double> weights) {
   double total = 0;
   for (const double weight : weights) total += weight;
@@ -24,19 +24,20 @@
   return weights.empty() ? 0 : weights.size() - 1;
 }
 
-/// Uniform in [low, high].
+/// Draws from the uniform distribution on [low, high].
 inline std::uint32_t drawBetween(base::RandomSource& random, std::uint32_t low,
                                  std::uint32_t high) {
   return low + static_cast<std::uint32_t>(random.below(high - low + 1ULL));
 }
 
-/// Exponentially distributed.
+/// Draws from the exponential distribution with this mean.
 inline base::Duration drawExponential(base::RandomSource& random, base::Duration mean) {
   const double factor = -std::log(1.0 - random.unit());
   return base::Duration{
       static_cast<base::Duration::rep>(static_cast<double>(mean.count()) * factor)};
 }
 
+/// Returns true with this probability.
 inline bool drawChance(base::RandomSource& random, double probability) {
   return random.unit() < probability;
 }
--- a/src/bench/experiment.cc
+++ b/src/bench/experiment.cc
@@ -24,9 +24,10 @@
 constexpr std::uint32_t kApplicationReplicas = 3;
 constexpr double kMicrosecondsPerSecond = 1e6;
 constexpr double kNanosecondsPerMicrosecond = 1e3;
-/// Longest wait for the nodes to have their configuration and to see the engines.
+/// Time from the start of the fleet to the start of the workload, in which the nodes load their
+/// configuration and discover the engines.
 constexpr Duration kStartTime = std::chrono::seconds(4);
-/// After the last call, for answers still to come.
+/// Time that the run continues after the end of the workload, for responses still in progress.
 constexpr Duration kDrainTime = std::chrono::seconds(20);
 
 Duration fromSeconds(double seconds) {
@@ -35,6 +36,7 @@
 
 Duration fromMilliseconds(double milliseconds) { return fromSeconds(milliseconds / 1000.0); }
 
+/// True for the codes of refusals for lack of capacity.
 bool isCapacityRefusal(ResultCode code) {
   switch (code) {
     case ResultCode::kShed:
@@ -47,13 +49,13 @@
   }
 }
 
-/// Sums of one moment, of which a run reports differences.
+/// Totals over all nodes at one time. The report is computed from the difference of two readings.
 struct ResourceReading {
   std::uint64_t controlBytes = 0;
   std::uint64_t cpuNanoseconds = 0;
 };
 
-/// Where the answer of one call goes.
+/// Receives the results of calls. `after` is the time since the call was made.
 class CallRecorder {
  public:
   virtual ~CallRecorder() = default;
@@ -63,7 +65,8 @@
   virtual void onFailed(const Arrival& arrival) = 0;
 };
 
-/// What both kinds of calls have in common: the times, and the record for the checkers.
+/// Base of completion calls and proxied calls: measures times and fills in the record that the
+/// checkers read.
 class RecordedCall {
  public:
   RecordedCall(const Arrival& arrival, std::size_t record, sim::HistoryRecorder& history,
@@ -82,7 +85,8 @@
     record().requestId = id;
     record().nodeIncarnation = incarnation;
   }
-  /// False where the call was over before.
+  /// Records the end of the call. Returns false if the call had already ended, and counts that as a
+  /// callback after the end.
   bool endCall(sim::CallEnding ending) {
     sim::CallRecord& call = record();
     if (call.ending != sim::CallEnding::kOpen) {
@@ -178,10 +182,10 @@
   std::vector<base::EngineId> engineIds() const;
   void makeOracle();
 
-  // The course of the run.
+  // Running the workload.
   void scheduleNextArrival();
   void start(const Arrival& arrival);
-  /// Opens the call's record for the checkers and returns its position.
+  /// Adds the call's record for the checkers and returns its index.
   std::size_t addRecord(const Arrival& arrival, std::size_t node);
   void scheduleMeasuring();
   void scheduleCrashes();
--- a/src/bench/experiment.h
+++ b/src/bench/experiment.h
@@ -1,5 +1,5 @@
 /// \file
-/// One run of the bench: a scenario, a policy and a seed, in virtual time over real nodes.
+/// One run of the benchmark: a scenario with a policy and a seed, in virtual time with real nodes.
 #pragma once
 
 #include <array>
@@ -17,7 +17,7 @@
 
 namespace covewing::bench {
 
-/// Name of the reference policy, which only the bench has.
+/// Name of the reference policy, which exists only in the benchmark.
 inline constexpr std::string_view kOraclePolicy = "oracle";
 
 struct ExperimentOptions {
@@ -26,35 +26,37 @@
   std::uint64_t seed = 1;
 };
 
-/// Calls of one class, or of one label, that arrived while measuring.
+/// Counts of calls that arrived during the measured period: of all, of one class, or of one label.
 struct CallCounts {
   std::uint64_t requests = 0;
   std::uint64_t answered = 0;
   /// Refused for any reason before the first chunk.
   std::uint64_t refused = 0;
-  /// Of those, refused for lack of capacity.
+  /// Those of the refused calls that were refused for lack of capacity.
   std::uint64_t shed = 0;
-  /// Broken after the first chunk, or without an answer at the end of the run.
+  /// Failed after the first chunk, or lost because their node failed.
   std::uint64_t failed = 0;
-  /// Milliseconds from the call to the first chunk, of completions.
+  /// Time from the call to the first chunk in milliseconds; completions only.
   Quantiles firstToken;
-  /// Milliseconds from the call to the answer, of plain calls.
+  /// Time from the call to the response in milliseconds; proxied calls only.
   Quantiles answer;
-  /// Refusals for lack of capacity while an engine worked for a less urgent class.
+  /// Refusals for lack of capacity while an engine executed a request of a less urgent class.
   std::uint64_t refusedWhileLowerRan = 0;
 };
 
-/// Count of broken promises, by promise.
+/// Number of violations of one promise (see sim/checkers.h).
 struct ViolationCount {
   std::string promise;
   std::uint64_t count = 0;
 };
 
-/// Mean time to first token in one second around the shift of the hot document.
+/// Mean time to first token within one second before or after the replacement of the high-demand
+/// document.
 struct ShiftSecond {
   /// Seconds from the shift; negative before it.
   int second = 0;
   std::uint64_t requests = 0;
+  /// Milliseconds.
   double firstTokenMean = 0;
 };
 
@@ -64,18 +66,21 @@
   std::array<CallCounts, base::kPriorityClassCount> classes;
   std::map<std::string_view, CallCounts> labels;
   ReuseTotals reuse;
-  /// By result code.
+  /// Measured refusals by result code.
   std::map<base::ResultCode, std::uint64_t> refusals;
+  /// Control bytes that a node sends plus receives per second, as the mean over the nodes.
   double controlBytesPerNodeSecond = 0;
-  /// CPU of the node's own code in all, relaying included; measured, not reproducible.
+  /// CPU time of all code of the nodes, including relaying. Real time of the machine, so it is not
+  /// reproducible.
   double cpuMicrosecondsPerRequest = 0;
-  /// Share of the engines' step time that the executed work needs.
+  /// Step time that the executed work needs, computed from the engines' step costs, as a share of
+  /// the step time of all engines.
   double engineLoad = 0;
   std::vector<ShiftSecond> shift;
   std::vector<ViolationCount> violations;
 };
 
-/// Runs to the end. Equal options give equal results but for the CPU time.
+/// Runs the experiment to its end. Equal options give equal results, except for the CPU time.
 ExperimentResult runExperiment(const ExperimentOptions& options);
 
 }  // namespace covewing::bench
--- a/src/bench/markets_workload.cc
+++ b/src/bench/markets_workload.cc
@@ -1,5 +1,6 @@
-// Farmers' markets on a morning. Prompts nest: season's price notes > region > tenant > stock list
-// > question. Sizes, shares and rates are explained in docs/WORKLOADS.md.
+// Workload of farmers' markets on a morning. A prompt is a sequence of segments from the most
+// widely shared to the most specific: season's price notes, region, tenant, stock list, question.
+// Sizes, shares and rates are explained in docs/WORKLOADS.md.
 #include <array>
 #include <string>
 
@@ -50,7 +51,7 @@
 constexpr std::uint32_t kSummaryTokens = 2'500;
 constexpr std::uint32_t kSummaryAnswerTokens = 256;
 
-/// Calls a second at the peak with load 1.
+/// Calls per second at the peak with load 1.
 constexpr double kFirstReads = 13.0;
 constexpr double kLabelQuestions = 20.0;
 constexpr double kSummaries = 2.0;
@@ -61,7 +62,7 @@
 constexpr Duration kMinimumFollowUpDelay = seconds(4);
 constexpr Duration kMeanExtraFollowUpDelay = seconds(12);
 
-/// Stallholders of one market open together.
+/// Stallholders of a market open at the same time, which causes a burst of calls.
 constexpr Duration kOpeningGap = seconds(15);
 constexpr Duration kOpeningLength = seconds(3);
 
@@ -176,7 +177,7 @@
     return arrival;
   }
 
-  /// A stallholder's morning read and the questions that follow it.
+  /// Adds a stallholder's price read in the morning and its follow-up questions.
   void addReads(Duration at) {
     const std::uint32_t tenant = drawTenant();
     Market& market = markets_[tenant];
--- a/src/bench/oracle_policy.cc
+++ b/src/bench/oracle_policy.cc
@@ -10,11 +10,11 @@
 using base::Duration;
 
 namespace {
-/// A request that has not arrived by then never will.
+/// Time after which a dispatched request that its engine has not accepted is assumed to be lost.
 constexpr Duration kMaximumTransit = std::chrono::seconds(1);
-/// Expected wait for memory where an engine cannot start the request at once.
+/// Expected wait for memory if an engine cannot start the request at once.
 constexpr Duration kMemoryWait = std::chrono::milliseconds(500);
-/// A block that so many prompts contained is worth keeping in the store.
+/// Number of prompts that must contain a block before it is exported to the store.
 constexpr std::uint32_t kUsesForExport = 2;
 }  // namespace
 
--- a/src/bench/oracle_policy.h
+++ b/src/bench/oracle_policy.h
@@ -1,6 +1,6 @@
 /// \file
-/// The reference policy of the bench: it reads every engine's cache and queue at the moment of the
-/// choice, on all nodes together, which no real node can.
+/// The reference policy of the benchmark. It reads the current cache and queue of every engine at
+/// the time of each decision, and all nodes share its state. No real node has this information.
 #pragma once
 
 #include <cstdint>
@@ -19,7 +19,7 @@
 
 namespace covewing::bench {
 
-/// An engine as the oracle sees it.
+/// Engine model that the oracle reads, and its costs.
 struct OracleEngine {
   const emulator::EngineModel* model = nullptr;
   emulator::StepCosts step;
@@ -27,12 +27,12 @@
 };
 
 struct OracleOptions {
-  /// Weight of own computation on top of the time to first token: what is computed here delays
-  /// those who come after.
+  /// Weight of the request's own computation and import time in the cost, in addition to the time
+  /// to first token, because they delay later requests to the same engine.
   double computeWeight = 4;
 };
 
-/// What all nodes' oracle policies share. Belongs to one run.
+/// State that the oracle policies of all nodes share. Used for one run of the benchmark.
 class OracleKnowledge {
  public:
   OracleKnowledge(OracleOptions options, const sim::Scheduler& scheduler,
@@ -40,16 +40,18 @@
                   const emulator::KeptCacheStoreModel* keptCacheStore,
                   emulator::KeptCacheStoreOptions storeOptions);
 
-  /// The best engine among those that `fleet` lets qualify.
+  /// Chooses the engine of minimum cost among those of `fleet` that qualify for the query.
   routing::RouteDecision choose(const routing::FleetView& fleet, const routing::RouteQuery& query);
-  /// The request has arrived at its engine and shows in the engine's own queue.
+  /// Must be called when an engine has accepted a request, as the request is then counted in the
+  /// engine's own queue.
   void onAccepted(base::EngineId engine, const base::RequestId& request);
 
  private:
-  /// A request on its way to its engine.
+  /// A request that was dispatched and that its engine has not accepted yet.
   struct InFlight {
     std::string request;
     base::PriorityClass priority;
+    /// Tokens to be computed by prefill.
     std::uint64_t tokens;
     base::TimePoint sentAt;
   };
@@ -59,6 +61,7 @@
   };
   struct Estimate {
     base::Duration firstToken{};
+    /// Weighted sum of times in seconds.
     double cost = 0;
     std::uint32_t cachedBlocks = 0;
     std::uint32_t importBlocks = 0;
@@ -67,8 +70,11 @@
 
   Estimate estimate(EngineEntry& entry, const routing::RouteQuery& query,
                     std::uint32_t storedBlocks) const;
+  /// Time for the prefill of `tokens` tokens in steps that also decode `decoding` sequences.
   static base::Duration computeTime(const OracleEngine& engine, std::uint64_t tokens,
                                     std::uint32_t decoding);
+  /// Counts the use of each block of the prompt. Returns the number of leading blocks to export to
+  /// the store; 0 if there is no store or if it already has them.
   std::uint32_t exportBlocks(const routing::RouteQuery& query, std::uint32_t storedBlocks);
 
   OracleOptions options_;
@@ -76,7 +82,7 @@
   std::map<base::EngineId, EngineEntry> engines_;
   const emulator::KeptCacheStoreModel* store_;
   emulator::KeptCacheStoreOptions storeOptions_;
-  /// How often a block was part of a prompt; only looked up, never iterated.
+  /// Number of prompts that contained a block. Only looked up, never iterated.
   std::unordered_map<base::BlockHash, std::uint32_t> uses_;
 };
 
--- a/src/bench/quantiles.h
+++ b/src/bench/quantiles.h
@@ -1,5 +1,5 @@
 /// \file
-/// Quantiles of measured values, from the sorted sample.
+/// Exact quantiles of measured values, computed from the sorted sample.
 #pragma once
 
 #include <algorithm>
@@ -24,6 +24,7 @@
     const auto index = static_cast<std::size_t>(std::max(1.0, rank)) - 1;
     return values_[std::min(index, values_.size() - 1)];
   }
+  /// Mean of the sample; 0 if it is empty.
   double mean() const {
     double sum = 0;
     for (const double value : values_) sum += value;
--- a/src/bench/report.cc
+++ b/src/bench/report.cc
@@ -39,7 +39,7 @@
 
 void addShift(Json& json, const ExperimentResult& result) {
   if (result.shift.empty()) return;
-  // Weighted by requests over the seconds [from, until) around the shift.
+  // Mean over the seconds [from, until) relative to the shift, weighted by requests.
   const auto mean = [&](int from, int until) {
     double sum = 0;
     double requests = 0;
@@ -115,7 +115,7 @@
 
 namespace {
 
-/// Means over the seeds of one scenario and policy.
+/// Means over the seeds of one scenario and policy; `violations` is a sum.
 struct PolicyRow {
   std::string scenario;
   std::string policy;
@@ -133,7 +133,7 @@
   double violations = 0;
 };
 
-/// The label of a fleet's long completions.
+/// Labels of the completions with long prompts, one per kind of fleet.
 constexpr std::array<std::string_view, 2> kLongLabels = {"ruling", "price_read"};
 
 double longP99(const Json& line) {
@@ -173,7 +173,8 @@
   }
 }
 
-/// Rows in order of first appearance.
+/// Returns rows ordered by scenario, and within a scenario by first appearance. Counts lines that
+/// are not reports in `unreadable`.
 std::vector<PolicyRow> readRows(std::istream& lines, std::size_t& unreadable) {
   std::vector<PolicyRow> rows;
   std::string text;
--- a/src/bench/report.h
+++ b/src/bench/report.h
@@ -1,5 +1,5 @@
 /// \file
-/// Results as JSON lines, and the table over many of them.
+/// Formats results as JSON lines, and summarises many of them in a table.
 #pragma once
 
 #include <iosfwd>
@@ -10,16 +10,17 @@
 
 namespace covewing::bench {
 
-/// One line of JSON without its line break. `oracleHitRate`: of the oracle with the same scenario,
-/// seed and settings, empty when it was not run.
+/// Returns one line of JSON without a line break. `oracleHitRate` is the hit rate of the oracle
+/// with the same scenario, seed and settings; empty if the oracle was not run.
 std::string reportLine(ExperimentResult& result, std::optional<double> oracleHitRate);
 
-/// Reads lines of `reportLine` and writes a Markdown table: for each scenario and policy the mean
-/// over the seeds, and the distance to the oracle. Lines that are no reports are counted and told
-/// at the end.
+/// Reads lines written by `reportLine` and writes a Markdown table with the means over the seeds
+/// for each scenario and policy, and their ratios to those of the oracle. The number of lines that
+/// are not reports is written at the end.
 void writeComparison(std::istream& lines, std::ostream& table);
 
-/// Writes the same figures as columns for gnuplot, one block a scenario.
+/// Writes the hit rate, the wasted ratio and the p99 of long completions as columns for gnuplot,
+/// one block per scenario.
 void writePlotData(std::istream& lines, std::ostream& data);
 
 }  // namespace covewing::bench
--- a/src/bench/scenario.h
+++ b/src/bench/scenario.h
@@ -1,5 +1,6 @@
 /// \file
-/// The bench's scenarios: which fleet and workload, which settings, which faults at which time.
+/// The scenarios of the benchmark. Each defines the fleet and workload, the settings, and the
+/// faults with their times.
 #pragma once
 
 #include <cstdint>
@@ -14,17 +15,17 @@
 
 namespace covewing::bench {
 
-/// Which fleet a scenario runs on.
+/// Kind of fleet that a scenario simulates.
 enum class FleetKind : std::uint8_t { kTournaments, kMarkets };
 
-/// Numbers of one run that `--set KEY=VALUE` may change. All times are seconds unless named
-/// otherwise.
+/// Numeric settings of one run that `--set KEY=VALUE` can change. The unit of times is in their
+/// names.
 struct ScenarioSettings {
-  /// Factor on all request rates; 1 is the peak of the scenario's fleet.
+  /// Factor by which all request rates are multiplied; 1 is the peak of the scenario's fleet.
   double load = 1.0;
-  /// Further factor on the rates of completions below the highest class.
+  /// Further factor for the rates of completions below the highest class.
   double lowerLoad = 1.0;
-  /// Runs before measuring starts.
+  /// Time that the workload runs before the measured period starts.
   double warmupSeconds = 30;
   double measuredSeconds = 60;
   double nodesPerZone = 2;
@@ -37,19 +38,22 @@
   double eventLoss = 0.01;
   double eventDelayMilliseconds = 200;
   double loadReportMilliseconds = 250;
-  /// Memory of the store of kept KV cache in blocks; 0: the fleet has none.
+  /// Memory of the store of kept KV cache in blocks; 0 if the fleet has no store.
   double keptCacheBlocks = 65'536;
   /// Share of datagrams between nodes that are lost.
   double datagramLoss = 0.001;
-  /// When the hottest shared document is replaced, after the start of measuring; 0: never.
+  /// Time from the start of the measured period to the replacement of the shared document with the
+  /// highest demand; 0 if it is never replaced.
   double shiftAfterSeconds = 0;
-  /// Time between two engine crashes, from the start of measuring; 0: none.
+  /// Period of engine crashes, counted from the start of the measured period; 0 if no engine
+  /// crashes.
   double crashEverySeconds = 0;
-  /// How long a crashed engine stays away.
+  /// Time from the crash of an engine to its restart.
   double crashDownSeconds = 3;
   /// See OracleOptions::computeWeight.
   double oracleComputeWeight = 4;
-  /// Stream chunks in one network message; makes runs cheaper, the first chunk is never held up.
+  /// Stream chunks in one network message. More of them shorten the run time of the simulation; the
+  /// first chunk of a stream is never delayed.
   double chunksPerMessage = 8;
 };
 
@@ -61,7 +65,8 @@
 };
 std::span<const SettingKey> settingKeys();
 
-/// Applies one "KEY=VALUE"; false with the reason when the key is unknown or the value no number.
+/// Applies one "KEY=VALUE". Returns false and sets `reason` if the key is unknown or the value is
+/// not a number of at least 0.
 bool applySetting(ScenarioSettings& settings, std::string_view assignment, base::Reason& reason);
 
 struct Scenario {
@@ -72,6 +77,7 @@
 };
 
 std::span<const Scenario> scenarios();
+/// Returns null if there is no scenario of this name.
 const Scenario* findScenario(std::string_view name);
 
 }  // namespace covewing::bench
--- a/src/bench/tournaments_workload.cc
+++ b/src/bench/tournaments_workload.cc
@@ -1,5 +1,6 @@
-// Card tournaments on an evening. Prompts nest: rulebook > event > tenant > match history >
-// question. Sizes, shares and rates are explained in docs/WORKLOADS.md.
+// Workload of card tournaments on an evening. A prompt is a sequence of segments from the most
+// widely shared to the most specific: rulebook, event, tenant, match history, question. Sizes,
+// shares and rates are explained in docs/WORKLOADS.md.
 #include <algorithm>
 #include <array>
 #include <iterator>
@@ -28,7 +29,7 @@
   std::uint32_t events;
   PriorityClass priority;
 };
-/// A few large organisers bring most of the calls; the smallest bought a lower class.
+/// A few large organisers make most of the calls; the smallest ones have a lower priority class.
 constexpr std::array kTenants = {TenantShape{"saigon-open", 0.30, 8, PriorityClass::kUrgent},
                                  TenantShape{"hanoi-league", 0.24, 6, PriorityClass::kUrgent},
                                  TenantShape{"danang-cup", 0.14, 4, PriorityClass::kUrgent},
@@ -42,7 +43,7 @@
   double weight;
   std::uint32_t tokens;
 };
-/// The first one is tonight's main game.
+/// The first rulebook is that of the evening's main game, which has the highest demand.
 constexpr std::array kRulebooks = {RulebookShape{0.50, 12'000}, RulebookShape{0.20, 10'000},
                                    RulebookShape{0.14, 8'000}, RulebookShape{0.10, 10'000},
                                    RulebookShape{0.06, 6'000}};
@@ -63,7 +64,7 @@
 constexpr std::uint32_t kResultTokens = 4'000;
 constexpr std::uint32_t kReportTokens = 256;
 
-/// Calls a second at the peak with load 1.
+/// Calls per second at the peak with load 1.
 constexpr double kFirstRulings = 15.0;
 constexpr double kDeckChecks = 25.0;
 constexpr double kPlayerQuestions = 7.5;
@@ -78,7 +79,7 @@
 constexpr Duration kRoundGap = seconds(12);
 constexpr Duration kRoundEndLength = seconds(2);
 
-/// Where the callers are.
+/// Share of the callers in each zone.
 constexpr std::array kZoneWeights = {0.45, 0.30, 0.25};
 
 constexpr Duration kDeadline = seconds(10);
@@ -213,7 +214,7 @@
     return arrival;
   }
 
-  /// A question about a match and the follow-ups from the same table.
+  /// Adds a question about a match and the follow-up questions from the same table.
   void addRulings(Duration at) {
     const std::uint32_t tenant = drawTenant();
     Event& event = drawEventOf(tenant);
--- a/src/bench/workload.h
+++ b/src/bench/workload.h
@@ -1,6 +1,6 @@
 /// \file
-/// A workload: the tenants of a fleet and every call that their callers make, with its time. It is
-/// drawn before the run and does not depend on answers (open loop), so that all policies meet the
+/// A workload: the tenants of a fleet and all calls of their callers with their times. It is drawn
+/// before the run and does not depend on responses (open loop), so that all policies receive the
 /// same calls.
 #pragma once
 
@@ -16,11 +16,12 @@
 
 namespace covewing::bench {
 
-/// Text that prompts are put together from; shared by all prompts that contain it.
+/// A part of a prompt's text. Prompts are concatenations of segments; a segment is shared by all
+/// prompts that contain it.
 using PromptSegment = std::shared_ptr<const std::string>;
 
-/// Reproducible text of exactly `tokens` tokens: equal for equal seeds, and different from the
-/// first token on for different ones.
+/// Returns reproducible text of exactly `tokens` tokens. Equal seeds give equal texts; texts of
+/// different seeds differ from the first token on.
 PromptSegment promptText(std::uint64_t seed, std::uint32_t tokens);
 
 struct WorkloadTenant {
@@ -31,16 +32,17 @@
   std::string document;
 };
 
-/// One call. It is a completion unless `method` is set.
+/// One call: a proxied call if `method` is set, otherwise a completion.
 struct Arrival {
-  /// From the start of the workload.
+  /// Time of the call from the start of the workload.
   base::Duration at{};
   /// Kind of the call in reports, such as "ruling".
   std::string_view label;
+  /// Index into Workload::tenants.
   std::uint32_t tenant = 0;
   /// Index of the caller's zone; callers use nodes of their own zone.
   std::uint32_t zone = 0;
-  /// Chooses the node within the zone.
+  /// Random number that selects the node within the zone.
   std::uint32_t nodeDraw = 0;
   base::PriorityClass priority = base::PriorityClass::kStandard;
   std::vector<PromptSegment> prompt;
@@ -58,24 +60,25 @@
   std::string model;
   std::string application;
   std::vector<WorkloadTenant> tenants;
-  /// In order of time.
+  /// In ascending order of time.
   std::vector<Arrival> arrivals;
 };
 
-/// Bounds and intensity of a drawn workload.
+/// Parameters of a drawn workload.
 struct WorkloadOptions {
   std::uint64_t seed = 1;
   base::Duration duration{};
-  /// Factor on all rates.
+  /// Factor by which all rates are multiplied.
   double load = 1.0;
-  /// Further factor on the rates of completions that are not of the highest class.
+  /// Further factor for the rates of completions below the highest class.
   double lowerLoad = 1.0;
-  /// When the most popular shared document is replaced by a new one; zero: never.
+  /// Time at which the shared document with the highest demand is replaced by a new one; zero if it
+  /// is never replaced.
   base::Duration shiftAt{};
   std::uint32_t zones = 3;
 };
 
-/// Template document of a bench tenant.
+/// Fields of the template document of a benchmark tenant.
 struct TenantDocument {
   std::string bearerKey;
   std::string model;
@@ -88,14 +91,15 @@
   std::uint32_t burst = 0;
   std::uint32_t concurrency = 0;
 };
+/// Returns the template document as JSON.
 std::string tenantDocument(const TenantDocument& fields);
 
-/// Puts the arrivals into order of time; equal times keep their order.
+/// Sorts the arrivals by time; arrivals at equal times keep their order.
 void sortArrivals(std::vector<Arrival>& arrivals);
 
-/// Evening of a card tournament fleet (docs/WORKLOADS.md).
+/// Draws the workload of a card tournament fleet on an evening (docs/WORKLOADS.md).
 Workload drawTournaments(const WorkloadOptions& options);
-/// Morning of a market fleet (docs/WORKLOADS.md).
+/// Draws the workload of a market fleet on a morning (docs/WORKLOADS.md).
 Workload drawMarkets(const WorkloadOptions& options);
 
 }  // namespace covewing::bench
