--- a/tests/bench/experiment_test.cc
+++ b/tests/bench/experiment_test.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// A few seconds of a small fleet.
+/// Options for a run of a few seconds with a small fleet.
 ExperimentOptions smallRun(std::string_view scenario, std::string policy, std::uint64_t seed) {
   ExperimentOptions options;
   options.scenario = *findScenario(scenario);
@@ -23,7 +23,7 @@
 }
 
 std::string reportOf(ExperimentResult result) {
-  // The one figure that is measured on the machine.
+  // The CPU time is the only figure that is measured in real time, so it differs between runs.
   result.cpuMicrosecondsPerRequest = 0;
   return reportLine(result, std::nullopt);
 }
@@ -40,7 +40,7 @@
   BOOST_TEST(report(1) != report(2));
 }
 
-BOOST_AUTO_TEST_CASE(AQuietFleetAnswersAllAndKeepsEveryPromise) {
+BOOST_AUTO_TEST_CASE(AtLowLoadAllCallsSucceedWithoutViolations) {
   for (const char* scenario : {"tournaments", "markets"}) {
     const ExperimentResult result = runExperiment(smallRun(scenario, "default", 3));
     BOOST_TEST(result.all.requests > 50U);
@@ -52,7 +52,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(TheOracleReusesMoreThanChance) {
+BOOST_AUTO_TEST_CASE(OracleReusesMoreThanRandomRouting) {
   const ExperimentResult oracle = runExperiment(smallRun("tournaments", "oracle", 4));
   const ExperimentResult random = runExperiment(smallRun("tournaments", "random", 4));
   BOOST_TEST(oracle.reuse.hitRate() > 0.9);
@@ -60,7 +60,7 @@
   BOOST_TEST(oracle.reuse.wastedRatio() < random.reuse.wastedRatio());
 }
 
-BOOST_AUTO_TEST_CASE(CrashedEnginesLoseNoAnswer) {
+BOOST_AUTO_TEST_CASE(EngineCrashesLeaveNoCallWithoutOutcome) {
   ExperimentOptions options = smallRun("engine-crash", "default", 5);
   options.scenario.settings.crashEverySeconds = 1;
   const ExperimentResult result = runExperiment(options);
--- a/tests/bench/report_test.cc
+++ b/tests/bench/report_test.cc
@@ -28,7 +28,7 @@
 
 BOOST_AUTO_TEST_SUITE(ReportTest)
 
-BOOST_AUTO_TEST_CASE(ALineHasTheAgreedFields) {
+BOOST_AUTO_TEST_CASE(ReportLineHasTheRequiredFields) {
   ExperimentResult result = resultOf("random", 7, 0.5);
   const auto json = nlohmann::json::parse(reportLine(result, 0.8));
   for (const char* field :
@@ -43,7 +43,7 @@
   BOOST_TEST(json["violations"].is_object());
 }
 
-BOOST_AUTO_TEST_CASE(TheTableHasMeansOverSeedsAndTheDistanceToTheOracle) {
+BOOST_AUTO_TEST_CASE(TableHasMeansOverSeedsAndRatiosToTheOracle) {
   std::stringstream lines;
   for (const std::uint64_t seed : {1U, 2U}) {
     ExperimentResult result = resultOf("random", seed, seed == 1 ? 0.2 : 0.4);
@@ -75,7 +75,7 @@
 
 BOOST_AUTO_TEST_SUITE(CacheGroundTruthTest)
 
-BOOST_AUTO_TEST_CASE(WasteIsWhatAnotherEngineHadCached) {
+BOOST_AUTO_TEST_CASE(PrefillOfBlocksThatAnotherEngineHadCachedIsWasted) {
   const std::vector<base::EngineId> engines = {base::engineIdOf("a"), base::engineIdOf("b")};
   CacheGroundTruth truth(engines);
   truth.setMeasuring(true);
@@ -103,7 +103,7 @@
 
 BOOST_AUTO_TEST_SUITE(ScenarioTest)
 
-BOOST_AUTO_TEST_CASE(SettingsAreChangedByNameAndMistakesAreTold) {
+BOOST_AUTO_TEST_CASE(SettingsAreSetByNameAndInvalidOnesAreRejected) {
   ScenarioSettings settings;
   base::Reason reason;
   BOOST_TEST(applySetting(settings, "load=1.5", reason));
--- a/tests/bench/workload_test.cc
+++ b/tests/bench/workload_test.cc
@@ -57,7 +57,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(RulingsNestRulebookEventTenantHistoryAndQuestion) {
+BOOST_AUTO_TEST_CASE(RulingPromptsShareRulebooksAndHouseRules) {
   const Workload workload = drawTournaments(optionsOf(4));
   std::set<const std::string*> rulebooks;
   std::set<const std::string*> houseRules;
@@ -84,7 +84,7 @@
   BOOST_TEST(!keys.empty());
 }
 
-BOOST_AUTO_TEST_CASE(TheShiftReplacesTheHotRulebookOnly) {
+BOOST_AUTO_TEST_CASE(ShiftReplacesExactlyOneRulebook) {
   WorkloadOptions options = optionsOf(6);
   options.shiftAt = seconds(10);
   std::set<const std::string*> before;
@@ -146,12 +146,12 @@
   for (const auto at : drawArrivalTimes(random, envelope, bursts, {10, 3})) {
     at >= seconds(100) && at < seconds(300) ? ++inside : ++outside;
   }
-  // 200 s at 30 a second, 200 s at 10.
+  // 200 s at 30 calls per second within the burst, 200 s at 10 calls per second outside.
   BOOST_TEST((inside > 5600U && inside < 6400U));
   BOOST_TEST((outside > 1800U && outside < 2200U));
 }
 
-BOOST_AUTO_TEST_CASE(TheEnvelopeRisesToOne) {
+BOOST_AUTO_TEST_CASE(EnvelopeRisesToOne) {
   const PeakEnvelope envelope{.duration = seconds(100), .startShare = 0.6};
   BOOST_TEST(envelope.at(seconds(0)) == 0.6, boost::test_tools::tolerance(1e-9));
   BOOST_TEST(envelope.at(seconds(25)) == 1.0, boost::test_tools::tolerance(1e-9));
