--- a/src/tools/covewing_bench_live.cc
+++ b/src/tools/covewing_bench_live.cc
@@ -16,7 +16,7 @@
 namespace {
 
 constexpr base::Duration kAdminTimeout = std::chrono::seconds(10);
-constexpr std::size_t kPageEntries = 10'000;
+constexpr std::size_t kExecutionsPerPage = 10'000;
 
 /// Reads the emulator's record of executions into the history, from number `from` on; false when it
 /// cannot be had. With a null history only `from` is moved to the end.
@@ -26,10 +26,10 @@
   for (bool more = true; more;) {
     live::HttpRequest request;
     request.method = "GET";
-    request.target = fmt::format("/admin/executions?from={}&limit={}", from, kPageEntries);
+    request.target = fmt::format("/admin/executions?from={}&limit={}", from, kExecutionsPerPage);
     std::optional<live::HttpResult> result;
     http.fetch(admin, request, kAdminTimeout,
-               [&result](live::HttpResult answer) { result = std::move(answer); });
+               [&result](live::HttpResult fetched) { result = std::move(fetched); });
     while (!result.has_value()) context.run_one();
     const auto* response = std::get_if<live::HttpResponse>(&*result);
     if (response == nullptr) return false;
@@ -43,23 +43,23 @@
       execution.record.engine = base::engineIdOf(entry.value("back_end", ""));
       execution.record.promptTokens = entry.value("prompt_tokens", 0U);
     }
-    more = json["executions"].size() == kPageEntries;
+    more = json["executions"].size() == kExecutionsPerPage;
     from = json.value("next", from);
   }
   return true;
 }
 
-void printMeasures(std::string_view way, LiveMeasures& measures, double seconds) {
+void printMeasurements(std::string_view path, LiveMeasurements& measurements, double seconds) {
   fmt::print("{}: {} streams started, {} complete, {} failed; {:.1f} streams/s, {:.0f} tokens/s\n",
-             way, measures.started, measures.complete, measures.failed,
-             static_cast<double>(measures.complete) / seconds,
-             static_cast<double>(measures.tokens) / seconds);
+             path, measurements.started, measurements.complete, measurements.failed,
+             static_cast<double>(measurements.complete) / seconds,
+             static_cast<double>(measurements.tokens) / seconds);
   fmt::print("  first token ms:    p50 {:.2f}  p95 {:.2f}  p99 {:.2f}\n",
-             measures.firstToken.at(0.50), measures.firstToken.at(0.95),
-             measures.firstToken.at(0.99));
+             measurements.firstToken.at(0.50), measurements.firstToken.at(0.95),
+             measurements.firstToken.at(0.99));
   fmt::print("  between tokens ms: p50 {:.2f}  p95 {:.2f}  p99 {:.2f}\n",
-             measures.betweenTokens.at(0.50), measures.betweenTokens.at(0.95),
-             measures.betweenTokens.at(0.99));
+             measurements.betweenTokens.at(0.50), measurements.betweenTokens.at(0.95),
+             measurements.betweenTokens.at(0.99));
 }
 
 std::size_t printViolations(const std::vector<sim::Violation>& violations) {
@@ -89,11 +89,12 @@
                                readExecutions(context, *options->admin, firstExecution, &history);
   const double seconds = std::max(0.001, base::toSeconds(load.duration()));
   fmt::print("{:.1f} s, at most {} streams open\n", seconds, load.peakOpen());
-  printMeasures("through nodes", load.throughNodes(), seconds);
+  printMeasurements("through nodes", load.throughNodes(), seconds);
   if (!options->engines.empty()) {
-    printMeasures("straight to engines", load.straight(), seconds);
-    const auto added = [&](double share) {
-      return load.throughNodes().firstToken.at(share) - load.straight().firstToken.at(share);
+    printMeasurements("straight to engines", load.directToEngines(), seconds);
+    const auto added = [&](double quantile) {
+      return load.throughNodes().firstToken.at(quantile) -
+             load.directToEngines().firstToken.at(quantile);
     };
     fmt::print("added to the first token by nodes: p50 {:.2f} ms, p99 {:.2f} ms\n", added(0.50),
                added(0.99));
--- a/src/tools/covewing_bench_live_load.cc
+++ b/src/tools/covewing_bench_live_load.cc
@@ -16,41 +16,44 @@
 
 constexpr double kMicrosecondsPerSecond = 1e6;
 constexpr unsigned kStatusOk = 200;
-constexpr std::string_view kDone = "[DONE]";
+constexpr std::string_view kStreamEndMarker = "[DONE]";
 /// Text of one token of an emulated engine.
 constexpr std::size_t kTokenBytes = 8;
 /// After the last start, for streams that do not end.
-constexpr Duration kPatience = std::chrono::seconds(60);
-constexpr Duration kSilence = std::chrono::seconds(30);
+constexpr Duration kDrainTimeout = std::chrono::seconds(60);
+constexpr Duration kInactivityTimeout = std::chrono::seconds(30);
 
 }  // namespace
 
 /// One stream and its times.
 class LiveLoad::Stream {
  public:
-  Stream(LiveLoad& owner, std::uint64_t number, LiveMeasures& measures)
-      : owner_(owner), number_(number), measures_(measures), startedAt_(owner.clock_.now()) {
-    ++measures_.started;
+  Stream(LiveLoad& owner, std::uint64_t number, LiveMeasurements& measurements)
+      : owner_(owner),
+        number_(number),
+        measurements_(measurements),
+        startedAt_(owner.clock_.now()) {
+    ++measurements_.started;
   }
   virtual ~Stream() = default;
   Stream(const Stream&) = delete;
   Stream& operator=(const Stream&) = delete;
 
  protected:
-  void noteToken() {
+  void recordToken() {
     const TimePoint now = owner_.clock_.now();
-    Quantiles& sample = tokens_ == 0 ? measures_.firstToken : measures_.betweenTokens;
+    Quantiles& sample = tokens_ == 0 ? measurements_.firstToken : measurements_.betweenTokens;
     sample.add(base::toMilliseconds(now - (tokens_ == 0 ? startedAt_ : lastTokenAt_)));
     lastTokenAt_ = now;
     ++tokens_;
-    ++measures_.tokens;
+    ++measurements_.tokens;
   }
   /// Ends and destroys this stream a little later.
-  void over(bool complete) {
+  void finish(bool complete) {
     owner_.timers_.schedule(Duration::zero(), [&owner = owner_, number = number_, complete] {
-      owner.onStreamOver(number, complete);
+      owner.onStreamEnded(number, complete);
     });
-    ++(complete ? measures_.complete : measures_.failed);
+    ++(complete ? measurements_.complete : measurements_.failed);
   }
   LiveLoad& owner() { return owner_; }
 
@@ -59,7 +62,7 @@
 
   LiveLoad& owner_;
   std::uint64_t number_;
-  LiveMeasures& measures_;
+  LiveMeasurements& measurements_;
   TimePoint startedAt_;
   TimePoint lastTokenAt_;
   std::uint64_t tokens_ = 0;
@@ -87,7 +90,7 @@
     request.headers = {{"Authorization", "Bearer " + owner.options_.bearerKey},
                        {"Content-Type", "application/json"}};
     request.body = body.dump();
-    call_ = owner.http_.start(node, request, kSilence, *this);
+    call_ = owner.http_.start(node, request, kInactivityTimeout, *this);
   }
 
   void onHead(const live::HttpResponse& head) override {
@@ -103,7 +106,7 @@
     while (const auto event = parser_.next()) onEvent(*event);
   }
   void onComplete() override {
-    if (refused_) noteRefusal();
+    if (refused_) recordRefusal();
     end(refused_ ? sim::CallEnding::kRefused
         : done_  ? sim::CallEnding::kComplete
                  : sim::CallEnding::kNodeLost);
@@ -116,7 +119,7 @@
   sim::CallRecord& record() { return owner().history_.calls[record_]; }
 
   void onEvent(const std::string& event) {
-    if (event == kDone) {
+    if (event == kStreamEndMarker) {
       done_ = true;
       return;
     }
@@ -129,11 +132,11 @@
     const std::string text = json["choices"][0].value("text", "");
     for (std::size_t begin = 0; begin < text.size(); begin += kTokenBytes) {
       record().chunks.push_back({record().chunks.size(), text.substr(begin, kTokenBytes)});
-      noteToken();
+      recordToken();
     }
   }
 
-  void noteRefusal() {
+  void recordRefusal() {
     const auto json = nlohmann::json::parse(errorBody_, nullptr, false);
     const bool notRun = json.is_object() && json.contains("error") && json["error"].is_object() &&
                         json["error"].value("outcome", "") == "not-run";
@@ -143,7 +146,7 @@
   void end(sim::CallEnding ending) {
     record().ending = ending;
     record().endedAt = owner().clock_.now();
-    over(ending == sim::CallEnding::kComplete);
+    finish(ending == sim::CallEnding::kComplete);
   }
 
   std::size_t record_;
@@ -155,11 +158,11 @@
 };
 
 /// The same stream straight to an engine.
-class LiveLoad::StraightStream final : public Stream, public clients::EngineStreamHandler {
+class LiveLoad::DirectStream final : public Stream, public clients::EngineStreamHandler {
  public:
-  StraightStream(LiveLoad& owner, std::uint64_t number, const clients::BackEndAddress& engine,
-                 std::shared_ptr<const std::string> prompt)
-      : Stream(owner, number, owner.straight_) {
+  DirectStream(LiveLoad& owner, std::uint64_t number, const clients::BackEndAddress& engine,
+               std::shared_ptr<const std::string> prompt)
+      : Stream(owner, number, owner.directToEngines_) {
     clients::EngineRequest request;
     request.requestId.value = "bench-" + std::to_string(number);
     request.identity.tenantSalt = owner.options_.seed;
@@ -170,9 +173,9 @@
     stream_ = owner.engines_.start(engine, std::move(request), *this);
   }
   void onAccepted() override {}
-  void onChunk(clients::StreamChunk /*chunk*/) override { noteToken(); }
-  void onEnd(clients::StreamEnd /*end*/) override { over(true); }
-  void onError(clients::DispatchError /*error*/) override { over(false); }
+  void onChunk(clients::StreamChunk /*chunk*/) override { recordToken(); }
+  void onEnd(clients::StreamEnd /*end*/) override { finish(true); }
+  void onError(clients::DispatchError /*error*/) override { finish(false); }
 
  private:
   std::unique_ptr<clients::EngineStream> stream_;
@@ -190,7 +193,7 @@
 LiveLoad::~LiveLoad() = default;
 
 void LiveLoad::run() {
-  learnWeights();
+  fetchWeightsVersion();
   startedAt_ = clock_.now();
   endedAt_ = startedAt_;
   if (options_.rate > 0) {
@@ -198,42 +201,42 @@
   } else {
     for (std::uint32_t stream = 0; stream < options_.streams; ++stream) startNext();
   }
-  const TimePoint last = startedAt_ + options_.duration + kPatience;
+  const TimePoint last = startedAt_ + options_.duration + kDrainTimeout;
   while ((mayStart() || !open_.empty()) && clock_.now() < last) {
     context_.run_one_for(std::chrono::milliseconds(100));
   }
 }
 
-void LiveLoad::learnWeights() {
+void LiveLoad::fetchWeightsVersion() {
   if (options_.engines.empty()) return;
-  bool answered = false;
+  bool reportReceived = false;
   engines_.poll(options_.engines.front(), 0,
-                [this, &answered](const std::optional<clients::EngineReport>& report) {
-                  answered = true;
+                [this, &reportReceived](const std::optional<clients::EngineReport>& report) {
+                  reportReceived = true;
                   if (!report.has_value()) return;
                   for (const clients::LoadedWeights& weights : report->weights) {
                     if (weights.model == options_.model) weightsVersion_ = weights.version;
                   }
                 });
-  while (!answered) context_.run_one();
+  while (!reportReceived) context_.run_one();
 }
 
 bool LiveLoad::mayStart() const { return clock_.now() < startedAt_ + options_.duration; }
 
 std::shared_ptr<const std::string> LiveLoad::makePrompt() {
-  const bench::PromptSegment own = bench::promptText(random_.next(), options_.ownTokens);
-  return std::make_shared<const std::string>(*shared_ + *own);
+  const bench::PromptSegment ownText = bench::promptText(random_.next(), options_.ownTokens);
+  return std::make_shared<const std::string>(*shared_ + *ownText);
 }
 
 void LiveLoad::startNext() {
   if (!mayStart()) return;
   const std::uint64_t number = nextStream_++;
-  const bool straight = !options_.engines.empty() && number % 2 == 1;
+  const bool direct = !options_.engines.empty() && number % 2 == 1;
   const std::uint64_t turn = options_.engines.empty() ? number : number / 2;
   auto prompt = makePrompt();
-  if (straight) {
+  if (direct) {
     const auto& engine = options_.engines[turn % options_.engines.size()];
-    open_[number] = std::make_unique<StraightStream>(*this, number, engine, std::move(prompt));
+    open_[number] = std::make_unique<DirectStream>(*this, number, engine, std::move(prompt));
   } else {
     const base::Endpoint& node = options_.nodes[turn % options_.nodes.size()];
     open_[number] = std::make_unique<NodeStream>(*this, number, node, *prompt);
@@ -249,7 +252,7 @@
   timers_.schedule(due - clock_.now(), [this] { scheduleOpenLoop(); });
 }
 
-void LiveLoad::onStreamOver(std::uint64_t number, bool /*complete*/) {
+void LiveLoad::onStreamEnded(std::uint64_t number, bool /*complete*/) {
   open_.erase(number);
   endedAt_ = clock_.now();
   if (options_.rate <= 0) startNext();
--- a/src/tools/covewing_bench_live_load.h
+++ b/src/tools/covewing_bench_live_load.h
@@ -24,7 +24,7 @@
 namespace covewing::tools {
 
 /// Measures of the streams that took one way.
-struct LiveMeasures {
+struct LiveMeasurements {
   std::uint64_t started = 0;
   std::uint64_t complete = 0;
   std::uint64_t failed = 0;
@@ -44,8 +44,8 @@
   /// Runs until all streams have ended, or a bounded time after the last was started.
   void run();
 
-  LiveMeasures& throughNodes() { return throughNodes_; }
-  LiveMeasures& straight() { return straight_; }
+  LiveMeasurements& throughNodes() { return throughNodes_; }
+  LiveMeasurements& directToEngines() { return directToEngines_; }
   /// Calls through nodes, for the checkers.
   sim::History& history() { return history_; }
   base::Duration duration() const { return endedAt_ - startedAt_; }
@@ -54,12 +54,12 @@
  private:
   class Stream;
   class NodeStream;
-  class StraightStream;
+  class DirectStream;
 
-  void learnWeights();
+  void fetchWeightsVersion();
   void startNext();
   void scheduleOpenLoop();
-  void onStreamOver(std::uint64_t number, bool complete);
+  void onStreamEnded(std::uint64_t number, bool complete);
   bool mayStart() const;
   std::shared_ptr<const std::string> makePrompt();
 
@@ -77,8 +77,8 @@
   std::size_t peakOpen_ = 0;
   base::TimePoint startedAt_;
   base::TimePoint endedAt_;
-  LiveMeasures throughNodes_;
-  LiveMeasures straight_;
+  LiveMeasurements throughNodes_;
+  LiveMeasurements directToEngines_;
   sim::History history_;
 };
 
--- a/src/tools/covewing_bench_live_options.cc
+++ b/src/tools/covewing_bench_live_options.cc
@@ -69,7 +69,7 @@
 };
 
 constexpr double kMicrosecondsPerSecond = 1e6;
-constexpr double kLongestSeconds = 3600;
+constexpr double kMaximumSeconds = 3600;
 
 template <class Number>
 bool readNumber(std::string_view text, Number& value) {
@@ -89,7 +89,7 @@
 
 bool readSeconds(std::string_view text, LiveOptions& options) {
   double seconds = 0;
-  if (!readNumber(text, seconds) || seconds > kLongestSeconds) return false;
+  if (!readNumber(text, seconds) || seconds > kMaximumSeconds) return false;
   options.duration =
       base::Duration{static_cast<base::Duration::rep>(seconds * kMicrosecondsPerSecond)};
   return true;
@@ -100,7 +100,7 @@
   return endpoint.has_value();
 }
 
-bool takeFlag(int flag, std::string_view value, LiveOptions& options) {
+bool applyFlag(int flag, std::string_view value, LiveOptions& options) {
   switch (flag) {
     case kNode: {
       const auto endpoint = base::parseEndpoint(value);
@@ -149,7 +149,7 @@
       return std::nullopt;
     }
     if (flag == '?') return std::nullopt;
-    if (!takeFlag(flag, optarg, options)) {
+    if (!applyFlag(flag, optarg, options)) {
       fmt::print(stderr, "covewing-bench live: --{}: \"{}\" cannot be used\n",
                  kFlags.at(static_cast<std::size_t>(index)).name, optarg);
       return std::nullopt;
--- a/src/tools/covewing_bench_simulated.cc
+++ b/src/tools/covewing_bench_simulated.cc
@@ -60,19 +60,19 @@
 }
 
 /// Tells a mistake in the arguments; false, for the caller to return.
-bool mistake(std::string_view text) {
+bool reject(std::string_view text) {
   fmt::print(stderr, "covewing-bench: {}\n", text);
   return false;
 }
 
-bool takeOption(int choice, RunArguments& arguments) {
+bool applyOption(int choice, RunArguments& arguments) {
   switch (choice) {
     case kPolicy:
       arguments.experiment.policy = optarg;
       return true;
     case kSeed: {
       const auto seed = parseNumber(optarg);
-      if (!seed.has_value()) return mistake(fmt::format("--seed {}: no whole number", optarg));
+      if (!seed.has_value()) return reject(fmt::format("--seed {}: no whole number", optarg));
       arguments.experiment.seed = *seed;
       return true;
     }
@@ -87,14 +87,14 @@
   }
 }
 
-bool takeScenario(std::string_view name, RunArguments& arguments) {
+bool selectScenario(std::string_view name, RunArguments& arguments) {
   const bench::Scenario* scenario = bench::findScenario(name);
-  if (scenario == nullptr) return mistake(fmt::format("no scenario \"{}\"; list names them", name));
+  if (scenario == nullptr) return reject(fmt::format("no scenario \"{}\"; list names them", name));
   arguments.experiment.scenario = *scenario;
   for (const std::string& assignment : arguments.assignments) {
     base::Reason reason;
     if (!bench::applySetting(arguments.experiment.scenario.settings, assignment, reason)) {
-      return mistake("--set " + reason.detail);
+      return reject("--set " + reason.detail);
     }
   }
   return true;
@@ -105,16 +105,16 @@
   RunArguments arguments;
   arguments.experiment.policy = routing::kDefaultPolicy;
   for (int choice = 0; (choice = getopt_long(argc, argv, "", kRunOptions.data(), nullptr)) != -1;) {
-    if (!takeOption(choice, arguments)) return std::nullopt;
+    if (!applyOption(choice, arguments)) return std::nullopt;
   }
   if (optind + 1 != argc) {
-    mistake("give one scenario; list names them");
+    reject("give one scenario; list names them");
     return std::nullopt;
   }
-  if (!takeScenario(argv[optind], arguments)) return std::nullopt;
+  if (!selectScenario(argv[optind], arguments)) return std::nullopt;
   const auto names = policyNames();
   if (std::find(names.begin(), names.end(), arguments.experiment.policy) == names.end()) {
-    mistake(fmt::format("no policy \"{}\"; list names them", arguments.experiment.policy));
+    reject(fmt::format("no policy \"{}\"; list names them", arguments.experiment.policy));
     return std::nullopt;
   }
   return arguments;
@@ -162,7 +162,7 @@
 int writeTable(int argc, char** argv) {
   const bool plot = argc == 2 && std::string_view(argv[1]) == "--plot";
   if (argc > 1 && !plot) {
-    mistake("table takes nothing but --plot");
+    reject("table takes nothing but --plot");
     return kExitUsage;
   }
   plot ? bench::writePlotData(std::cin, std::cout) : bench::writeComparison(std::cin, std::cout);
--- a/src/tools/covewing_capacity.cc
+++ b/src/tools/covewing_capacity.cc
@@ -109,16 +109,16 @@
   Options options;
   int index = 0;
   for (;;) {
-    const int read = getopt_long(argumentCount, arguments, "", kOptions.data(), &index);
-    if (read == -1) break;
-    if (read == 'q') {
+    const int flag = getopt_long(argumentCount, arguments, "", kOptions.data(), &index);
+    if (flag == -1) break;
+    if (flag == 'q') {
       options.sweep = Sweep::kQuick;
-    } else if (read == 'o') {
+    } else if (flag == 'o') {
       options.only = optarg;
-    } else if (read == 'f') {
+    } else if (flag == 'f') {
       options.hollow.failures = true;
     } else {
-      if (read != 'n') return std::nullopt;
+      if (flag != 'n') return std::nullopt;
       const auto value = parseNumber(optarg);
       if (!value ||
           !setNumber(kOptions.at(static_cast<std::size_t>(index)).name, *value, options.hollow)) {
--- a/src/tools/covewing_emulator.cc
+++ b/src/tools/covewing_emulator.cc
@@ -34,11 +34,11 @@
 
 /// Written whole under another name first, so that a reader never sees a part.
 bool writeFile(const std::string& path, const std::string& text) {
-  const std::string part = path + ".part";
-  std::ofstream file(part);
+  const std::string temporaryPath = path + ".part";
+  std::ofstream file(temporaryPath);
   file << text << '\n';
   file.close();
-  return file.good() && std::rename(part.c_str(), path.c_str()) == 0;
+  return file.good() && std::rename(temporaryPath.c_str(), path.c_str()) == 0;
 }
 
 bool publishEndpoints(const EmulatorOptions& options, const emulator_http::EmulatedFleet& fleet) {
--- a/src/tools/covewing_emulator_options.cc
+++ b/src/tools/covewing_emulator_options.cc
@@ -71,7 +71,7 @@
 };
 
 /// Values as given, before the fleet that they change is known.
-struct GivenValues {
+struct FleetOverrides {
   std::string fleet = "tournaments";
   std::optional<std::uint32_t> engines;
   std::optional<std::uint32_t> capacityBlocks;
@@ -82,11 +82,11 @@
 
 /// The text as a number in [`least`, `most`].
 template <class Number>
-bool parse(std::string_view text, Number least, Number most, Number& value) {
+bool parse(std::string_view text, Number minimum, Number maximum, Number& value) {
   Number parsed{};
   const auto result = std::from_chars(text.data(), text.data() + text.size(), parsed);
   if (result.ec != std::errc{} || result.ptr != text.data() + text.size()) return false;
-  if (parsed < least || parsed > most) return false;
+  if (parsed < minimum || parsed > maximum) return false;
   value = parsed;
   return true;
 }
@@ -98,22 +98,23 @@
   return true;
 }
 
-bool applyFlag(int flag, std::string_view text, GivenValues& given, EmulatorOptions& options) {
-  constexpr std::uint32_t kMostEngines = 1000;
-  constexpr std::uint32_t kMostBlocks = 10'000'000;
-  constexpr std::uint32_t kMostLag = 3'600'000;
-  constexpr double kMostSpeed = 1000.0;
-  constexpr double kMostRate = 1e9;
+bool applyFlag(int flag, std::string_view text, FleetOverrides& overrides,
+               EmulatorOptions& options) {
+  constexpr std::uint32_t kMaximumEngines = 1000;
+  constexpr std::uint32_t kMaximumBlocks = 10'000'000;
+  constexpr std::uint32_t kMaximumLag = 3'600'000;
+  constexpr double kMaximumSpeed = 1000.0;
+  constexpr double kMaximumRate = 1e9;
   switch (flag) {
     case kFleet:
-      given.fleet = text;
+      overrides.fleet = text;
       return emulator::fleetNamed(text).has_value();
     case kEngines:
-      return parse<std::uint32_t>(text, 1, kMostEngines, given.engines.emplace());
+      return parse<std::uint32_t>(text, 1, kMaximumEngines, overrides.engines.emplace());
     case kCapacityBlocks:
-      return parse<std::uint32_t>(text, 1, kMostBlocks, given.capacityBlocks.emplace());
+      return parse<std::uint32_t>(text, 1, kMaximumBlocks, overrides.capacityBlocks.emplace());
     case kSpeed:
-      return parse(text, 1.0 / kMostSpeed, kMostSpeed, given.speed);
+      return parse(text, 1.0 / kMaximumSpeed, kMaximumSpeed, overrides.speed);
     case kSeed:
       return parse<std::uint64_t>(text, 0, std::numeric_limits<std::uint64_t>::max(),
                                   options.fleet.seed);
@@ -129,9 +130,9 @@
       options.scenarioFile = text;
       return true;
     case kTableRate:
-      return parse(text, 0.0, kMostRate, given.tableRate.emplace());
+      return parse(text, 0.0, kMaximumRate, overrides.tableRate.emplace());
     case kMachineListLag:
-      return parse<std::uint32_t>(text, 0, kMostLag, given.machineListLag.emplace());
+      return parse<std::uint32_t>(text, 0, kMaximumLag, overrides.machineListLag.emplace());
     case kHelpFlag:
       options.help = true;
       return true;
@@ -143,14 +144,14 @@
   }
 }
 
-emulator::FleetOptions chosenFleet(const GivenValues& given) {
-  auto fleet = emulator::fleetNamed(given.fleet).value_or(emulator::tournamentsFleet());
-  fleet = emulator::spedUp(fleet, given.speed);
-  fleet.engines = given.engines.value_or(fleet.engines);
-  fleet.engine.capacityBlocks = given.capacityBlocks.value_or(fleet.engine.capacityBlocks);
-  fleet.table.rateLimit = given.tableRate.value_or(fleet.table.rateLimit);
-  if (given.machineListLag) {
-    fleet.machineList.lag = std::chrono::milliseconds(*given.machineListLag);
+emulator::FleetOptions makeFleetOptions(const FleetOverrides& overrides) {
+  auto fleet = emulator::fleetNamed(overrides.fleet).value_or(emulator::tournamentsFleet());
+  fleet = emulator::spedUp(fleet, overrides.speed);
+  fleet.engines = overrides.engines.value_or(fleet.engines);
+  fleet.engine.capacityBlocks = overrides.capacityBlocks.value_or(fleet.engine.capacityBlocks);
+  fleet.table.rateLimit = overrides.tableRate.value_or(fleet.table.rateLimit);
+  if (overrides.machineListLag) {
+    fleet.machineList.lag = std::chrono::milliseconds(*overrides.machineListLag);
   }
   return fleet;
 }
@@ -162,7 +163,7 @@
 std::optional<EmulatorOptions> parseEmulatorOptions(int argumentCount, char** arguments,
                                                     Reason& reason) {
   EmulatorOptions options;
-  GivenValues given;
+  FleetOverrides overrides;
   opterr = 0;
   while (true) {
     const int before = optind;
@@ -170,7 +171,7 @@
     const int flag = getopt_long(argumentCount, arguments, "", kFlags.data(), &index);
     if (flag == -1) break;
     const bool known = flag != '?' && flag != ':';
-    if (!known || !applyFlag(flag, optarg == nullptr ? "" : optarg, given, options)) {
+    if (!known || !applyFlag(flag, optarg == nullptr ? "" : optarg, overrides, options)) {
       reason = Reason{ResultCode::kSettingsInvalid, arguments[before]};
       return std::nullopt;
     }
@@ -179,7 +180,7 @@
     reason = Reason{ResultCode::kSettingsInvalid, arguments[optind]};
     return std::nullopt;
   }
-  options.fleet.fleet = chosenFleet(given);
+  options.fleet.fleet = makeFleetOptions(overrides);
   return options;
 }
 
--- a/src/tools/covewing_sim.cc
+++ b/src/tools/covewing_sim.cc
@@ -25,7 +25,7 @@
 
 constexpr int kExitViolation = 1;
 constexpr int kExitUsage = 2;
-constexpr std::size_t kMostViolationsShown = 3;
+constexpr std::size_t kMaximumViolationsShown = 3;
 
 struct Options {
   std::vector<const Scenario*> scenarios;
@@ -155,7 +155,7 @@
 void printViolations(const covewing::sim::SimulationResult& result) {
   std::size_t shown = 0;
   for (const auto& violation : result.violations) {
-    if (shown++ == kMostViolationsShown) break;
+    if (shown++ == kMaximumViolationsShown) break;
     fmt::print(stderr, "VIOLATION {} seed {}: {}: {} ({})\n{}\n", result.scenario, result.seed,
                covewing::sim::toString(violation.promise), violation.detail, violation.subject,
                covewing::sim::historyAround(result.history, violation));
--- a/src/tools/covewingctl.cc
+++ b/src/tools/covewingctl.cc
@@ -25,8 +25,8 @@
 constexpr std::chrono::milliseconds kPauseBetweenRounds{500};
 constexpr int kIdentifierWidth = 16;
 
-int usage(const std::string& mistake) {
-  std::cerr << "covewingctl: " << mistake << "\nTry covewingctl --help.\n";
+int usage(const std::string& errorText) {
+  std::cerr << "covewingctl: " << errorText << "\nTry covewingctl --help.\n";
   return static_cast<int>(ExitStatus::kUsage);
 }
 
@@ -52,11 +52,11 @@
 }
 
 /// Fills in what comes from the surroundings: key, operator, operation.
-bool complete(CommandLine& line, std::string& mistake) {
+bool fillInDefaults(CommandLine& line, std::string& errorText) {
   if (line.key.empty() && !line.keyFile.empty()) {
     const auto content = readAll(line.keyFile);
     if (!content) {
-      mistake = line.keyFile + ": cannot be read";
+      errorText = line.keyFile + ": cannot be read";
       return false;
     }
     line.key = content->substr(0, content->find_first_of("\r\n"));
@@ -67,16 +67,16 @@
     const char* login = std::getenv("LOGNAME");
     line.operatorName = login == nullptr ? "unknown" : login;
   }
-  if (line.operationId.empty() && isChange(line.verb->id)) line.operationId = newOperationId();
+  if (line.operationId.empty() && isMutation(line.verb->id)) line.operationId = newOperationId();
   if (line.nodes.empty()) {
-    mistake = "--node HOST:PORT is needed";
+    errorText = "--node HOST:PORT is needed";
     return false;
   }
   return true;
 }
 
 /// A change without --if-version replaces the version that the node holds now.
-ApiResult lookUpVersion(const ClientOptions& options, CommandLine& line) {
+ApiResult fetchCurrentVersion(const ClientOptions& options, CommandLine& line) {
   const CommandLine lookUp = [&line] {
     CommandLine copy = line;
     const auto verbs = verbTable();
@@ -86,13 +86,14 @@
     copy.arguments = {templateName(line)};
     return copy;
   }();
-  std::string mistake;
-  const auto call = makeCall(lookUp, "", mistake);
+  std::string errorText;
+  const auto call = makeCall(lookUp, "", errorText);
   ApiResult result = callNodes(options, *call);
   if (result.status != ExitStatus::kOk) return result;
-  const auto answer = nlohmann::json::parse(result.body, nullptr, false);
-  if (answer.is_object() && answer.contains("version") && answer["version"].is_number_unsigned()) {
-    line.ifVersion = answer["version"].get<std::uint64_t>();
+  const auto response = nlohmann::json::parse(result.body, nullptr, false);
+  if (response.is_object() && response.contains("version") &&
+      response["version"].is_number_unsigned()) {
+    line.ifVersion = response["version"].get<std::uint64_t>();
   }
   return result;
 }
@@ -103,7 +104,7 @@
       if (line.json) {
         std::cout << result.body << '\n';
       } else {
-        printAnswer(line.verb->id, result.body, std::cout);
+        printResponse(line.verb->id, result.body, std::cout);
       }
       break;
     case ExitStatus::kRefused:
@@ -156,7 +157,7 @@
 }
 
 int run(CommandLine line) {
-  std::string mistake;
+  std::string errorText;
   std::string document;
   const std::string file = fileArgument(line);
   if (!file.empty()) {
@@ -165,7 +166,7 @@
     document = *content;
   }
   if (line.verb->id == VerbId::kCheckSettings) return checkSettings(line, file, document);
-  if (!complete(line, mistake)) return usage(mistake);
+  if (!fillInDefaults(line, errorText)) return usage(errorText);
   const ClientOptions options{.nodes = line.nodes,
                               .key = line.key,
                               .timeout = line.timeout,
@@ -174,19 +175,19 @@
   const VerbId verb = line.verb->id;
   const bool needsVersion = verb == VerbId::kTemplateChange || verb == VerbId::kTemplateRetire;
   if (needsVersion && !line.ifVersion) {
-    const ApiResult result = lookUpVersion(options, line);
+    const ApiResult result = fetchCurrentVersion(options, line);
     if (result.status != ExitStatus::kOk) return report(line, result);
   }
-  const auto call = makeCall(line, document, mistake);
-  if (!call) return usage(mistake);
+  const auto call = makeCall(line, document, errorText);
+  if (!call) return usage(errorText);
   if (verb == VerbId::kExplain) return report(line, explain(options, *call));
   return report(line, callNodes(options, *call));
 }
 
 int main(int argc, char* argv[]) {
-  std::string mistake;
-  auto line = parseCommandLine(argc, argv, mistake);
-  if (!line) return usage(mistake);
+  std::string errorText;
+  auto line = parseCommandLine(argc, argv, errorText);
+  if (!line) return usage(errorText);
   if (line->showVersion) {
     std::cout << kProgramVersion << '\n';
     return static_cast<int>(ExitStatus::kOk);
--- a/src/tools/covewingctl_client.cc
+++ b/src/tools/covewingctl_client.cc
@@ -19,20 +19,20 @@
 namespace http = boost::beast::http;
 
 constexpr unsigned kHttpVersion = 11;
-constexpr std::size_t kMaximumAnswer = 64U << 20U;
+constexpr std::size_t kMaximumResponseBytes = 64U << 20U;
 constexpr unsigned kFirstErrorStatus = 400;
 
 /// What one try on one node came to.
-enum class TryOutcome : std::uint8_t {
-  kAnswered,
+enum class AttemptOutcome : std::uint8_t {
+  kResponded,
   /// Nothing was done: no connection, or the node said so.
-  kNotDone,
+  kNotExecuted,
   /// The request was sent and no complete answer came, or the node does not know the outcome.
   kUnknown,
 };
 
-struct TryResult {
-  TryOutcome outcome = TryOutcome::kNotDone;
+struct AttemptResult {
+  AttemptOutcome outcome = AttemptOutcome::kNotExecuted;
   unsigned httpStatus = 0;
   std::string body;
   std::string detail;
@@ -53,20 +53,20 @@
   Exchange(const ClientOptions& options, const base::Endpoint& node)
       : options_(options), node_(node), stream_(context_) {}
 
-  TryResult run(const ApiCall& call) {
+  AttemptResult run(const ApiCall& call) {
     const asio::ip::tcp::endpoint endpoint(asio::ip::address_v4(node_.address), node_.port);
     stream_.expires_after(options_.timeout);
     stream_.async_connect(endpoint, [this](beast::error_code error) { error_ = error; });
-    if (!finish()) return failure(TryOutcome::kNotDone, "cannot connect");
+    if (!finish()) return failure(AttemptOutcome::kNotExecuted, "cannot connect");
     const auto request = makeRequest(call);
     http::async_write(stream_, request,
                       [this](beast::error_code error, std::size_t) { error_ = error; });
-    if (!finish()) return failure(TryOutcome::kUnknown, "connection lost while sending");
+    if (!finish()) return failure(AttemptOutcome::kUnknown, "connection lost while sending");
     http::response_parser<http::string_body> parser;
-    parser.body_limit(kMaximumAnswer);
+    parser.body_limit(kMaximumResponseBytes);
     http::async_read(stream_, buffer_, parser,
                      [this](beast::error_code error, std::size_t) { error_ = error; });
-    if (!finish()) return failure(TryOutcome::kUnknown, "no complete answer");
+    if (!finish()) return failure(AttemptOutcome::kUnknown, "no complete answer");
     return classify(parser.release());
   }
 
@@ -92,31 +92,31 @@
     return request;
   }
 
-  TryResult failure(TryOutcome outcome, std::string_view what) const {
+  AttemptResult failure(AttemptOutcome outcome, std::string_view what) const {
     std::string detail = base::toString(node_);
     detail.append(": ").append(what).append(": ").append(error_.message());
     return {.outcome = outcome, .httpStatus = 0, .body = {}, .detail = std::move(detail)};
   }
 
-  TryResult classify(http::response<http::string_body> response) const {
-    TryResult result{.outcome = TryOutcome::kAnswered,
-                     .httpStatus = response.result_int(),
-                     .body = std::move(response.body()),
-                     .detail = {}};
+  AttemptResult classify(http::response<http::string_body> response) const {
+    AttemptResult result{.outcome = AttemptOutcome::kResponded,
+                         .httpStatus = response.result_int(),
+                         .body = std::move(response.body()),
+                         .detail = {}};
     switch (codeOf(result.body)) {
       case base::ResultCode::kPlatformOutcomeUnknown:
-        result.outcome = TryOutcome::kUnknown;
+        result.outcome = AttemptOutcome::kUnknown;
         break;
       case base::ResultCode::kPlatformUnavailable:
       case base::ResultCode::kPlatformRateLimited:
       case base::ResultCode::kNodeDraining:
       case base::ResultCode::kNodeOverloaded:
-        result.outcome = TryOutcome::kNotDone;
+        result.outcome = AttemptOutcome::kNotExecuted;
         break;
       default:
         break;
     }
-    if (result.outcome != TryOutcome::kAnswered) {
+    if (result.outcome != AttemptOutcome::kResponded) {
       result.detail = base::toString(node_) + ": " + result.body;
     }
     return result;
@@ -139,20 +139,20 @@
     if (round > 0) std::this_thread::sleep_for(options.pause);
     for (const auto& node : options.nodes) {
       Exchange exchange(options, node);
-      TryResult attempt = exchange.run(call);
-      if (attempt.outcome == TryOutcome::kAnswered) {
+      AttemptResult attempt = exchange.run(call);
+      if (attempt.outcome == AttemptOutcome::kResponded) {
         const bool refused = attempt.httpStatus >= kFirstErrorStatus;
         return {.status = refused ? ExitStatus::kRefused : ExitStatus::kOk,
                 .body = std::move(attempt.body),
                 .detail = {}};
       }
-      outcomeUnknown = outcomeUnknown || attempt.outcome == TryOutcome::kUnknown;
+      outcomeUnknown = outcomeUnknown || attempt.outcome == AttemptOutcome::kUnknown;
       result.body = std::move(attempt.body);
       result.detail = std::move(attempt.detail);
     }
   }
   result.status =
-      call.changes && outcomeUnknown ? ExitStatus::kUnknownOutcome : ExitStatus::kUnreachable;
+      call.mutates && outcomeUnknown ? ExitStatus::kUnknownOutcome : ExitStatus::kUnreachable;
   return result;
 }
 
--- a/src/tools/covewingctl_client.h
+++ b/src/tools/covewingctl_client.h
@@ -21,7 +21,7 @@
   std::string target;
   std::string body;
   /// The call changes something: a lost answer leaves its outcome unknown.
-  bool changes = false;
+  bool mutates = false;
 };
 
 /// Exit status of covewingctl.
--- a/src/tools/covewingctl_command_line.cc
+++ b/src/tools/covewingctl_command_line.cc
@@ -11,7 +11,7 @@
 namespace {
 
 /// Spelling and help of one option.
-struct OptionLine {
+struct OptionSpec {
   Option option;
   const char* name;
   /// Name of the value in the help; null for a flag.
@@ -21,7 +21,7 @@
   bool common;
 };
 
-constexpr OptionLine kOptionTable[] = {
+constexpr OptionSpec kOptionTable[] = {
     {Option::kNode, "node", "HOST:PORT",
      "operator address of a node (an IPv4 number); several are tried in turn", true},
     {Option::kKey, "key", "KEY",
@@ -157,14 +157,14 @@
 constexpr std::uint64_t kMaximumRounds = 100;
 constexpr std::size_t kHelpColumn = 28;
 
-const OptionLine& lineOf(Option option) {
+const OptionSpec& specOf(Option option) {
   return *std::ranges::find_if(kOptionTable,
-                               [option](const OptionLine& line) { return line.option == option; });
+                               [option](const OptionSpec& line) { return line.option == option; });
 }
 
 std::vector<option> longOptions() {
   std::vector<option> options;
-  for (const OptionLine& line : kOptionTable) {
+  for (const OptionSpec& line : kOptionTable) {
     const int argument = line.value == nullptr ? no_argument : required_argument;
     options.push_back(
         {line.name, argument, nullptr, kFirstOptionValue + static_cast<int>(line.option)});
@@ -173,15 +173,15 @@
   return options;
 }
 
-bool takesOption(const Verb& verb, Option option) {
-  return lineOf(option).common || std::ranges::find(verb.options, option) != verb.options.end();
+bool acceptsOption(const Verb& verb, Option option) {
+  return specOf(option).common || std::ranges::find(verb.options, option) != verb.options.end();
 }
 
 /// Reads one option into the command line; false with the mistake.
 class OptionReader {
  public:
-  OptionReader(CommandLine& commandLine, std::string& mistake)
-      : line_(commandLine), mistake_(mistake) {}
+  OptionReader(CommandLine& commandLine, std::string& errorText)
+      : line_(commandLine), errorText_(errorText) {}
 
   bool read(Option option, const char* value) {
     switch (option) {
@@ -241,7 +241,7 @@
 
  private:
   bool refuse(Option option, std::string_view problem) {
-    mistake_ = std::string("--") + lineOf(option).name + ": " + std::string(problem);
+    errorText_ = std::string("--") + specOf(option).name + ": " + std::string(problem);
     return false;
   }
 
@@ -277,7 +277,7 @@
   }
 
   CommandLine& line_;
-  std::string& mistake_;
+  std::string& errorText_;
 };
 
 const Verb* findVerb(std::string_view words) {
@@ -287,7 +287,7 @@
 }
 
 /// Takes the verb's words off the front of the positional arguments.
-const Verb* takeVerb(std::vector<std::string>& arguments) {
+const Verb* extractVerb(std::vector<std::string>& arguments) {
   for (const std::size_t wordCount : {std::size_t{2}, std::size_t{1}}) {
     if (arguments.size() < wordCount) continue;
     const std::string words = wordCount == 2 ? arguments[0] + " " + arguments[1] : arguments[0];
@@ -300,23 +300,23 @@
 }
 
 bool checkArguments(const CommandLine& line, const std::vector<Option>& used,
-                    std::string& mistake) {
+                    std::string& errorText) {
   const Verb& verb = *line.verb;
   for (const Option option : used) {
-    if (takesOption(verb, option)) continue;
-    mistake = std::string("--") + lineOf(option).name + ": not an option of \"" +
-              std::string(verb.words) + "\"";
+    if (acceptsOption(verb, option)) continue;
+    errorText = std::string("--") + specOf(option).name + ": not an option of \"" +
+                std::string(verb.words) + "\"";
     return false;
   }
   const std::size_t count = line.arguments.size();
   if (count < verb.minimumArguments || count > verb.maximumArguments) {
-    mistake = "usage: covewingctl " + std::string(verb.words) + " " + std::string(verb.arguments);
+    errorText = "usage: covewingctl " + std::string(verb.words) + " " + std::string(verb.arguments);
     return false;
   }
   return true;
 }
 
-std::string optionHelp(const OptionLine& line) {
+std::string optionHelp(const OptionSpec& line) {
   std::string text = std::string("  --") + line.name;
   if (line.value != nullptr) text += std::string(" ") + line.value;
   text.resize(std::max(text.size() + 1, kHelpColumn), ' ');
@@ -327,10 +327,10 @@
   std::string text;
   if (verb != nullptr && !verb->options.empty()) {
     text += "\nOptions:\n";
-    for (const Option option : verb->options) text += optionHelp(lineOf(option));
+    for (const Option option : verb->options) text += optionHelp(specOf(option));
   }
   text += "\nCommon options:\n";
-  for (const OptionLine& line : kOptionTable) {
+  for (const OptionSpec& line : kOptionTable) {
     if (line.common) text += optionHelp(line);
   }
   return text;
@@ -367,9 +367,9 @@
   return value;
 }
 
-std::optional<CommandLine> parseCommandLine(int argc, char* const argv[], std::string& mistake) {
+std::optional<CommandLine> parseCommandLine(int argc, char* const argv[], std::string& errorText) {
   CommandLine line;
-  OptionReader reader(line, mistake);
+  OptionReader reader(line, errorText);
   std::vector<Option> used;
   const std::vector<option> options = longOptions();
   optind = 1;
@@ -382,7 +382,7 @@
       continue;
     }
     if (value < kFirstOptionValue) {
-      mistake = std::string(argv[optind - 1]) + ": unknown option, or its value is missing";
+      errorText = std::string(argv[optind - 1]) + ": unknown option, or its value is missing";
       return std::nullopt;
     }
     const auto option = static_cast<Option>(value - kFirstOptionValue);
@@ -391,13 +391,13 @@
   }
   line.arguments.assign(argv + optind, argv + argc);
   const bool nothingGiven = line.arguments.empty();
-  line.verb = takeVerb(line.arguments);
+  line.verb = extractVerb(line.arguments);
   if (line.help || line.showVersion) return line;
   if (line.verb == nullptr) {
-    mistake = nothingGiven ? "no verb given" : "no such verb: " + line.arguments.front();
+    errorText = nothingGiven ? "no verb given" : "no such verb: " + line.arguments.front();
     return std::nullopt;
   }
-  if (!checkArguments(line, used, mistake)) return std::nullopt;
+  if (!checkArguments(line, used, errorText)) return std::nullopt;
   return line;
 }
 
--- a/src/tools/covewingctl_command_line.h
+++ b/src/tools/covewingctl_command_line.h
@@ -101,7 +101,7 @@
 };
 
 /// Parses the command line; empty with the mistake in `mistake`.
-std::optional<CommandLine> parseCommandLine(int argc, char* const argv[], std::string& mistake);
+std::optional<CommandLine> parseCommandLine(int argc, char* const argv[], std::string& errorText);
 
 /// A whole number in decimal digits; empty when the text is anything else or does not fit.
 std::optional<std::uint64_t> parseNumber(std::string_view text);
--- a/src/tools/covewingctl_output.cc
+++ b/src/tools/covewingctl_output.cc
@@ -94,8 +94,8 @@
   }
 }
 
-void printTemplates(const Json& answer, std::ostream& output) {
-  printTable(answer.value("templates", Json::array()),
+void printTemplates(const Json& response, std::ostream& output) {
+  printTable(response.value("templates", Json::array()),
              {{"NAME", "name"},
               {"VERSION", "version"},
               {"KIND", "kind"},
@@ -103,20 +103,20 @@
               {"STATE", "state"},
               {"BY", "author"}},
              output);
-  if (!answer.value("confirmed", true)) {
+  if (!response.value("confirmed", true)) {
     output << "The node cannot confirm that this is current.\n";
   }
 }
 
-void printHistory(const Json& answer, std::ostream& output) {
+void printHistory(const Json& response, std::ostream& output) {
   printTable(
-      answer.value("versions", Json::array()),
+      response.value("versions", Json::array()),
       {{"VERSION", "version"}, {"STATE", "state"}, {"BY", "author"}, {"OPERATION", "operation"}},
       output);
 }
 
-void printOrders(const Json& answer, std::ostream& output) {
-  printTable(answer.value("orders", Json::array()),
+void printOrders(const Json& response, std::ostream& output) {
+  printTable(response.value("orders", Json::array()),
              {{"ID", "id"},
               {"KIND", "kind"},
               {"MODEL", "model"},
@@ -130,12 +130,12 @@
              output);
 }
 
-void printOrder(const Json& answer, std::ostream& output) {
-  Json head = answer;
-  head.erase("steps");
-  printFields(head, 0, output);
+void printOrder(const Json& response, std::ostream& output) {
+  Json summary = response;
+  summary.erase("steps");
+  printFields(summary, 0, output);
   output << '\n';
-  printTable(answer.value("steps", Json::array()),
+  printTable(response.value("steps", Json::array()),
              {{"ENGINE", "engine"},
               {"STATE", "state"},
               {"MS", "elapsed_ms"},
@@ -156,8 +156,8 @@
   return text;
 }
 
-void printFleet(const Json& answer, std::ostream& output) {
-  Json rows = answer.value("engines", Json::array());
+void printFleet(const Json& response, std::ostream& output) {
+  Json rows = response.value("engines", Json::array());
   for (Json& row : rows) {
     row["weights"] = weightsText(row.value("weights", Json::array()));
     // Load is known on the engine's homes only.
@@ -176,12 +176,12 @@
              output);
 }
 
-void printNode(const Json& answer, std::ostream& output) {
-  Json head = answer;
-  head.erase("members");
-  printFields(head, 0, output);
+void printNode(const Json& response, std::ostream& output) {
+  Json summary = response;
+  summary.erase("members");
+  printFields(summary, 0, output);
   output << '\n';
-  printTable(answer.value("members", Json::array()),
+  printTable(response.value("members", Json::array()),
              {{"MEMBER", "name"},
               {"ZONE", "zone"},
               {"STATE", "state"},
@@ -190,12 +190,12 @@
              output);
 }
 
-void printExplanation(const Json& answer, std::ostream& output) {
-  Json head = answer;
-  head.erase("decisions");
-  head.erase("attempts");
-  printFields(head, 0, output);
-  for (const Json& decision : answer.value("decisions", Json::array())) {
+void printExplanation(const Json& response, std::ostream& output) {
+  Json summary = response;
+  summary.erase("decisions");
+  summary.erase("attempts");
+  printFields(summary, 0, output);
+  for (const Json& decision : response.value("decisions", Json::array())) {
     output << "\nat " << fieldOf(decision, "at_ms") << " ms: policy " << fieldOf(decision, "policy")
            << " chose " << fieldOf(decision, "chosen") << '\n';
     printTable(decision.value("candidates", Json::array()),
@@ -207,7 +207,7 @@
                output);
   }
   output << '\n';
-  printTable(answer.value("attempts", Json::array()),
+  printTable(response.value("attempts", Json::array()),
              {{"ATTEMPT", "number"},
               {"BACK END", "back_end"},
               {"STARTED MS", "started_ms"},
@@ -220,49 +220,49 @@
 
 }  // namespace
 
-void printAnswer(VerbId verb, const std::string& body, std::ostream& output) {
-  const Json answer = Json::parse(body, nullptr, false);
-  if (!answer.is_object()) {
+void printResponse(VerbId verb, const std::string& body, std::ostream& output) {
+  const Json response = Json::parse(body, nullptr, false);
+  if (!response.is_object()) {
     output << body << '\n';
     return;
   }
   switch (verb) {
     case VerbId::kTemplateList:
-      return printTemplates(answer, output);
+      return printTemplates(response, output);
     case VerbId::kTemplateHistory:
-      return printHistory(answer, output);
+      return printHistory(response, output);
     case VerbId::kOrderList:
-      return printOrders(answer, output);
+      return printOrders(response, output);
     case VerbId::kOrderLoad:
     case VerbId::kOrderSwap:
     case VerbId::kOrderRole:
     case VerbId::kOrderShow:
     case VerbId::kOrderCancel:
-      return printOrder(answer, output);
+      return printOrder(response, output);
     case VerbId::kFleet:
-      return printFleet(answer, output);
+      return printFleet(response, output);
     case VerbId::kNode:
-      return printNode(answer, output);
+      return printNode(response, output);
     case VerbId::kExplain:
-      return printExplanation(answer, output);
+      return printExplanation(response, output);
     default:
-      return printFields(answer, 0, output);
+      return printFields(response, 0, output);
   }
 }
 
 void printRefusal(const std::string& body, std::ostream& output) {
-  const Json answer = Json::parse(body, nullptr, false);
-  if (!answer.is_object()) {
+  const Json response = Json::parse(body, nullptr, false);
+  if (!response.is_object()) {
     output << "covewingctl: refused: " << body << '\n';
     return;
   }
-  output << "covewingctl: refused: " << fieldOf(answer, "code") << ' ' << fieldOf(answer, "name")
-         << ": " << fieldOf(answer, "detail") << '\n';
-  for (const Json& mistake : answer.value("mistakes", Json::array())) {
+  output << "covewingctl: refused: " << fieldOf(response, "code") << ' '
+         << fieldOf(response, "name") << ": " << fieldOf(response, "detail") << '\n';
+  for (const Json& mistake : response.value("mistakes", Json::array())) {
     output << "  " << fieldOf(mistake, "field") << ": " << fieldOf(mistake, "problem") << '\n';
   }
-  if (answer.contains("current")) {
-    const Json& current = answer["current"];
+  if (response.contains("current")) {
+    const Json& current = response["current"];
     output << "  in force: version " << fieldOf(current, "version") << ", by "
            << fieldOf(current, "holder") << '\n';
   }
--- a/src/tools/covewingctl_output.h
+++ b/src/tools/covewingctl_output.h
@@ -10,7 +10,7 @@
 namespace covewing::tools {
 
 /// Prints the answer of a call that was done.
-void printAnswer(VerbId verb, const std::string& body, std::ostream& output);
+void printResponse(VerbId verb, const std::string& body, std::ostream& output);
 /// Prints a refusal: code, detail, each field's mistake, what is in force.
 void printRefusal(const std::string& body, std::ostream& output);
 
--- a/src/tools/covewingctl_requests.cc
+++ b/src/tools/covewingctl_requests.cc
@@ -41,10 +41,10 @@
 }
 
 std::optional<ApiCall> templateWrite(const CommandLine& line, const std::string& document,
-                                     std::string& mistake) {
+                                     std::string& errorText) {
   const auto digested = config::withDigestedKeys(document);
   if (!digested) {
-    mistake = fileArgument(line) + ": not a JSON object";
+    errorText = fileArgument(line) + ": not a JSON object";
     return std::nullopt;
   }
   if (line.verb->id == VerbId::kTemplateExpand) {
@@ -68,10 +68,10 @@
 }
 
 std::optional<ApiCall> weightsOrder(const CommandLine& line, std::string_view kind,
-                                    std::string& mistake) {
+                                    std::string& errorText) {
   const auto version = parseNumber(line.arguments[1]);
   if (!version) {
-    mistake = "VERSION: must be a whole number";
+    errorText = "VERSION: must be a whole number";
     return std::nullopt;
   }
   Json body = {{"kind", kind}, {"model", line.arguments[0]}, {"version", *version}};
@@ -112,7 +112,7 @@
   return line.arguments.front();
 }
 
-bool isChange(VerbId verb) {
+bool isMutation(VerbId verb) {
   switch (verb) {
     case VerbId::kTemplateCreate:
     case VerbId::kTemplateChange:
@@ -128,12 +128,12 @@
 }
 
 std::optional<ApiCall> makeCall(const CommandLine& line, const std::string& document,
-                                std::string& mistake) {
+                                std::string& errorText) {
   switch (line.verb->id) {
     case VerbId::kTemplateCreate:
     case VerbId::kTemplateChange:
     case VerbId::kTemplateExpand:
-      return templateWrite(line, document, mistake);
+      return templateWrite(line, document, errorText);
     case VerbId::kTemplateRetire:
       return templateRetire(line);
     case VerbId::kTemplateGet:
@@ -143,9 +143,9 @@
     case VerbId::kTemplateHistory:
       return get(templateTarget(line) + "/history");
     case VerbId::kOrderLoad:
-      return weightsOrder(line, "load", mistake);
+      return weightsOrder(line, "load", errorText);
     case VerbId::kOrderSwap:
-      return weightsOrder(line, "swap", mistake);
+      return weightsOrder(line, "swap", errorText);
     case VerbId::kOrderRole:
       return roleOrder(line);
     case VerbId::kOrderList:
@@ -165,7 +165,7 @@
     case VerbId::kCheckSettings:
       break;
   }
-  mistake = "this verb makes no call";
+  errorText = "this verb makes no call";
   return std::nullopt;
 }
 
