--- a/src/tools/covewing_bench.cc
+++ b/src/tools/covewing_bench.cc
@@ -1,5 +1,5 @@
 /// \file
-/// covewing-bench: workloads and experiments, simulated and live.
+/// covewing-bench: runs workloads and experiments, in simulation or against live nodes.
 #include "tools/covewing_bench.h"
 
 #include <cstdio>
@@ -20,7 +20,7 @@
 int main(int argc, char** argv) {
   using namespace covewing::tools;
   const std::string_view verb = argc > 1 ? argv[1] : "";
-  // The verbs parse what follows their name.
+  // Each verb parses the arguments that follow its name.
   const int count = argc - 1;
   char** arguments = argv + 1;
   if (verb == "run") return runScenario(count, arguments);
--- a/src/tools/covewing_bench.h
+++ b/src/tools/covewing_bench.h
@@ -1,6 +1,6 @@
 /// \file
-/// Verbs of covewing-bench. Each takes the arguments from its own name on and returns the exit
-/// status.
+/// Verbs of covewing-bench. Each receives the arguments starting with the verb's name and returns
+/// the exit status of the program.
 #pragma once
 
 namespace covewing::tools {
@@ -11,13 +11,13 @@
 
 /// Runs one scenario in virtual time and prints its report line.
 int runScenario(int argc, char** argv);
-/// Names scenarios, policies and keys.
+/// Prints the names of the scenarios, the policies and the setting keys.
 int listScenarios();
-/// Turns report lines on standard input into a table or into columns for plots.
+/// Reads report lines from standard input and prints a comparison table, or plot data in columns.
 int writeTable(int argc, char** argv);
-/// Prints the sizes of a scenario's workload.
+/// Prints the request rates and token counts of a scenario's workload.
 int describeWorkload(int argc, char** argv);
-/// Loads running nodes over HTTP.
+/// Runs a load test over HTTP against running nodes.
 int runLive(int argc, char** argv);
 
 }  // namespace covewing::tools
--- a/src/tools/covewing_bench_live.cc
+++ b/src/tools/covewing_bench_live.cc
@@ -1,5 +1,6 @@
 /// \file
-/// covewing-bench live: load on running nodes over HTTP, measured and checked.
+/// covewing-bench live: runs a load test over HTTP against running nodes, measures latency and
+/// throughput, and checks the responses.
 #include <fmt/format.h>
 
 #include <boost/asio/io_context.hpp>
@@ -18,8 +19,9 @@
 constexpr base::Duration kAdminTimeout = std::chrono::seconds(10);
 constexpr std::size_t kExecutionsPerPage = 10'000;
 
-/// Reads the emulator's record of executions into the history, from number `from` on; false when it
-/// cannot be had. With a null history only `from` is moved to the end.
+/// Appends the entries of the emulator's execution log to `history`, starting with entry `from`,
+/// and advances `from` past the last entry read. With a null `history` it only advances `from`.
+/// Returns false if the log cannot be fetched.
 bool readExecutions(boost::asio::io_context& context, const base::Endpoint& admin,
                     std::uint64_t& from, sim::History* history) {
   live::HttpClient http(context);
--- a/src/tools/covewing_bench_live_load.cc
+++ b/src/tools/covewing_bench_live_load.cc
@@ -17,15 +17,15 @@
 constexpr double kMicrosecondsPerSecond = 1e6;
 constexpr unsigned kStatusOk = 200;
 constexpr std::string_view kStreamEndMarker = "[DONE]";
-/// Text of one token of an emulated engine.
+/// Size of the text of one token that an emulated engine generates.
 constexpr std::size_t kTokenBytes = 8;
-/// After the last start, for streams that do not end.
+/// How long the run waits for open streams to end after it has stopped starting new ones.
 constexpr Duration kDrainTimeout = std::chrono::seconds(60);
 constexpr Duration kInactivityTimeout = std::chrono::seconds(30);
 
 }  // namespace
 
-/// One stream and its times.
+/// One stream and the measurement of its token latencies.
 class LiveLoad::Stream {
  public:
   Stream(LiveLoad& owner, std::uint64_t number, LiveMeasurements& measurements)
@@ -48,7 +48,8 @@
     ++tokens_;
     ++measurements_.tokens;
   }
-  /// Ends and destroys this stream a little later.
+  /// Counts this stream as ended and schedules its destruction, so that the calling handler can
+  /// still return.
   void finish(bool complete) {
     owner_.timers_.schedule(Duration::zero(), [&owner = owner_, number = number_, complete] {
       owner.onStreamEnded(number, complete);
@@ -68,7 +69,7 @@
   std::uint64_t tokens_ = 0;
 };
 
-/// A stream through a node, as callers make it.
+/// A stream that is requested from a node over the public API, as a caller does.
 class LiveLoad::NodeStream final : public Stream, public live::HttpCallHandler {
  public:
   NodeStream(LiveLoad& owner, std::uint64_t number, const base::Endpoint& node,
@@ -157,7 +158,7 @@
   std::unique_ptr<live::HttpCall> call_;
 };
 
-/// The same stream straight to an engine.
+/// A stream that is requested directly from an engine, as a baseline without a node.
 class LiveLoad::DirectStream final : public Stream, public clients::EngineStreamHandler {
  public:
   DirectStream(LiveLoad& owner, std::uint64_t number, const clients::BackEndAddress& engine,
--- a/src/tools/covewing_bench_live_load.h
+++ b/src/tools/covewing_bench_live_load.h
@@ -1,5 +1,6 @@
 /// \file
-/// Streams of `covewing-bench live`: starts them, measures them and records what callers saw.
+/// Load generator of `covewing-bench live`: starts streams, measures them and records what the
+/// callers received.
 #pragma once
 
 #include <cstdint>
@@ -23,13 +24,13 @@
 
 namespace covewing::tools {
 
-/// Measures of the streams that took one way.
+/// Measurements of the streams of one kind: through nodes, or directly to engines.
 struct LiveMeasurements {
   std::uint64_t started = 0;
   std::uint64_t complete = 0;
   std::uint64_t failed = 0;
   std::uint64_t tokens = 0;
-  /// Milliseconds.
+  /// Time to first token and time between tokens, in milliseconds.
   bench::Quantiles firstToken;
   bench::Quantiles betweenTokens;
 };
@@ -41,12 +42,13 @@
   LiveLoad(const LiveLoad&) = delete;
   LiveLoad& operator=(const LiveLoad&) = delete;
 
-  /// Runs until all streams have ended, or a bounded time after the last was started.
+  /// Runs until all streams have ended, or until a fixed time after new streams are no longer
+  /// started.
   void run();
 
   LiveMeasurements& throughNodes() { return throughNodes_; }
   LiveMeasurements& directToEngines() { return directToEngines_; }
-  /// Calls through nodes, for the checkers.
+  /// Record of the calls through nodes, as input for the checkers.
   sim::History& history() { return history_; }
   base::Duration duration() const { return endedAt_ - startedAt_; }
   std::size_t peakOpen() const { return peakOpen_; }
--- a/src/tools/covewing_bench_live_options.h
+++ b/src/tools/covewing_bench_live_options.h
@@ -14,27 +14,29 @@
 namespace covewing::tools {
 
 struct LiveOptions {
-  /// Caller listeners of nodes; streams take them in turn.
+  /// Caller listeners of the nodes; streams are assigned to them round-robin.
   std::vector<base::Endpoint> nodes;
-  /// Engines that half of the streams go straight to; empty: all streams go through nodes.
+  /// Engines that receive every second stream directly; if empty, all streams go through nodes.
   std::vector<clients::BackEndAddress> engines;
-  /// Admin service of the emulator, for the record of executions.
+  /// Admin service of the emulator, from which the execution log is read.
   std::optional<base::Endpoint> admin;
   std::string bearerKey;
   std::string model = "rules";
-  /// Streams open at a time (closed loop).
+  /// Number of concurrent streams in a closed loop.
   std::uint32_t streams = 50;
-  /// Streams started a second (open loop); 0: closed loop.
+  /// Streams started per second in an open loop; 0 selects the closed loop.
   double rate = 0;
   base::Duration duration = std::chrono::seconds(10);
   std::uint32_t maximumTokens = 64;
-  /// Tokens of the prompt's start that all streams share, and of its own rest.
+  /// Number of leading prompt tokens that all streams share, and number of tokens after them that
+  /// are unique to each stream.
   std::uint32_t sharedTokens = 512;
   std::uint32_t ownTokens = 64;
   std::uint64_t seed = 1;
 };
 
-/// Empty, with `exitStatus` set and a message or the help printed, when there is nothing to run.
+/// Parses the command line. Returns nullopt if there is nothing to run; it has then printed the
+/// help or an error message and set `exitStatus`.
 std::optional<LiveOptions> parseLiveOptions(int argc, char** argv, int& exitStatus);
 
 }  // namespace covewing::tools
--- a/src/tools/covewing_bench_simulated.cc
+++ b/src/tools/covewing_bench_simulated.cc
@@ -1,5 +1,5 @@
 /// \file
-/// The verbs of covewing-bench that run in virtual time.
+/// Verbs of covewing-bench that run in virtual time or only process their input.
 #include <fmt/format.h>
 #include <getopt.h>
 
@@ -59,7 +59,7 @@
   return value;
 }
 
-/// Tells a mistake in the arguments; false, for the caller to return.
+/// Prints an error in the arguments and returns false, so that the caller can return the result.
 bool reject(std::string_view text) {
   fmt::print(stderr, "covewing-bench: {}\n", text);
   return false;
@@ -100,7 +100,7 @@
   return true;
 }
 
-/// Empty, after a message, when the arguments make no run.
+/// Parses the arguments of a run. Prints an error message and returns nullopt if they are invalid.
 std::optional<RunArguments> parseRun(int argc, char** argv) {
   RunArguments arguments;
   arguments.experiment.policy = routing::kDefaultPolicy;
--- a/src/tools/covewing_capacity.cc
+++ b/src/tools/covewing_capacity.cc
@@ -1,6 +1,6 @@
 /// \file
-/// covewing-capacity: measures what nodes spend on control, on hollow fleets in virtual time. One
-/// JSON line a figure on standard output.
+/// covewing-capacity: measures the control overhead of nodes on hollow fleets in virtual time.
+/// Prints one JSON line per result to standard output.
 #include <fmt/core.h>
 #include <getopt.h>
 
@@ -52,7 +52,7 @@
       static_cast<covewing::base::Duration::rep>(value * kMicroseconds)};
 }
 
-/// False for an unknown option.
+/// Sets the numeric option `name`; returns false if there is no such option.
 bool setNumber(std::string_view name, double value, HollowOptions& options) {
   FleetSize& size = options.size;
   if (name == "nodes") {
--- a/src/tools/covewing_emulator.cc
+++ b/src/tools/covewing_emulator.cc
@@ -1,4 +1,4 @@
-// covewing-emulator: the project's stand-in for engines, applications and platform services.
+// covewing-emulator: emulates engines, application replicas and platform services over HTTP.
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/signal_set.hpp>
 #include <csignal>
@@ -32,7 +32,7 @@
   return text.str();
 }
 
-/// Written whole under another name first, so that a reader never sees a part.
+/// Writes to a temporary file and renames it, so that a reader never sees a partial file.
 bool writeFile(const std::string& path, const std::string& text) {
   const std::string temporaryPath = path + ".part";
   std::ofstream file(temporaryPath);
--- a/src/tools/covewing_emulator_options.cc
+++ b/src/tools/covewing_emulator_options.cc
@@ -70,7 +70,8 @@
     option{nullptr, 0, nullptr, 0},
 };
 
-/// Values as given, before the fleet that they change is known.
+/// Command-line values that override the settings of the selected fleet. They are collected first
+/// and applied after parsing, because the fleet is not known before.
 struct FleetOverrides {
   std::string fleet = "tournaments";
   std::optional<std::uint32_t> engines;
@@ -80,7 +81,7 @@
   double speed = 1.0;
 };
 
-/// The text as a number in [`least`, `most`].
+/// Parses `text` as a number from `minimum` to `maximum`; returns false if it is not one.
 template <class Number>
 bool parse(std::string_view text, Number minimum, Number maximum, Number& value) {
   Number parsed{};
--- a/src/tools/covewing_emulator_options.h
+++ b/src/tools/covewing_emulator_options.h
@@ -12,7 +12,7 @@
 
 struct EmulatorOptions {
   emulator_http::EmulatedFleetOptions fleet;
-  /// File that receives the endpoints; empty: standard output.
+  /// File to which the endpoints are written; if empty, they go to standard output.
   std::string endpointsFile;
   std::string scenarioFile;
   bool help = false;
@@ -20,7 +20,8 @@
 };
 
 std::string_view emulatorHelp();
-/// Parses the command line; empty with a reason that names the wrong flag.
+/// Parses the command line. Returns nullopt if it is invalid, with the offending argument in
+/// `reason`.
 std::optional<EmulatorOptions> parseEmulatorOptions(int argumentCount, char** arguments,
                                                     base::Reason& reason);
 
--- a/src/tools/covewing_sim.cc
+++ b/src/tools/covewing_sim.cc
@@ -1,6 +1,6 @@
 /// \file
-/// covewing-sim: runs scenarios in the simulator and checks their histories. One JSON line a run on
-/// standard output; violations with the history around them on standard error.
+/// covewing-sim: runs scenarios in the simulator and checks their histories. Prints one JSON line
+/// per run to standard output, and violations with the surrounding history to standard error.
 #include <fmt/core.h>
 #include <getopt.h>
 
@@ -85,7 +85,8 @@
   return scenario != nullptr;
 }
 
-/// Empty with the exit status when there is nothing to run.
+/// Parses the command line. Returns nullopt, with the exit status in `status`, if there is nothing
+/// to run.
 std::optional<Options> parseArguments(int argc, char** argv, int& status) {
   enum : int {
     kSeed = 256,
@@ -162,7 +163,8 @@
   }
 }
 
-/// Runs all seeds of all scenarios, one run a thread at a time; true when none has a violation.
+/// Runs all seeds of all scenarios; each thread executes one run at a time. Returns true if no run
+/// has a violation.
 bool runAll(const Options& options) {
   const std::uint64_t seeds = options.lastSeed - options.firstSeed + 1;
   const std::uint64_t runs = seeds * options.scenarios.size();
--- a/src/tools/covewingctl.cc
+++ b/src/tools/covewingctl.cc
@@ -1,5 +1,5 @@
 /// \file
-/// covewingctl, the operators' command line. See docs/operators/covewingctl.md.
+/// covewingctl, the command-line client for operators. See docs/operators/covewingctl.md.
 #include <cstdlib>
 #include <fstream>
 #include <iomanip>
@@ -39,7 +39,7 @@
   return std::string(std::istreambuf_iterator<char>(input), std::istreambuf_iterator<char>());
 }
 
-/// Identifier of a new operation, unique without agreement.
+/// Returns a random operation identifier, which is unique without coordination.
 std::string newOperationId() {
   std::random_device device;
   std::ostringstream text;
@@ -51,7 +51,9 @@
   return text.str();
 }
 
-/// Fills in what comes from the surroundings: key, operator, operation.
+/// Fills in the values that were not given: the key from the key file or the environment, the
+/// operator name from the environment, and a new operation identifier. Returns false with
+/// `errorText` set if the key file cannot be read or no node was given.
 bool fillInDefaults(CommandLine& line, std::string& errorText) {
   if (line.key.empty() && !line.keyFile.empty()) {
     const auto content = readAll(line.keyFile);
@@ -75,7 +77,8 @@
   return true;
 }
 
-/// A change without --if-version replaces the version that the node holds now.
+/// Sets the version to replace, for a change without --if-version, to the version that the node
+/// currently has.
 ApiResult fetchCurrentVersion(const ClientOptions& options, CommandLine& line) {
   const CommandLine lookUp = [&line] {
     CommandLine copy = line;
@@ -124,7 +127,8 @@
   return static_cast<int>(result.status);
 }
 
-/// Traces live on the node that served the request: the first node that has one answers.
+/// Queries the nodes in turn until one has a trace of the request, because only the node that
+/// served the request stores its trace.
 ApiResult explain(const ClientOptions& options, const ApiCall& call) {
   ApiResult result;
   for (const auto& node : options.nodes) {
@@ -136,7 +140,7 @@
   return result;
 }
 
-/// Checks the file as a node would at its start.
+/// Validates the settings file with the checks that a node makes at start-up.
 int checkSettings(const CommandLine& line, const std::string& file, const std::string& text) {
   std::vector<live::SettingsMistake> mistakes;
   const auto settings = live::loadSettings(live::SettingsSource{file, text}, {}, mistakes);
--- a/src/tools/covewingctl_client.cc
+++ b/src/tools/covewingctl_client.cc
@@ -22,12 +22,14 @@
 constexpr std::size_t kMaximumResponseBytes = 64U << 20U;
 constexpr unsigned kFirstErrorStatus = 400;
 
-/// What one try on one node came to.
+/// Outcome of one attempt on one node.
 enum class AttemptOutcome : std::uint8_t {
   kResponded,
-  /// Nothing was done: no connection, or the node said so.
+  /// The call was not executed: the connection failed, or the node reported that it did not execute
+  /// it.
   kNotExecuted,
-  /// The request was sent and no complete answer came, or the node does not know the outcome.
+  /// The request was sent but no complete response was received, or the node does not know the
+  /// outcome.
   kUnknown,
 };
 
@@ -38,7 +40,7 @@
   std::string detail;
 };
 
-/// Result code in an error body; kOk where there is none.
+/// Returns the result code of an error body, or kOk if the body has none.
 base::ResultCode codeOf(const std::string& body) {
   const auto json = nlohmann::json::parse(body, nullptr, false);
   if (!json.is_object() || !json.contains("code") || !json["code"].is_number_unsigned()) {
@@ -47,7 +49,7 @@
   return static_cast<base::ResultCode>(json["code"].get<std::uint16_t>());
 }
 
-/// One connection for one call.
+/// Sends one call over a connection of its own.
 class Exchange {
  public:
   Exchange(const ClientOptions& options, const base::Endpoint& node)
--- a/src/tools/covewingctl_client.h
+++ b/src/tools/covewingctl_client.h
@@ -1,8 +1,8 @@
 /// \file
-/// HTTP client of covewingctl: one operator call, tried on the given nodes in turn.
+/// HTTP client of covewingctl: sends one operator call to the given nodes in turn.
 ///
-/// A call that changes something carries an operation identifier that stays the same over all
-/// tries, so that a repeat after a lost answer is recognised and not done twice.
+/// A call that changes state carries an operation identifier that is the same in all attempts, so
+/// that a retry after a lost response is recognised and not executed twice.
 #pragma once
 
 #include <chrono>
@@ -14,13 +14,13 @@
 
 namespace covewing::tools {
 
-/// One call of the operators' interface.
+/// One call of the operator API.
 struct ApiCall {
   std::string method;
   /// Path and query.
   std::string target;
   std::string body;
-  /// The call changes something: a lost answer leaves its outcome unknown.
+  /// The call changes state: if its response is lost, its outcome is unknown.
   bool mutates = false;
 };
 
@@ -35,24 +35,24 @@
 
 struct ApiResult {
   ExitStatus status = ExitStatus::kUnreachable;
-  /// The node's answer, empty when there was none.
+  /// Body of the node's response; empty if there was no response.
   std::string body;
-  /// Why there was no answer.
+  /// Reason why there is no final response.
   std::string detail;
 };
 
 struct ClientOptions {
   std::vector<base::Endpoint> nodes;
   std::string key;
-  /// Bound of each try.
+  /// Timeout of each attempt.
   std::chrono::milliseconds timeout{};
-  /// How often all nodes are tried.
+  /// Number of rounds; each round tries all nodes once.
   unsigned rounds = 3;
   /// Pause between two rounds.
   std::chrono::milliseconds pause{};
 };
 
-/// Tries the call until a node gives a final answer.
+/// Retries the call until a node returns a final response or all rounds are used up.
 ApiResult callNodes(const ClientOptions& options, const ApiCall& call);
 
 }  // namespace covewing::tools
--- a/src/tools/covewingctl_command_line.cc
+++ b/src/tools/covewingctl_command_line.cc
@@ -10,14 +10,14 @@
 
 namespace {
 
-/// Spelling and help of one option.
+/// Spelling and help text of one option.
 struct OptionSpec {
   Option option;
   const char* name;
-  /// Name of the value in the help; null for a flag.
+  /// Placeholder of the value in the help text; null for a flag.
   const char* value;
   const char* help;
-  /// Taken by every verb.
+  /// Accepted by every verb.
   bool common;
 };
 
@@ -177,7 +177,8 @@
   return specOf(option).common || std::ranges::find(verb.options, option) != verb.options.end();
 }
 
-/// Reads one option into the command line; false with the mistake.
+/// Stores parsed options in the command line. `read` returns false, with the error text set, if the
+/// value of an option is invalid.
 class OptionReader {
  public:
   OptionReader(CommandLine& commandLine, std::string& errorText)
@@ -286,7 +287,8 @@
   return verb == std::end(kVerbTable) ? nullptr : &*verb;
 }
 
-/// Takes the verb's words off the front of the positional arguments.
+/// Removes the verb's words from the front of the positional arguments and returns the verb, or
+/// null if there is no such verb.
 const Verb* extractVerb(std::vector<std::string>& arguments) {
   for (const std::size_t wordCount : {std::size_t{2}, std::size_t{1}}) {
     if (arguments.size() < wordCount) continue;
--- a/src/tools/covewingctl_command_line.h
+++ b/src/tools/covewingctl_command_line.h
@@ -1,5 +1,5 @@
 /// \file
-/// Command line of covewingctl: verbs, their options, and the parsed form.
+/// Command line of covewingctl: verbs, their options, and the parsed command line.
 #pragma once
 
 #include <chrono>
@@ -14,7 +14,7 @@
 
 namespace covewing::tools {
 
-/// Options by name; kOptionTable in the source file holds their spelling and help.
+/// Options of the command line; kOptionTable in the source file has their spelling and help text.
 enum class Option : std::uint8_t {
   kNode,
   kKey,
@@ -37,7 +37,7 @@
   kKeepOld,
 };
 
-/// What the verb is about; used to find its request and its table.
+/// Identifies a verb; selects the request that it sends and the format of its output.
 enum class VerbId : std::uint8_t {
   kTemplateCreate,
   kTemplateChange,
@@ -68,7 +68,7 @@
   std::size_t maximumArguments;
   std::string_view summary;
   std::string_view details;
-  /// Options besides the common ones.
+  /// Options that the verb accepts besides the common ones.
   std::span<const Option> options;
 };
 
@@ -76,7 +76,7 @@
 
 /// A parsed command line. Absent options keep their defaults.
 struct CommandLine {
-  /// Null with `help` or `showVersion` for the whole program.
+  /// Null if no verb was given, which is valid only with `help` or `showVersion`.
   const Verb* verb = nullptr;
   std::vector<std::string> arguments;
   bool help = false;
@@ -100,13 +100,14 @@
   bool keepOld = false;
 };
 
-/// Parses the command line; empty with the mistake in `mistake`.
+/// Parses the command line; returns nullopt with the error in `errorText` if it is invalid.
 std::optional<CommandLine> parseCommandLine(int argc, char* const argv[], std::string& errorText);
 
-/// A whole number in decimal digits; empty when the text is anything else or does not fit.
+/// Parses an unsigned decimal integer; returns nullopt if the text is anything else or does not fit
+/// into 64 bits.
 std::optional<std::uint64_t> parseNumber(std::string_view text);
 
-/// The help page of the verb, or of the program where it is null.
+/// Returns the help page of the verb, or of the whole program if `verb` is null.
 std::string helpPage(const Verb* verb);
 
 }  // namespace covewing::tools
--- a/src/tools/covewingctl_output.cc
+++ b/src/tools/covewingctl_output.cc
@@ -11,13 +11,14 @@
 
 using Json = nlohmann::json;
 
-/// A column of a table: its heading and the field that it shows.
+/// A column of a table: its heading and the JSON field that it shows.
 struct Column {
   const char* heading;
   const char* field;
 };
 
-/// Text of a value in a table cell: a text without quotes, a list with commas, nothing as "-".
+/// Returns the text of a value for a table cell: a string without quotes, a list separated by
+/// commas, and "-" for null or an empty value.
 std::string cellOf(const Json& value) {
   if (value.is_null()) return "-";
   if (value.is_string()) {
@@ -73,7 +74,7 @@
   for (const auto& line : lines) printRow(line, widths, output);
 }
 
-/// Each field on its own line; lists and objects indented below.
+/// Prints each field on its own line, with nested objects and lists of objects indented below it.
 void printFields(const Json& object, std::size_t indent, std::ostream& output) {
   const std::string margin(indent, ' ');
   for (const auto& field : object.items()) {
@@ -144,7 +145,8 @@
              output);
 }
 
-/// "rules@3(+2) prices@1": model, version and number of adapters.
+/// Returns the loaded weights as text, such as "rules@3(+2) prices@1": model, version and number of
+/// adapters.
 std::string weightsText(const Json& weights) {
   std::string text;
   for (const Json& loaded : weights) {
@@ -160,7 +162,7 @@
   Json rows = response.value("engines", Json::array());
   for (Json& row : rows) {
     row["weights"] = weightsText(row.value("weights", Json::array()));
-    // Load is known on the engine's homes only.
+    // Only the engine's home nodes know its load.
     if (row.contains("load")) row.update(Json(row["load"]));
   }
   printTable(rows,
--- a/src/tools/covewingctl_output.h
+++ b/src/tools/covewingctl_output.h
@@ -1,5 +1,5 @@
 /// \file
-/// Prints a node's JSON answers as tables and lines for people.
+/// Prints a node's JSON responses as human-readable tables and lines.
 #pragma once
 
 #include <iosfwd>
@@ -9,9 +9,10 @@
 
 namespace covewing::tools {
 
-/// Prints the answer of a call that was done.
+/// Prints the response to a successful call.
 void printResponse(VerbId verb, const std::string& body, std::ostream& output);
-/// Prints a refusal: code, detail, each field's mistake, what is in force.
+/// Prints a refusal: its code, name and detail, the error of each invalid field, and the version
+/// that is in force, if the response has it.
 void printRefusal(const std::string& body, std::ostream& output);
 
 }  // namespace covewing::tools
--- a/src/tools/covewingctl_requests.cc
+++ b/src/tools/covewingctl_requests.cc
@@ -11,7 +11,7 @@
 
 using Json = nlohmann::json;
 
-/// Percent-encodes what is not unreserved in a URI.
+/// Percent-encodes all characters except the unreserved ones of URIs.
 std::string encode(std::string_view text) {
   constexpr std::string_view kUnreserved =
       "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-._~";
--- a/src/tools/covewingctl_requests.h
+++ b/src/tools/covewingctl_requests.h
@@ -1,5 +1,5 @@
 /// \file
-/// The operator call that a command line stands for.
+/// Builds the operator API call for a command line.
 #pragma once
 
 #include <optional>
@@ -10,16 +10,17 @@
 
 namespace covewing::tools {
 
-/// Builds the call; empty with the mistake. `document` is the content of the verb's FILE argument,
-/// where it has one, and `version` the version to replace, where one is needed.
+/// Builds the call; returns nullopt with the error in `errorText` if that is not possible.
+/// `document` is the content of the verb's FILE argument, if it has one. The version to replace, if
+/// the verb needs one, is `line.ifVersion`.
 std::optional<ApiCall> makeCall(const CommandLine& line, const std::string& document,
                                 std::string& errorText);
 
-/// Name of the template that the command line is about.
+/// Returns the name of the template that the command line refers to.
 std::string templateName(const CommandLine& line);
-/// The command line's FILE argument; empty when the verb has none.
+/// Returns the command line's FILE argument; empty if the verb has none.
 std::string fileArgument(const CommandLine& line);
-/// The call changes something, so that it needs an operation identifier.
+/// Returns whether the verb changes state, so that its call needs an operation identifier.
 bool isMutation(VerbId verb);
 
 }  // namespace covewing::tools
--- a/src/tools/covewingd.cc
+++ b/src/tools/covewingd.cc
@@ -1,7 +1,7 @@
 /// \file
-/// The node's program. Exit status: 0 after a planned stop, 1 when a listener
-/// cannot be opened, 2 for mistakes in settings or flags, 3 when a stop was
-/// forced.
+/// covewingd, the node daemon. Exit status: 0 after a planned stop, 1 if a
+/// listener cannot be opened, 2 for invalid settings or flags, 3 after a
+/// forced stop.
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/signal_set.hpp>
 #include <csignal>
@@ -21,7 +21,7 @@
 constexpr int kExitUsage = 2;
 constexpr int kExitForced = 3;
 
-/// Text of the file; empty, with a mistake, when it cannot be read.
+/// Reads the settings file; if it cannot be read, adds a mistake and returns nullopt.
 std::optional<SettingsSource> readSource(const std::string &file,
                                          std::vector<SettingsMistake> &mistakes) {
   const std::ifstream stream(file);
@@ -42,7 +42,7 @@
   return settings;
 }
 
-/// First signal: planned stop. Second: end at once.
+/// Handles SIGTERM and SIGINT: the first signal starts a planned stop, the second stops at once.
 class StopSignals {
  public:
   StopSignals(boost::asio::io_context &context, Daemon &daemon)
