--- a/src/emulator_http/action.cc
+++ b/src/emulator_http/action.cc
@@ -15,44 +15,44 @@
 namespace {
 
 template <class Value>
-struct Named {
+struct NamedValue {
   std::string_view name;
   Value value;
 };
 // clang 14 does not deduce aggregates by itself.
 template <class Value>
-Named(std::string_view, Value) -> Named<Value>;
+NamedValue(std::string_view, Value) -> NamedValue<Value>;
 
 constexpr std::array kMachineVerbs = {
-    Named{"crash", MachineVerb::kCrash}, Named{"restart", MachineVerb::kRestart},
-    Named{"pause", MachineVerb::kPause}, Named{"resume", MachineVerb::kResume},
-    Named{"leave", MachineVerb::kLeave},
+    NamedValue{"crash", MachineVerb::kCrash}, NamedValue{"restart", MachineVerb::kRestart},
+    NamedValue{"pause", MachineVerb::kPause}, NamedValue{"resume", MachineVerb::kResume},
+    NamedValue{"leave", MachineVerb::kLeave},
 };
 constexpr std::array kServices = {
-    Named{"table", Service::kTable},
-    Named{"object_store", Service::kObjectStore},
-    Named{"machine_list", Service::kMachineList},
-    Named{"weight_store", Service::kWeightStore},
-    Named{"kept_cache_store", Service::kKeptCacheStore},
+    NamedValue{"table", Service::kTable},
+    NamedValue{"object_store", Service::kObjectStore},
+    NamedValue{"machine_list", Service::kMachineList},
+    NamedValue{"weight_store", Service::kWeightStore},
+    NamedValue{"kept_cache_store", Service::kKeptCacheStore},
 };
 constexpr std::array kServiceModes = {
-    Named{"normal", ServiceMode::kNormal},
-    Named{"slow", ServiceMode::kSlow},
-    Named{"down", ServiceMode::kDown},
+    NamedValue{"normal", ServiceMode::kNormal},
+    NamedValue{"slow", ServiceMode::kSlow},
+    NamedValue{"down", ServiceMode::kDown},
 };
 
 template <class Value, std::size_t Size>
-std::optional<Value> valueNamed(const std::array<Named<Value>, Size>& names,
-                                std::string_view name) {
-  for (const Named<Value>& each : names) {
-    if (each.name == name) return each.value;
+std::optional<Value> findValue(const std::array<NamedValue<Value>, Size>& names,
+                               std::string_view name) {
+  for (const NamedValue<Value>& entry : names) {
+    if (entry.name == name) return entry.value;
   }
   return std::nullopt;
 }
 
 std::optional<base::Duration> milliseconds(JsonFields& fields, std::string_view name) {
   if (!fields.has(name)) return std::nullopt;
-  return std::chrono::milliseconds(fields.smallNumber(name, 0));
+  return std::chrono::milliseconds(fields.number32(name, 0));
 }
 
 std::optional<double> probability(JsonFields& fields, std::string_view name) {
@@ -64,7 +64,7 @@
 
 std::optional<std::uint32_t> count(JsonFields& fields, std::string_view name) {
   if (!fields.has(name)) return std::nullopt;
-  return fields.smallNumber(name, 0);
+  return fields.number32(name, 0);
 }
 
 Action parseCacheEvents(JsonFields& fields) {
@@ -82,11 +82,11 @@
 
 Action parseService(JsonFields& fields) {
   ServiceAction action;
-  const auto service = valueNamed(kServices, fields.text("service"));
+  const auto service = findValue(kServices, fields.text("service"));
   if (!service) fields.fail("service");
   action.service = service.value_or(Service::kTable);
   if (fields.has("mode")) {
-    action.mode = valueNamed(kServiceModes, fields.text("mode"));
+    action.mode = findValue(kServiceModes, fields.text("mode"));
     if (!action.mode) fields.fail("mode");
   }
   action.slowLatency = milliseconds(fields, "slow_latency_ms");
@@ -128,8 +128,8 @@
   return ListMachineAction{std::move(machine)};
 }
 
-Action parseNamed(JsonFields& fields, std::string_view name) {
-  if (const auto verb = valueNamed(kMachineVerbs, name)) {
+Action parseByName(JsonFields& fields, std::string_view name) {
+  if (const auto verb = findValue(kMachineVerbs, name)) {
     return MachineAction{*verb, fields.text("machine")};
   }
   if (name == "cache_events") return parseCacheEvents(fields);
@@ -149,7 +149,7 @@
     return std::nullopt;
   }
   JsonFields fields(object, reason);
-  Action action = parseNamed(fields, fields.text("action"));
+  Action action = parseByName(fields, fields.text("action"));
   if (!fields.ok()) return std::nullopt;
   return action;
 }
@@ -159,7 +159,7 @@
   if (!object) return std::nullopt;
   JsonFields fields(*object, reason);
   std::vector<TimedAction> actions;
-  const std::vector<json> entries = fields.objects("actions");
+  const std::vector<json> entries = fields.elements("actions");
   if (!fields.ok()) return std::nullopt;
   for (std::size_t index = 0; index < entries.size(); ++index) {
     auto action = parseAction(entries[index], reason);
@@ -168,7 +168,7 @@
       return std::nullopt;
     }
     JsonFields timing(entries[index], reason);
-    const base::Duration at = std::chrono::milliseconds(timing.smallNumber("at_ms", 0));
+    const base::Duration at = std::chrono::milliseconds(timing.number32("at_ms", 0));
     if (!timing.ok()) return std::nullopt;
     actions.push_back(TimedAction{at, *std::move(action)});
   }
--- a/src/emulator_http/application_service.cc
+++ b/src/emulator_http/application_service.cc
@@ -15,11 +15,11 @@
 
 constexpr std::string_view kRequestIdHeader = "X-Request-Id";
 
-void answer(const live::HttpExchangePtr& exchange, const ApplicationResult& result) {
+void sendResult(const live::HttpExchangePtr& exchange, const ApplicationResult& result) {
   if (const auto* response = std::get_if<ApplicationResponse>(&result)) {
-    live::HttpResponse made{response->status, response->headers, response->body};
-    made.headers.push_back({std::string(kRequestIdHeader), response->requestId.value});
-    exchange->respond(std::move(made));
+    live::HttpResponse converted{response->status, response->headers, response->body};
+    converted.headers.push_back({std::string(kRequestIdHeader), response->requestId.value});
+    exchange->respond(std::move(converted));
     return;
   }
   const auto& error = std::get<DispatchError>(result);
@@ -46,7 +46,7 @@
   request.headers = http.headers;
   request.body = exchange->takeBody();
   application.call(std::move(request),
-                   [exchange](const ApplicationResult& result) { answer(exchange, result); });
+                   [exchange](const ApplicationResult& result) { sendResult(exchange, result); });
 }
 
 }  // namespace covewing::emulator_http
--- a/src/emulator_http/emulated_fleet.cc
+++ b/src/emulator_http/emulated_fleet.cc
@@ -19,7 +19,7 @@
 using namespace std::chrono_literals;
 
 /// How often a leaving machine looks whether it is idle.
-constexpr base::Duration kExitCheckPeriod = 20ms;
+constexpr base::Duration kIdlePollInterval = 20ms;
 /// Speed of the weight store while it is slow.
 constexpr double kSlowWeightStoreSpeed = 0.1;
 
@@ -35,7 +35,7 @@
   return 1.0;
 }
 
-bool unknownMachine(std::string_view name, Reason& reason) {
+bool rejectUnknownMachine(std::string_view name, Reason& reason) {
   reason = Reason{ResultCode::kInvalidField, "machine: " + std::string(name)};
   return false;
 }
@@ -159,12 +159,13 @@
 
 bool EmulatedFleet::perform(const MachineAction& action, Reason& reason) {
   const auto selected = selectMachines(action.machine);
-  if (selected.empty()) return unknownMachine(action.machine, reason);
-  return std::all_of(selected.begin(), selected.end(),
-                     [&](HostedMachine* machine) { return act(*machine, action.verb, reason); });
+  if (selected.empty()) return rejectUnknownMachine(action.machine, reason);
+  return std::all_of(selected.begin(), selected.end(), [&](HostedMachine* machine) {
+    return applyVerb(*machine, action.verb, reason);
+  });
 }
 
-bool EmulatedFleet::act(HostedMachine& machine, MachineVerb verb, Reason& reason) {
+bool EmulatedFleet::applyVerb(HostedMachine& machine, MachineVerb verb, Reason& reason) {
   switch (verb) {
     case MachineVerb::kCrash:
       crash(machine);
@@ -214,7 +215,7 @@
   const bool idle =
       machine.engine != nullptr ? machine.engine->isIdle() : machine.application->isIdle();
   if (!idle) {
-    timers_.schedule(kExitCheckPeriod, [this, &machine] { exitWhenIdle(machine); });
+    timers_.schedule(kIdlePollInterval, [this, &machine] { exitWhenIdle(machine); });
     return;
   }
   crash(machine);
@@ -232,7 +233,7 @@
     events.delay = action.delay.value_or(events.delay);
     if (action.loseKept) journal.loseKept();
   }
-  return found || unknownMachine(action.machine, reason);
+  return found || rejectUnknownMachine(action.machine, reason);
 }
 
 void EmulatedFleet::setConditions(emulator::ServiceConditions& conditions, ServiceHost& host,
@@ -280,7 +281,7 @@
     found = true;
     machine->application->faults() = action.faults;
   }
-  return found || unknownMachine(action.machine, reason);
+  return found || rejectUnknownMachine(action.machine, reason);
 }
 
 bool EmulatedFleet::perform(const ListMachineAction& action, Reason& /*reason*/) {
--- a/src/emulator_http/emulated_fleet.h
+++ b/src/emulator_http/emulated_fleet.h
@@ -91,7 +91,7 @@
   bool perform(const UnlistMachineAction& action, base::Reason& reason);
   void setConditions(emulator::ServiceConditions& conditions, ServiceHost& host,
                      const ServiceAction& action);
-  bool act(HostedMachine& machine, MachineVerb verb, base::Reason& reason);
+  bool applyVerb(HostedMachine& machine, MachineVerb verb, base::Reason& reason);
   void crash(HostedMachine& machine);
   bool restart(HostedMachine& machine, base::Reason& reason);
   void leave(HostedMachine& machine);
--- a/src/emulator_http/engine_service.cc
+++ b/src/emulator_http/engine_service.cc
@@ -23,8 +23,8 @@
   return value;
 }
 
-void answerReport(const HttpExchangePtr& exchange,
-                  const std::optional<clients::EngineReport>& report) {
+void respondWithReport(const HttpExchangePtr& exchange,
+                       const std::optional<clients::EngineReport>& report) {
   if (!report) {
     exchange->abort();
     return;
@@ -49,7 +49,7 @@
   void onEnd(clients::StreamEnd end) override {
     exchange_->write(encodeEndEvent(end));
     exchange_->end();
-    service_.forget(id_);
+    service_.removeStream(id_);
   }
   void onError(clients::DispatchError error) override {
     const bool refused = error.failure == clients::DispatchFailure::kRefusedNotRun;
@@ -58,7 +58,7 @@
     } else {
       exchange_->abort();
     }
-    service_.forget(id_);
+    service_.removeStream(id_);
   }
 
   /// Set once the engine gave it; 0 before.
@@ -96,7 +96,7 @@
     exchange->respond(errorResponse(reason, false));
     return;
   }
-  const StreamId id = ++lastStream_;
+  const StreamId id = ++lastStreamId_;
   Stream& stream =
       *streams_.emplace(id, std::make_unique<Stream>(*this, id, exchange)).first->second;
   exchange->onDisconnect([this, id] { cancel(id); });
@@ -110,11 +110,11 @@
   if (found == streams_.end()) return;
   const emulator::ExecutionId execution = found->second->execution;
   engine_.cancel(execution);
-  forget(stream);
+  removeStream(stream);
 }
 
 /// The stream may be the caller, which does nothing after this call.
-void EngineService::forget(StreamId stream) { streams_.erase(stream); }
+void EngineService::removeStream(StreamId stream) { streams_.erase(stream); }
 
 void EngineService::report(const HttpExchangePtr& exchange) {
   const auto from = parseNumber(live::findQueryValue(exchange->request().query(), "from"));
@@ -122,11 +122,11 @@
     exchange->respond(errorResponse(Reason{ResultCode::kInvalidField, "from"}, false));
     return;
   }
-  engine_.report(*from, [exchange](const auto& report) { answerReport(exchange, report); });
+  engine_.report(*from, [exchange](const auto& report) { respondWithReport(exchange, report); });
 }
 
 void EngineService::snapshot(const HttpExchangePtr& exchange) {
-  engine_.snapshot([exchange](const auto& report) { answerReport(exchange, report); });
+  engine_.snapshot([exchange](const auto& report) { respondWithReport(exchange, report); });
 }
 
 void EngineService::order(const HttpExchangePtr& exchange) {
--- a/src/emulator_http/engine_service.h
+++ b/src/emulator_http/engine_service.h
@@ -30,11 +30,11 @@
   void snapshot(const live::HttpExchangePtr& exchange);
   void order(const live::HttpExchangePtr& exchange);
   void cancel(StreamId stream);
-  void forget(StreamId stream);
+  void removeStream(StreamId stream);
 
   emulator::EngineModel& engine_;
   std::unordered_map<StreamId, std::unique_ptr<Stream>> streams_;
-  StreamId lastStream_ = 0;
+  StreamId lastStreamId_ = 0;
 };
 
 }  // namespace covewing::emulator_http
--- a/src/emulator_http/json_fields.cc
+++ b/src/emulator_http/json_fields.cc
@@ -60,7 +60,7 @@
   return fallback;
 }
 
-std::uint32_t JsonFields::smallNumber(std::string_view name, std::uint32_t fallback) {
+std::uint32_t JsonFields::number32(std::string_view name, std::uint32_t fallback) {
   const std::uint64_t value = number(name, fallback);
   if (value <= std::numeric_limits<std::uint32_t>::max()) return static_cast<std::uint32_t>(value);
   fail(name);
@@ -82,9 +82,9 @@
   return value.value_or(fallback);
 }
 
-std::vector<std::string> JsonFields::texts(std::string_view name) {
+std::vector<std::string> JsonFields::textList(std::string_view name) {
   std::vector<std::string> values;
-  for (const json& each : objects(name)) {
+  for (const json& each : elements(name)) {
     if (!each.is_string()) {
       fail(name);
       return {};
@@ -94,7 +94,7 @@
   return values;
 }
 
-std::vector<json> JsonFields::objects(std::string_view name) {
+std::vector<json> JsonFields::elements(std::string_view name) {
   const json* value = find(name);
   if (value == nullptr) return {};
   if (value->is_array()) return value->get<std::vector<json>>();
--- a/src/emulator_http/json_fields.h
+++ b/src/emulator_http/json_fields.h
@@ -30,12 +30,12 @@
   std::string text(std::string_view name, std::string fallback);
   std::uint64_t number(std::string_view name);
   std::uint64_t number(std::string_view name, std::uint64_t fallback);
-  std::uint32_t smallNumber(std::string_view name, std::uint32_t fallback);
+  std::uint32_t number32(std::string_view name, std::uint32_t fallback);
   double real(std::string_view name, double fallback);
   std::uint64_t hexadecimal(std::string_view name, std::uint64_t fallback);
-  std::vector<std::string> texts(std::string_view name);
+  std::vector<std::string> textList(std::string_view name);
   /// The elements of an array field, empty when absent.
-  std::vector<nlohmann::json> objects(std::string_view name);
+  std::vector<nlohmann::json> elements(std::string_view name);
   /// Records that a field has no valid value.
   void fail(std::string_view name);
 
--- a/src/emulator_http/platform_services.cc
+++ b/src/emulator_http/platform_services.cc
@@ -23,7 +23,7 @@
   exchange->respond(errorResponse(Reason{code, std::move(detail)}, false));
 }
 
-void answerTable(const HttpExchangePtr& exchange, const clients::TableReply& reply) {
+void respondWithTable(const HttpExchangePtr& exchange, const clients::TableReply& reply) {
   switch (reply.status) {
     case TableStatus::kOk:
       exchange->respond(live::jsonResponse(kStatusOk, encodeTableReply(reply)));
@@ -43,7 +43,7 @@
   }
 }
 
-void answerObject(const HttpExchangePtr& exchange, clients::ObjectReply reply) {
+void respondWithObject(const HttpExchangePtr& exchange, clients::ObjectReply reply) {
   switch (reply.status) {
     case ObjectStatus::kOk:
       exchange->respond(
@@ -69,8 +69,8 @@
 void handleTableCall(emulator::TableModel& table, const HttpExchangePtr& exchange) {
   const live::HttpRequest& request = exchange->request();
   const std::string_view path = request.path();
-  const auto answer = [exchange](const clients::TableReply& reply) {
-    answerTable(exchange, reply);
+  const auto callback = [exchange](const clients::TableReply& reply) {
+    respondWithTable(exchange, reply);
   };
   Reason reason;
   if (request.method != "POST") {
@@ -78,13 +78,13 @@
   }
   if (path == "/v1/read") {
     auto keys = parseTableRead(request.body, reason);
-    if (keys) return table.read(*std::move(keys), answer);
+    if (keys) return table.read(*std::move(keys), callback);
   } else if (path == "/v1/scan") {
     auto scan = parseTableScan(request.body, reason);
-    if (scan) return table.scan(std::move(scan->prefix), scan->after, scan->limit, answer);
+    if (scan) return table.scan(std::move(scan->prefix), scan->after, scan->limit, callback);
   } else if (path == "/v1/commit") {
     auto transaction = parseTableTransaction(request.body, reason);
-    if (transaction) return table.commit(*std::move(transaction), answer);
+    if (transaction) return table.commit(*std::move(transaction), callback);
   } else {
     reason = Reason{ResultCode::kUnknownPath, std::string(path)};
   }
@@ -98,11 +98,11 @@
     return refuse(exchange, ResultCode::kUnknownPath, std::string(path));
   }
   std::string name(path.substr(kObjectPrefix.size()));
-  const auto answer = [exchange](clients::ObjectReply reply) {
-    answerObject(exchange, std::move(reply));
+  const auto callback = [exchange](clients::ObjectReply reply) {
+    respondWithObject(exchange, std::move(reply));
   };
-  if (request.method == "GET") return store.get(std::move(name), answer);
-  if (request.method == "PUT") return store.put(std::move(name), exchange->takeBody(), answer);
+  if (request.method == "GET") return store.get(std::move(name), callback);
+  if (request.method == "PUT") return store.put(std::move(name), exchange->takeBody(), callback);
   refuse(exchange, ResultCode::kMethodNotAllowed, request.method);
 }
 
--- a/src/emulator_http/wire.cc
+++ b/src/emulator_http/wire.cc
@@ -76,7 +76,7 @@
   LoadedWeights weights;
   weights.model = fields.text("model");
   weights.version = fields.number("version");
-  weights.adapters = fields.texts("adapters");
+  weights.adapters = fields.textList("adapters");
   if (!fields.ok()) outer.fail("weights." + reason.detail);
   return weights;
 }
@@ -104,7 +104,7 @@
   JsonFields fields(*object, reason);
   clients::EngineRequest request;
   request.requestId.value = fields.text("request_id");
-  request.attempt = fields.smallNumber("attempt", 1);
+  request.attempt = fields.number32("attempt", 1);
   request.identity.tenantSalt = fields.hexadecimal("tenant_salt", 0);
   request.identity.model = fields.text("model");
   request.identity.adapter = fields.text("adapter", {});
@@ -116,9 +116,9 @@
   request.prompt = promptOf(fields);
   request.generated = fields.text("generated", {});
   request.nextPosition = fields.number("next_position", 0);
-  request.maximumTokens = fields.smallNumber("max_tokens", 0);
-  request.importBlocks = fields.smallNumber("import_blocks", 0);
-  request.exportBlocks = fields.smallNumber("export_blocks", 0);
+  request.maximumTokens = fields.number32("max_tokens", 0);
+  request.importBlocks = fields.number32("import_blocks", 0);
+  request.exportBlocks = fields.number32("export_blocks", 0);
   if (!fields.ok()) return std::nullopt;
   return request;
 }
@@ -150,7 +150,7 @@
   const auto object = parseObject(body, reason);
   if (!object) return std::nullopt;
   JsonFields fields(*object, reason);
-  std::vector<std::string> keys = fields.texts("keys");
+  std::vector<std::string> keys = fields.textList("keys");
   if (!fields.ok()) return std::nullopt;
   return keys;
 }
@@ -173,7 +173,7 @@
   if (!object) return std::nullopt;
   JsonFields fields(*object, reason);
   clients::TableTransaction transaction;
-  for (const json& each : fields.objects("conditions")) {
+  for (const json& each : fields.elements("conditions")) {
     if (!each.is_object()) {
       fields.fail("conditions");
       break;
@@ -182,7 +182,7 @@
     transaction.conditions.push_back({condition.text("key"), condition.number("revision")});
     if (!condition.ok()) fields.fail("conditions." + reason.detail);
   }
-  for (const json& each : fields.objects("writes")) {
+  for (const json& each : fields.elements("writes")) {
     if (!each.is_object() || !each.contains("value")) {
       fields.fail("writes");
       break;
