--- a/src/emulator_http/action.cc
+++ b/src/emulator_http/action.cc
@@ -19,7 +19,7 @@
   std::string_view name;
   Value value;
 };
-// clang 14 does not deduce aggregates by itself.
+// Clang 14 does not support class template argument deduction for aggregates.
 template <class Value>
 NamedValue(std::string_view, Value) -> NamedValue<Value>;
 
@@ -71,7 +71,8 @@
   CacheEventAction action;
   action.machine = fields.text("machine");
   action.lossRate = probability(fields, "loss_rate");
-  // A stream that loses everything is a dead engine, not a lossy one.
+  // A rate of 1 is rejected: an engine that loses all its events is indistinguishable from a dead
+  // one.
   if (action.lossRate == 1.0) fields.fail("loss_rate");
   action.lossBurst = count(fields, "loss_burst");
   if (action.lossBurst == 0U) fields.fail("loss_burst");
--- a/src/emulator_http/action.h
+++ b/src/emulator_http/action.h
@@ -1,6 +1,6 @@
 /// \file
-/// What an operator of the emulator or a scenario file can make happen (docs/EMULATOR.md, "Actions
-/// and scenarios").
+/// Actions that an operator of the emulator or a scenario file can trigger (docs/EMULATOR.md,
+/// "Actions and scenarios").
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -17,28 +17,28 @@
 
 namespace covewing::emulator_http {
 
-/// Selects every machine of the right kind.
+/// Machine name that selects every machine of the kind that the action applies to.
 inline constexpr std::string_view kAllMachines = "*";
 
 enum class MachineVerb { kCrash, kRestart, kPause, kResume, kLeave };
-/// Changes the life of engines or application replicas.
+/// Changes the process state of engines or application replicas.
 struct MachineAction {
   MachineVerb verb = MachineVerb::kCrash;
   std::string machine;
 };
 
-/// Sets how engines publish cache events; fields left out stay as they are.
+/// Sets how engines publish cache events; absent fields keep their current values.
 struct CacheEventAction {
   std::string machine;
   std::optional<double> lossRate;
   std::optional<std::uint32_t> lossBurst;
   std::optional<base::Duration> delay;
-  /// Loses what was published and is still kept.
+  /// Marks all events that are published and still retained as lost.
   bool loseKept = false;
 };
 
 enum class Service { kTable, kObjectStore, kMachineList, kWeightStore, kKeptCacheStore };
-/// Sets a service's condition; fields left out stay as they are.
+/// Sets the mode and the faults of a service; absent fields keep their current values.
 struct ServiceAction {
   Service service = Service::kTable;
   std::optional<emulator::ServiceMode> mode;
@@ -49,16 +49,17 @@
   std::optional<base::Duration> lag;
 };
 
-/// Replaces the faults of application replicas.
+/// Replaces the injected faults of application replicas.
 struct ApplicationFaultAction {
   std::string machine;
   emulator::ApplicationFaults faults;
 };
 
-/// Lists a machine that runs outside the emulator, such as a node.
+/// Adds a machine that runs outside the emulator, such as a node, to the machine list.
 struct ListMachineAction {
   clients::Machine machine;
 };
+/// Removes a machine from the machine list.
 struct UnlistMachineAction {
   std::string machine;
 };
@@ -66,7 +67,7 @@
 using Action = std::variant<MachineAction, CacheEventAction, ServiceAction, ApplicationFaultAction,
                             ListMachineAction, UnlistMachineAction>;
 
-/// An action and when it happens, from the start of the emulator.
+/// An action and the time at which it is applied, counted from the start of the emulator.
 struct TimedAction {
   base::Duration at{};
   Action action;
--- a/src/emulator_http/application_service.h
+++ b/src/emulator_http/application_service.h
@@ -7,8 +7,9 @@
 
 namespace covewing::emulator_http {
 
-/// Hands the call to the replica and its answer back. A repeated answer has no form in HTTP here
-/// and is given once; crossed answers carry the other call's identifier.
+/// Passes the call to the replica and returns its response. A response that the replica repeats is
+/// sent once, because HTTP allows only one response per request; a swapped response carries the
+/// request identifier of the other call.
 void handleApplicationCall(emulator::ApplicationModel& application,
                            const live::HttpExchangePtr& exchange);
 
--- a/src/emulator_http/emulated_fleet.cc
+++ b/src/emulator_http/emulated_fleet.cc
@@ -18,9 +18,9 @@
 
 using namespace std::chrono_literals;
 
-/// How often a leaving machine looks whether it is idle.
+/// Interval at which a leaving machine is checked for being idle.
 constexpr base::Duration kIdlePollInterval = 20ms;
-/// Speed of the weight store while it is slow.
+/// Speed of the weight store in slow mode, relative to its normal speed.
 constexpr double kSlowWeightStoreSpeed = 0.1;
 
 double weightStoreSpeed(ServiceMode mode) {
@@ -61,7 +61,8 @@
   machineList_ = makeHost([this](const HttpExchangePtr& exchange) {
     handleMachineListCall(fleet_.machineList(), exchange);
   });
-  // Nodes do not talk to the store of kept KV cache; it has a port because it is a listed machine.
+  // Nodes do not call the kept KV cache store; it has a port only because it is in the machine
+  // list.
   keptCacheStore_ = makeHost([](const HttpExchangePtr& exchange) {
     exchange->respond(errorResponse(Reason{ResultCode::kUnknownPath, "engines only"}, false));
   });
@@ -206,7 +207,8 @@
   machine.engine != nullptr ? machine.engine->leave() : machine.application->leave();
   fleet_.list(machine.place, machine.host->endpoint(), clients::MachineState::kLeaving);
   machine.exiting = true;
-  // The answers to refused calls still leave: the port closes later than the model is idle.
+  // The port stays open for a while after the model is idle, so that responses to refused calls can
+  // still be sent.
   timers_.schedule(options_.fleet.machineList.lag * 2, [this, &machine] { exitWhenIdle(machine); });
 }
 
--- a/src/emulator_http/emulated_fleet.h
+++ b/src/emulator_http/emulated_fleet.h
@@ -1,6 +1,6 @@
 /// \file
-/// A fleet model served over HTTP on loopback: one port for each engine, application replica and
-/// platform service, and an admin port that brings faults about.
+/// Serves a fleet model over HTTP, by default on loopback: one port for each engine, application
+/// replica and platform service, and an admin port for fault injection.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -23,15 +23,16 @@
 struct EmulatedFleetOptions {
   emulator::FleetOptions fleet;
   std::uint64_t seed = 1;
-  /// Address to listen at.
+  /// IPv4 address on which all ports listen.
   std::uint32_t address = 0x7f000001;
-  /// Port of the admin service, followed by the others; 0 takes free ones.
+  /// Port of the admin service; the other services use the ports after it. 0 selects free ports.
   std::uint16_t portBase = 0;
-  /// Entries of the execution log that are kept.
+  /// Maximum number of entries retained in the execution log.
   std::size_t logCapacity = 1'000'000;
 };
 
-/// Everything runs on the io_context's one thread.
+/// Emulated engines, application replicas and platform services with their HTTP ports. Everything
+/// runs on the one thread of the io_context.
 class EmulatedFleet {
  public:
   EmulatedFleet(boost::asio::io_context& context, const EmulatedFleetOptions& options,
@@ -40,18 +41,19 @@
   EmulatedFleet(const EmulatedFleet&) = delete;
   EmulatedFleet& operator=(const EmulatedFleet&) = delete;
 
-  /// Opens every port; false with a reason when one cannot be had.
+  /// Opens every port; returns false with a reason if one cannot be opened.
   bool start(base::Reason& reason);
-  /// Does the action now; false with a reason when it names something unknown.
+  /// Applies the action immediately; returns false with a reason if it names an unknown machine or
+  /// cannot be applied.
   bool apply(const Action& action, base::Reason& reason);
-  /// Does the actions at their times from now.
+  /// Schedules the actions; their times count from this call.
   void schedule(const std::vector<TimedAction>& scenario);
 
-  /// Where everything listens, as JSON (docs/EMULATOR.md, "Endpoints file").
+  /// Endpoints of all services and machines, as JSON (docs/EMULATOR.md, "Endpoints file").
   std::string endpointsJson() const;
-  /// Loads, incarnations and totals, as JSON.
+  /// Load and incarnation of each machine, and the totals of the fleet, as JSON.
   std::string statusJson();
-  /// Log entries from number `from`, at most `limit`, as JSON.
+  /// At most `limit` entries of the execution log, starting with entry number `from`, as JSON.
   std::string executionsJson(std::uint64_t from, std::size_t limit) const;
 
   emulator::FleetModel& model() { return fleet_; }
@@ -59,7 +61,7 @@
   const base::Endpoint& tableEndpoint() const { return table_->endpoint(); }
   const base::Endpoint& objectStoreEndpoint() const { return objectStore_->endpoint(); }
   const base::Endpoint& machineListEndpoint() const { return machineList_->endpoint(); }
-  /// Of an engine or application replica; empty when none has the name.
+  /// Endpoint of an engine or application replica; nullopt if there is none of that name.
   std::optional<base::Endpoint> endpointOf(std::string_view machine) const;
 
  private:
@@ -69,7 +71,7 @@
     emulator::ApplicationModel* application = nullptr;
     std::unique_ptr<EngineService> service;
     std::unique_ptr<ServiceHost> host;
-    /// Its process ends when it has answered everything.
+    /// The machine is leaving: it stops once it has no more requests in progress.
     bool exiting = false;
   };
 
--- a/src/emulator_http/emulated_fleet_admin.cc
+++ b/src/emulator_http/emulated_fleet_admin.cc
@@ -1,4 +1,5 @@
-// The admin service of an emulated fleet: actions in, endpoints, status and executions out.
+// The admin service of an emulated fleet: accepts actions and reports endpoints, status and
+// executions.
 #include <algorithm>
 #include <array>
 #include <charconv>
--- a/src/emulator_http/engine_service.cc
+++ b/src/emulator_http/engine_service.cc
@@ -34,7 +34,7 @@
 
 }  // namespace
 
-/// One generation call: turns the engine's output into server-sent events.
+/// One generation call: writes the engine's output to the response as server-sent events.
 class EngineService::Stream final : public clients::EngineStreamHandler {
  public:
   Stream(EngineService& service, StreamId id, HttpExchangePtr exchange)
@@ -61,7 +61,7 @@
     service_.removeStream(id_);
   }
 
-  /// Set once the engine gave it; 0 before.
+  /// Execution identifier assigned by the engine; 0 until it is assigned.
   emulator::ExecutionId execution = 0;
 
  private:
@@ -113,7 +113,7 @@
   removeStream(stream);
 }
 
-/// The stream may be the caller, which does nothing after this call.
+/// May be called by the stream itself, which is destroyed here and must not be used afterwards.
 void EngineService::removeStream(StreamId stream) { streams_.erase(stream); }
 
 void EngineService::report(const HttpExchangePtr& exchange) {
--- a/src/emulator_http/service_host.cc
+++ b/src/emulator_http/service_host.cc
@@ -8,7 +8,7 @@
 
 using namespace std::chrono_literals;
 
-/// Back ends take long prompts and hold idle pooled connections for long.
+/// Back ends accept long prompts and keep idle pooled connections open for a long time.
 live::HttpLimits serviceLimits() {
   live::HttpLimits limits;
   limits.bodyBytes = 64U << 20U;
--- a/src/emulator_http/service_host.h
+++ b/src/emulator_http/service_host.h
@@ -1,6 +1,6 @@
 /// \file
-/// One port of the emulator: a listener that can be taken down, as when its process dies, and
-/// brought back at the same port.
+/// One port of the emulator: a listener that can be stopped, as if its process had died, and
+/// restarted on the same port.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -16,11 +16,12 @@
   ServiceHost(boost::asio::io_context& context, live::HttpHandler handler)
       : context_(context), handler_(std::move(handler)) {}
 
-  /// Listens; port 0 takes a free one, which later starts keep.
+  /// Starts listening; port 0 selects a free port, which `restart` uses again. Returns false with a
+  /// reason if the port cannot be opened.
   bool start(const base::Endpoint& endpoint, base::Reason& reason);
-  /// Listens again at the same endpoint.
+  /// Starts listening again on the same endpoint.
   bool restart(base::Reason& reason) { return start(endpoint_, reason); }
-  /// Refuses connections and breaks the open ones.
+  /// Stops listening and closes the open connections.
   void stop() { server_.reset(); }
 
   bool isUp() const { return server_ != nullptr; }
--- a/src/emulator_http/wire.cc
+++ b/src/emulator_http/wire.cc
@@ -30,7 +30,8 @@
   }
 }
 
-/// The three lists of hashes and the order of their events.
+/// Encoding of cache events: one packed list of block hashes for each kind, and one character for
+/// each event, in the order of the events.
 struct PackedEvents {
   std::string stored;
   std::string evicted;
--- a/src/emulator_http/wire.h
+++ b/src/emulator_http/wire.h
@@ -1,5 +1,5 @@
 /// \file
-/// JSON bodies of docs/PLATFORM.md, on the side of engines and platform services.
+/// Parses and encodes the JSON bodies of docs/PLATFORM.md for engines and platform services.
 #pragma once
 
 #include <optional>
@@ -15,7 +15,7 @@
 
 namespace covewing::emulator_http {
 
-/// Each parser gives nothing, with the offending field named, when the body is wrong.
+/// Each parser returns nullopt if the body is invalid, and names the offending field in `reason`.
 std::optional<clients::EngineRequest> parseEngineRequest(std::string_view body,
                                                          base::Reason& reason);
 std::optional<clients::EngineOrder> parseEngineOrder(std::string_view body, base::Reason& reason);
@@ -34,11 +34,11 @@
 std::string encodeOrderReply(const clients::OrderReply& reply);
 std::string encodeTableReply(const clients::TableReply& reply);
 std::string encodeMachines(const std::vector<clients::Machine>& machines);
-/// One server-sent event, its blank line included.
+/// Each encodes one server-sent event, including the blank line that ends it.
 std::string encodeChunkEvent(const clients::StreamChunk& chunk);
 std::string encodeEndEvent(const clients::StreamEnd& end);
 
-/// An error answer; `ran` says whether the outcome is unknown rather than "not-run".
+/// Builds an error response. `mayHaveRun` selects the outcome "unknown" instead of "not-run".
 live::HttpResponse errorResponse(const base::Reason& reason, bool mayHaveRun);
 
 std::string_view toString(clients::MachineKind kind);
