--- a/tests/emulator_http/emulated_fleet_test.cc
+++ b/tests/emulator_http/emulated_fleet_test.cc
@@ -14,7 +14,7 @@
 
 using nlohmann::json;
 
-/// A small, fast fleet on free ports, and calls to it.
+/// A small fleet that runs faster than real time on free ports, and helpers that call it.
 struct Fixture {
   boost::asio::io_context context{1};
   live::AsioClock clock;
@@ -30,7 +30,7 @@
     BOOST_REQUIRE_MESSAGE(fleet->start(reason), reason.detail);
   }
 
-  /// Everything that the server sent until it closed the connection.
+  /// Sends a request and returns all bytes that the server sends until it closes the connection.
   std::string exchange(const base::Endpoint& endpoint, const std::string& method,
                        const std::string& target, const std::string& body,
                        const std::string& headers = {}) {
@@ -51,9 +51,9 @@
     return bodyOf(exchange(endpoint, method, target, body.dump()));
   }
 
-  void act(const json& action) {
-    const json answer = call(fleet->adminEndpoint(), "POST", "/admin/actions", action);
-    BOOST_TEST(answer.value("status", "") == "done");
+  void applyAction(const json& action) {
+    const json response = call(fleet->adminEndpoint(), "POST", "/admin/actions", action);
+    BOOST_TEST(response.value("status", "") == "done");
   }
 
   base::Endpoint engine(const char* name = "rules-01") { return fleet->endpointOf(name).value(); }
@@ -69,7 +69,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(EmulatedFleetSuite, Fixture)
 
-BOOST_AUTO_TEST_CASE(streamsTheExpectedAnswer) {
+BOOST_AUTO_TEST_CASE(streamsExpectedResponse) {
   const std::string prompt(640, 'r');
   const std::string response =
       exchange(engine(), "POST", "/v1/generate", generation(prompt, 3).dump());
@@ -87,7 +87,7 @@
   BOOST_TEST(again.find("\"cached_tokens\":160") != std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(takesPromptsThatAreNoText) {
+BOOST_AUTO_TEST_CASE(acceptsPromptsInBase64) {
   const std::string prompt("\xff\x00\x01\x02", 4);
   json body = generation("", 1);
   body.erase("prompt");
@@ -97,7 +97,7 @@
   BOOST_TEST(response.find(token) != std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(refusalSaysNotRun) {
+BOOST_AUTO_TEST_CASE(refusalReportsNotRun) {
   json body = generation("prompt", 3);
   body["weights_version"] = 9;
   const std::string response = exchange(engine(), "POST", "/v1/generate", body.dump());
@@ -108,7 +108,7 @@
   BOOST_TEST(wrong.value("detail", "") == "priority");
 }
 
-BOOST_AUTO_TEST_CASE(disconnectCancelsTheWork) {
+BOOST_AUTO_TEST_CASE(disconnectCancelsExecution) {
   live::TestClient client(context, engine());
   const std::string body = generation("prompt", 0).dump();
   client.send("POST /v1/generate HTTP/1.1\r\nHost: test\r\nContent-Length: " +
@@ -167,29 +167,29 @@
   BOOST_TEST(wrong.value("outcome", "") == "not-run");
 }
 
-BOOST_AUTO_TEST_CASE(tableLosesAnswersAfterTheEffect) {
-  act({{"action", "service"}, {"service", "table"}, {"lose_next_answers", 1}});
+BOOST_AUTO_TEST_CASE(tableLosesResponsesAfterCommit) {
+  applyAction({{"action", "service"}, {"service", "table"}, {"lose_next_answers", 1}});
   const json write = {{"writes", {{{"key", "a"}, {"value", "kept"}}}}};
   BOOST_TEST(exchange(fleet->tableEndpoint(), "POST", "/v1/commit", write.dump()).empty());
   BOOST_TEST(fleet->model().table().readNow({"a"}).rows.size() == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(downServiceRefusesConnections) {
-  act({{"action", "service"}, {"service", "table"}, {"mode", "down"}});
+  applyAction({{"action", "service"}, {"service", "table"}, {"mode", "down"}});
   BOOST_CHECK_THROW(live::TestClient(context, fleet->tableEndpoint()), std::exception);
-  act({{"action", "service"}, {"service", "table"}, {"mode", "normal"}});
+  applyAction({{"action", "service"}, {"service", "table"}, {"mode", "normal"}});
   const json read = call(fleet->tableEndpoint(), "POST", "/v1/read", {{"keys", {"a"}}});
   BOOST_TEST(read["rows"].empty());
 }
 
-BOOST_AUTO_TEST_CASE(objectStoreKeepsBytes) {
+BOOST_AUTO_TEST_CASE(objectStoreReturnsStoredBytes) {
   const base::Endpoint store = fleet->objectStoreEndpoint();
   BOOST_TEST(exchange(store, "GET", "/v1/objects/x", "").starts_with("HTTP/1.1 404"));
   BOOST_TEST(exchange(store, "PUT", "/v1/objects/x", "bytes").starts_with("HTTP/1.1 200"));
   BOOST_TEST(exchange(store, "GET", "/v1/objects/x", "").ends_with("\r\n\r\nbytes"));
 }
 
-BOOST_AUTO_TEST_CASE(crashedEngineComesBackEmptyAtItsPort) {
+BOOST_AUTO_TEST_CASE(crashedEngineRestartsEmptyOnSamePort) {
   const base::Endpoint endpoint = engine();
   exchange(endpoint, "POST", "/v1/generate", generation(std::string(640, 'r'), 1).dump());
   live::TestClient running(context, endpoint);
@@ -197,11 +197,11 @@
   running.send("POST /v1/generate HTTP/1.1\r\nHost: test\r\nContent-Length: " +
                std::to_string(body.size()) + "\r\n\r\n" + body);
   running.waitFor("\"position\": 1");
-  act({{"action", "crash"}, {"machine", "rules-01"}});
+  applyAction({{"action", "crash"}, {"machine", "rules-01"}});
   running.waitClosed();
   BOOST_TEST(!running.has("\"end\""));
   BOOST_CHECK_THROW(live::TestClient(context, endpoint), std::exception);
-  act({{"action", "restart"}, {"machine", "rules-01"}});
+  applyAction({{"action", "restart"}, {"machine", "rules-01"}});
   json report;
   do {
     report = call(endpoint, "GET", "/v1/report?from=0");
@@ -210,13 +210,13 @@
   BOOST_TEST(report["load"].value("cached_blocks", 1) == 0);
 }
 
-BOOST_AUTO_TEST_CASE(leavingEngineIsListedFinishesAndExits) {
+BOOST_AUTO_TEST_CASE(leavingEngineFinishesRequestsAndExits) {
   live::TestClient running(context, engine());
   const std::string body = generation("prompt", 50).dump();
   running.send("POST /v1/generate HTTP/1.1\r\nHost: test\r\nContent-Length: " +
                std::to_string(body.size()) + "\r\n\r\n" + body);
   running.waitFor("\"position\": 1");
-  act({{"action", "leave"}, {"machine", "rules-01"}});
+  applyAction({{"action", "leave"}, {"machine", "rules-01"}});
   running.waitFor("\"end\"");
   BOOST_TEST(running.has("\"end\""));
   json machines;
@@ -227,26 +227,26 @@
   BOOST_CHECK_THROW(live::TestClient(context, engine()), std::exception);
 }
 
-BOOST_AUTO_TEST_CASE(applicationEchoesTheRequestId) {
+BOOST_AUTO_TEST_CASE(applicationEchoesRequestId) {
   const base::Endpoint application = fleet->endpointOf("pairings-01").value();
   const std::string response =
       exchange(application, "POST", "/pairings/4", "table", "X-Request-Id: q9\r\n");
   BOOST_TEST(response.find("X-Request-Id: q9") != std::string::npos);
   BOOST_TEST(bodyOf(response).value("target", "") == "/pairings/4");
-  act({{"action", "application_faults"}, {"machine", "*"}, {"refuse", 1.0}});
+  applyAction({{"action", "application_faults"}, {"machine", "*"}, {"refuse", 1.0}});
   const std::string refused = exchange(application, "POST", "/pairings/4", "table");
   BOOST_TEST(refused.find("X-Not-Run: 1") != std::string::npos);
-  act({{"action", "application_faults"}, {"machine", "*"}, {"lose_answer", 1.0}});
+  applyAction({{"action", "application_faults"}, {"machine", "*"}, {"lose_answer", 1.0}});
   BOOST_TEST(exchange(application, "POST", "/pairings/4", "table").empty());
   BOOST_TEST(fleet->model().application(0).executions() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(applicationCrossesAnswers) {
+BOOST_AUTO_TEST_CASE(applicationSwapsResponses) {
   const base::Endpoint application = fleet->endpointOf("pairings-01").value();
-  act({{"action", "application_faults"},
-       {"machine", "*"},
-       {"cross_answer", 1.0},
-       {"delay_ms", 60'000}});
+  applyAction({{"action", "application_faults"},
+               {"machine", "*"},
+               {"cross_answer", 1.0},
+               {"delay_ms", 60'000}});
   live::TestClient first(context, application);
   live::TestClient second(context, application);
   first.send("GET /a HTTP/1.1\r\nHost: test\r\nX-Request-Id: first\r\n\r\n");
@@ -257,7 +257,7 @@
   BOOST_TEST(second.has("X-Request-Id: first"));
 }
 
-BOOST_AUTO_TEST_CASE(wrongActionsNameTheField) {
+BOOST_AUTO_TEST_CASE(invalidActionsReportField) {
   const base::Endpoint admin = fleet->adminEndpoint();
   const auto detail = [&](const json& action) {
     return call(admin, "POST", "/admin/actions", action).value("detail", "");
@@ -270,7 +270,7 @@
              "loss_rate");
 }
 
-BOOST_AUTO_TEST_CASE(scenarioActsAtItsTimes) {
+BOOST_AUTO_TEST_CASE(scenarioAppliesActionsAtTheirTimes) {
   base::Reason reason;
   const auto scenario = parseScenario(
       R"({"actions": [{"at_ms": 5, "action": "crash", "machine": "rules-02"},
