--- a/src/emulator_http/emulated_fleet.cc
+++ b/src/emulator_http/emulated_fleet.cc
@@ -18,9 +18,9 @@
 
 using namespace std::chrono_literals;
 
-/// How often a leaving machine looks whether it is idle.
-constexpr base::Duration kExitCheckPeriod = 20ms;
-/// Speed of the weight store while it is slow.
+/// Interval at which a leaving machine is checked for being idle.
+constexpr base::Duration kIdlePollInterval = 20ms;
+/// Speed of the weight store in slow mode, relative to its normal speed.
 constexpr double kSlowWeightStoreSpeed = 0.1;
 
 double weightStoreSpeed(ServiceMode mode) {
@@ -35,7 +35,7 @@
   return 1.0;
 }
 
-bool unknownMachine(std::string_view name, Reason& reason) {
+bool rejectUnknownMachine(std::string_view name, Reason& reason) {
   reason = Reason{ResultCode::kInvalidField, "machine: " + std::string(name)};
   return false;
 }
@@ -61,7 +61,8 @@
   machineList_ = makeHost([this](const HttpExchangePtr& exchange) {
     handleMachineListCall(fleet_.machineList(), exchange);
   });
-  // Nodes do not talk to the store of kept KV cache; it has a port because it is a listed machine.
+  // Nodes do not call the kept KV cache store; it has a port only because it is in the machine
+  // list.
   keptCacheStore_ = makeHost([](const HttpExchangePtr& exchange) {
     exchange->respond(errorResponse(Reason{ResultCode::kUnknownPath, "engines only"}, false));
   });
@@ -159,12 +160,13 @@
 
 bool EmulatedFleet::perform(const MachineAction& action, Reason& reason) {
   const auto selected = selectMachines(action.machine);
-  if (selected.empty()) return unknownMachine(action.machine, reason);
-  return std::all_of(selected.begin(), selected.end(),
-                     [&](HostedMachine* machine) { return act(*machine, action.verb, reason); });
+  if (selected.empty()) return rejectUnknownMachine(action.machine, reason);
+  return std::all_of(selected.begin(), selected.end(), [&](HostedMachine* machine) {
+    return applyVerb(*machine, action.verb, reason);
+  });
 }
 
-bool EmulatedFleet::act(HostedMachine& machine, MachineVerb verb, Reason& reason) {
+bool EmulatedFleet::applyVerb(HostedMachine& machine, MachineVerb verb, Reason& reason) {
   switch (verb) {
     case MachineVerb::kCrash:
       crash(machine);
@@ -205,7 +207,8 @@
   machine.engine != nullptr ? machine.engine->leave() : machine.application->leave();
   fleet_.list(machine.place, machine.host->endpoint(), clients::MachineState::kLeaving);
   machine.exiting = true;
-  // The answers to refused calls still leave: the port closes later than the model is idle.
+  // The port stays open for a while after the model is idle, so that responses to refused calls can
+  // still be sent.
   timers_.schedule(options_.fleet.machineList.lag * 2, [this, &machine] { exitWhenIdle(machine); });
 }
 
@@ -214,7 +217,7 @@
   const bool idle =
       machine.engine != nullptr ? machine.engine->isIdle() : machine.application->isIdle();
   if (!idle) {
-    timers_.schedule(kExitCheckPeriod, [this, &machine] { exitWhenIdle(machine); });
+    timers_.schedule(kIdlePollInterval, [this, &machine] { exitWhenIdle(machine); });
     return;
   }
   crash(machine);
@@ -232,7 +235,7 @@
     events.delay = action.delay.value_or(events.delay);
     if (action.loseKept) journal.loseKept();
   }
-  return found || unknownMachine(action.machine, reason);
+  return found || rejectUnknownMachine(action.machine, reason);
 }
 
 void EmulatedFleet::setConditions(emulator::ServiceConditions& conditions, ServiceHost& host,
@@ -280,7 +283,7 @@
     found = true;
     machine->application->faults() = action.faults;
   }
-  return found || unknownMachine(action.machine, reason);
+  return found || rejectUnknownMachine(action.machine, reason);
 }
 
 bool EmulatedFleet::perform(const ListMachineAction& action, Reason& /*reason*/) {
--- a/src/tools/covewing_capacity.cc
+++ b/src/tools/covewing_capacity.cc
@@ -1,6 +1,6 @@
 /// \file
-/// covewing-capacity: measures what nodes spend on control, on hollow fleets in virtual time. One
-/// JSON line a figure on standard output.
+/// covewing-capacity: measures the control overhead of nodes on hollow fleets in virtual time.
+/// Prints one JSON line per result to standard output.
 #include <fmt/core.h>
 #include <getopt.h>
 
@@ -52,7 +52,7 @@
       static_cast<covewing::base::Duration::rep>(value * kMicroseconds)};
 }
 
-/// False for an unknown option.
+/// Sets the numeric option `name`; returns false if there is no such option.
 bool setNumber(std::string_view name, double value, HollowOptions& options) {
   FleetSize& size = options.size;
   if (name == "nodes") {
@@ -109,16 +109,16 @@
   Options options;
   int index = 0;
   for (;;) {
-    const int read = getopt_long(argumentCount, arguments, "", kOptions.data(), &index);
-    if (read == -1) break;
-    if (read == 'q') {
+    const int flag = getopt_long(argumentCount, arguments, "", kOptions.data(), &index);
+    if (flag == -1) break;
+    if (flag == 'q') {
       options.sweep = Sweep::kQuick;
-    } else if (read == 'o') {
+    } else if (flag == 'o') {
       options.only = optarg;
-    } else if (read == 'f') {
+    } else if (flag == 'f') {
       options.hollow.failures = true;
     } else {
-      if (read != 'n') return std::nullopt;
+      if (flag != 'n') return std::nullopt;
       const auto value = parseNumber(optarg);
       if (!value ||
           !setNumber(kOptions.at(static_cast<std::size_t>(index)).name, *value, options.hollow)) {
--- a/src/tools/covewing_sim.cc
+++ b/src/tools/covewing_sim.cc
@@ -1,6 +1,6 @@
 /// \file
-/// covewing-sim: runs scenarios in the simulator and checks their histories. One JSON line a run on
-/// standard output; violations with the history around them on standard error.
+/// covewing-sim: runs scenarios in the simulator and checks their histories. Prints one JSON line
+/// per run to standard output, and violations with the surrounding history to standard error.
 #include <fmt/core.h>
 #include <getopt.h>
 
@@ -25,7 +25,7 @@
 
 constexpr int kExitViolation = 1;
 constexpr int kExitUsage = 2;
-constexpr std::size_t kMostViolationsShown = 3;
+constexpr std::size_t kMaximumViolationsShown = 3;
 
 struct Options {
   std::vector<const Scenario*> scenarios;
@@ -85,7 +85,8 @@
   return scenario != nullptr;
 }
 
-/// Empty with the exit status when there is nothing to run.
+/// Parses the command line. Returns nullopt, with the exit status in `status`, if there is nothing
+/// to run.
 std::optional<Options> parseArguments(int argc, char** argv, int& status) {
   enum : int {
     kSeed = 256,
@@ -155,14 +156,15 @@
 void printViolations(const covewing::sim::SimulationResult& result) {
   std::size_t shown = 0;
   for (const auto& violation : result.violations) {
-    if (shown++ == kMostViolationsShown) break;
+    if (shown++ == kMaximumViolationsShown) break;
     fmt::print(stderr, "VIOLATION {} seed {}: {}: {} ({})\n{}\n", result.scenario, result.seed,
                covewing::sim::toString(violation.promise), violation.detail, violation.subject,
                covewing::sim::historyAround(result.history, violation));
   }
 }
 
-/// Runs all seeds of all scenarios, one run a thread at a time; true when none has a violation.
+/// Runs all seeds of all scenarios; each thread executes one run at a time. Returns true if no run
+/// has a violation.
 bool runAll(const Options& options) {
   const std::uint64_t seeds = options.lastSeed - options.firstSeed + 1;
   const std::uint64_t runs = seeds * options.scenarios.size();
