--- a/src/admission/admission_options.h
+++ b/src/admission/admission_options.h
@@ -29,7 +29,7 @@
   base::Duration requestTimeout = std::chrono::milliseconds(40);
   std::uint32_t requestRetries = 1;
   /// Time during which an unresponsive home node is not queried again.
-  base::Duration unresponsiveHomeBackoff = std::chrono::seconds(1);
+  base::Duration unresponsiveHomeBackOff = std::chrono::seconds(1);
   /// Lifetime of leased concurrency slots unless renewed.
   base::Duration slotLease = std::chrono::seconds(3);
   /// Lifetime of leased rate tokens.
--- a/src/admission/tenant_quotas.cc
+++ b/src/admission/tenant_quotas.cc
@@ -417,7 +417,7 @@
 
 void TenantQuotas::onUnresponsiveHome(TenantId tenant, Share& share) {
   ++counts_.unresponsiveHomes;
-  unresponsiveUntil_[share.home] = environment_.clock.now() + options_.unresponsiveHomeBackoff;
+  unresponsiveUntil_[share.home] = environment_.clock.now() + options_.unresponsiveHomeBackOff;
   share.pendingSequence = 0;
   if (++share.unresponsiveHomes < kMaximumHomesTried && mayDecide(tenant, homeOf(tenant, share))) {
     requestLease(tenant, share, true);
@@ -428,7 +428,7 @@
 
 void TenantQuotas::decideWaitersLocally(Share& share) {
   share.unresponsiveHomes = 0;
-  share.localShareUntil = environment_.clock.now() + options_.unresponsiveHomeBackoff;
+  share.localShareUntil = environment_.clock.now() + options_.unresponsiveHomeBackOff;
   const std::deque<Waiter> waiting = std::exchange(share.waiters, {});
   for (const Waiter& waiter : waiting) waiter.callback(decideLocally(share, waiter.tokens));
 }
--- a/src/coordination/lease_manager.cc
+++ b/src/coordination/lease_manager.cc
@@ -68,7 +68,7 @@
 void LeaseManager::start() {
   started_ = true;
   // Prevents nodes that start together from calling the table service at the same moment.
-  scheduleStep(environment_.random.jittered(options_.firstBackoff, 1.0));
+  scheduleStep(environment_.random.jittered(options_.firstBackOff, 1.0));
 }
 
 std::optional<LeaseGrant> LeaseManager::grant() const {
@@ -203,9 +203,9 @@
 }
 
 void LeaseManager::backOff() {
-  backoff_ = backoff_.count() == 0 ? options_.firstBackoff
-                                   : std::min(2 * backoff_, options_.maximumBackoff);
-  scheduleStep(environment_.random.jittered(backoff_, kJitter));
+  backOff_ = backOff_.count() == 0 ? options_.firstBackOff
+                                   : std::min(2 * backOff_, options_.maximumBackOff);
+  scheduleStep(environment_.random.jittered(backOff_, kJitter));
 }
 
 void LeaseManager::step() {
@@ -239,7 +239,7 @@
 
 void LeaseManager::onReadReply(const clients::TableReply& reply) {
   if (reply.status != clients::TableStatus::kOk) return backOff();
-  backoff_ = {};
+  backOff_ = {};
   observe(reply);
   recogniseOwnWrite();
   step();
@@ -330,7 +330,7 @@
                                  bool newTenure) {
   switch (reply.status) {
     case clients::TableStatus::kOk: {
-      backoff_ = {};
+      backOff_ = {};
       if (base::eraOf(reply.revision) != attempt.row.era && !attempt.row.released) {
         // The write was decided in an earlier era and applied in this one: it gives no lease in
         // this era, so the lease is acquired again.
@@ -344,7 +344,7 @@
       return;
     }
     case clients::TableStatus::kConflict:
-      backoff_ = {};
+      backOff_ = {};
       observe(reply);
       if (attempt.row.released) return finishRelease();
       if (recogniseOwnWrite()) return;
--- a/src/coordination/lease_manager.h
+++ b/src/coordination/lease_manager.h
@@ -61,9 +61,9 @@
   base::Duration duration = std::chrono::seconds(6);
   base::Duration margin = std::chrono::milliseconds(500);
   base::Duration renewInterval = std::chrono::seconds(2);
-  /// Wait after a failed call, with jitter; doubles up to `maximumBackoff`.
-  base::Duration firstBackoff = std::chrono::milliseconds(200);
-  base::Duration maximumBackoff = std::chrono::seconds(2);
+  /// Wait after a failed call, with jitter; doubles up to `maximumBackOff`.
+  base::Duration firstBackOff = std::chrono::milliseconds(200);
+  base::Duration maximumBackOff = std::chrono::seconds(2);
   /// Interval at which a node that is not a candidate checks the membership again.
   base::Duration membershipInterval = std::chrono::seconds(2);
   std::size_t candidates = 3;
@@ -267,7 +267,7 @@
   bool releasing_ = false;
   bool stopped_ = false;
   std::function<void()> releaseDone_;
-  base::Duration backoff_{};
+  base::Duration backOff_{};
   base::TimerId stepTimer_ = 0;
   base::TimerId expiryTimer_ = 0;
   /// Callbacks that may outlive this object hold a weak reference and do nothing once it has
--- a/src/coordination/order_store.cc
+++ b/src/coordination/order_store.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr double kBackoffJitter = 0.5;
+constexpr double kBackOffJitter = 0.5;
 constexpr std::uint32_t kMaximumDoublings = 6;
 
 using clients::TableReply;
@@ -119,7 +119,7 @@
     if (attempts_ >= store_.options_.maximumAttempts) return abandon(status);
     const std::uint32_t doublings = std::min(attempts_ - 1, kMaximumDoublings);
     const base::Duration wait =
-        store_.random_.jittered(store_.options_.firstBackoff * (1U << doublings), kBackoffJitter);
+        store_.random_.jittered(store_.options_.firstBackOff * (1U << doublings), kBackOffJitter);
     store_.timers_.schedule(wait, [self = shared_from_this()] {
       if (!self->alive_.expired()) self->read();
     });
--- a/src/coordination/order_store.h
+++ b/src/coordination/order_store.h
@@ -52,7 +52,7 @@
   std::string region;
   /// Maximum number of reads of the row in one operation before it is abandoned.
   std::uint32_t maximumAttempts = 8;
-  base::Duration firstBackoff = std::chrono::milliseconds(50);
+  base::Duration firstBackOff = std::chrono::milliseconds(50);
   /// Maximum number of orders in a list.
   std::size_t listLimit = 256;
 };
--- a/src/coordination/version_watch.cc
+++ b/src/coordination/version_watch.cc
@@ -47,12 +47,12 @@
   ++trial.terminations;
   trial.orderedAt = {};
   if (trial.terminations < options_.maximumTerminations) return false;
-  auto backoff = options_.firstBackoff;
+  auto backOff = options_.firstBackOff;
   for (auto count = options_.maximumTerminations;
-       count < trial.terminations && backoff < options_.maximumBackoff; ++count)
-    backoff *= 2;
+       count < trial.terminations && backOff < options_.maximumBackOff; ++count)
+    backOff *= 2;
   const bool wasStopped = now < trial.stoppedUntil;
-  trial.stoppedUntil = now + std::min(backoff, options_.maximumBackoff);
+  trial.stoppedUntil = now + std::min(backOff, options_.maximumBackOff);
   return !wasStopped;
 }
 
--- a/src/coordination/version_watch.h
+++ b/src/coordination/version_watch.h
@@ -26,8 +26,8 @@
   /// The first replica that loads a version is observed for this long; loads take under a second.
   base::Duration canaryTime = std::chrono::milliseconds(1500);
   /// Back-off before a stopped version is tried again.
-  base::Duration firstBackoff = std::chrono::seconds(4);
-  base::Duration maximumBackoff = std::chrono::seconds(60);
+  base::Duration firstBackOff = std::chrono::seconds(4);
+  base::Duration maximumBackOff = std::chrono::seconds(60);
 };
 
 class VersionWatch {
--- a/src/coordination/weights_rollout.cc
+++ b/src/coordination/weights_rollout.cc
@@ -144,7 +144,7 @@
     case clients::WeightsOrderStatus::kFencedOff:
       environment_.log.write(base::Event::kOrderFenced, {{"replica", instance}});
       if (const auto grant = grant_()) fencedToken_ = grant->token;
-      fencedUntil_ = now + options_.fencedBackoff;
+      fencedUntil_ = now + options_.fencedBackOff;
       finish(instance, "fenced off");
       return;
     case clients::WeightsOrderStatus::kOtherInstance:
--- a/src/coordination/weights_rollout.h
+++ b/src/coordination/weights_rollout.h
@@ -53,7 +53,7 @@
   base::Duration drainTimeout = std::chrono::milliseconds(1500);
   /// After a replica rejected a fencing token as outdated, no order is sent with that token for
   /// this long: the lease has another holder, as this node will observe within about a second.
-  base::Duration fencedBackoff = std::chrono::milliseconds(1500);
+  base::Duration fencedBackOff = std::chrono::milliseconds(1500);
   /// An order without a response is sent again after this time.
   base::Duration orderRetryDelay = std::chrono::milliseconds(1000);
   /// A change is abandoned, and started again later, if its load has not finished this long after
--- a/src/live/relay_part_options.cc
+++ b/src/live/relay_part_options.cc
@@ -22,7 +22,7 @@
 constexpr double kPartialViewTolerance = 0.03;
 /// Shorter than the time to declare a node dead, so that two nodes acting as home at the same time
 /// grant little.
-constexpr base::Duration kUnresponsiveHomeBackoff = std::chrono::milliseconds(500);
+constexpr base::Duration kUnresponsiveHomeBackOff = std::chrono::milliseconds(500);
 /// A new home node starts with a quarter of a bucket, because the former home may have granted a
 /// whole one already.
 constexpr double kInitialBucketShare = 0.25;
@@ -84,7 +84,7 @@
   // advance would expire unused.
   options.tokenBatch = {};
   options.requestRetries = kQuotaRequestRetries;
-  options.unresponsiveHomeBackoff = kUnresponsiveHomeBackoff;
+  options.unresponsiveHomeBackOff = kUnresponsiveHomeBackOff;
   options.initialBucketShare = kInitialBucketShare;
   options.clusterFormationTime = node::NodeCountOptions{}.clusterFormationTime;
   options.joinPeriod = kJoinPeriod;
--- a/src/quarantine/request_quarantine.cc
+++ b/src/quarantine/request_quarantine.cc
@@ -228,9 +228,9 @@
   const auto now = environment_.clock.now();
   std::erase_if(verdicts_, [now](const auto& verdict) { return verdict.second.until < now; });
   const auto age = ageOf(entry.decidedAt);
-  const bool room =
+  const bool hasCapacity =
       verdicts_.contains(entry.request) || verdicts_.size() < options_.maximumQuarantined;
-  if (age >= options_.lifetime || !room) return false;
+  if (age >= options_.lifetime || !hasCapacity) return false;
   verdicts_[entry.request] = {entry, now + options_.lifetime - age};
   if (entry.lifted) {
     evidence_.onServed(entry.request, now);
@@ -318,9 +318,9 @@
 
 void RequestQuarantine::storeSuspect(base::RequestFingerprint request) {
   if (!writesRowsOf(request)) return;
-  const bool room =
+  const bool hasCapacity =
       suspectRows_.contains(request) || suspectRows_.size() < options_.maximumSuspectRows;
-  if (!room) return;
+  if (!hasCapacity) return;
   // If all nodes are killed before the verdict, no other record of these crashes exists. Without
   // the row, such a request crashed four more replicas and was refused 5.3 s after its third crash
   // instead of within 1 s.
--- a/src/routing/cache_lookup_client.cc
+++ b/src/routing/cache_lookup_client.cc
@@ -168,7 +168,7 @@
   if (found == pending_.end()) return;
   ++counters_.timeouts;
   for (const auto home : found->second.awaitedHomes) {
-    backOffUntil_[home] = environment_.clock.now() + options_.unresponsiveHomeBackoff;
+    backOffUntil_[home] = environment_.clock.now() + options_.unresponsiveHomeBackOff;
   }
   finish(lookupId);
 }
--- a/src/routing/cache_lookup_client.h
+++ b/src/routing/cache_lookup_client.h
@@ -29,7 +29,7 @@
   /// Maximum wait for the replies of the homes.
   base::Duration timeout = std::chrono::milliseconds(15);
   /// A home that did not reply is not queried for this long.
-  base::Duration unresponsiveHomeBackoff = std::chrono::seconds(1);
+  base::Duration unresponsiveHomeBackOff = std::chrono::seconds(1);
   /// Byte budget for the lookups and announcements that this node sends: average rate per second,
   /// and maximum burst.
   double bytesPerSecond = 14'000;
--- a/src/routing/cache_watch.cc
+++ b/src/routing/cache_watch.cc
@@ -153,7 +153,7 @@
   watch.rateLimited = rateLimit.has_value();
   environment_.stores.setLocalAvailability(name, reply.status == clients::CacheFeedStatus::kOk);
   if (reply.status != clients::CacheFeedStatus::kOk) {
-    schedule(name, watch, std::max(options_.backoff, delay));
+    schedule(name, watch, std::max(options_.backOff, delay));
     return;
   }
   const auto holder = base::engineIdOf(name);
--- a/src/routing/cache_watch.h
+++ b/src/routing/cache_watch.h
@@ -44,7 +44,7 @@
   base::Duration minimumRateLimitedDelay = std::chrono::seconds(2);
   base::Duration maximumRateLimitedDelay = std::chrono::minutes(2);
   /// Delay before the next poll after a failed one, if it is longer than the regular delay.
-  base::Duration backoff = std::chrono::milliseconds(700);
+  base::Duration backOff = std::chrono::milliseconds(700);
   /// Interval at which the set of watched replicas and stores is re-evaluated.
   base::Duration reviewInterval = std::chrono::milliseconds(500);
   /// Number of nodes that watch a replica or store which does not accept all nodes as watchers. Two
--- a/src/routing/engine_directory.cc
+++ b/src/routing/engine_directory.cc
@@ -328,10 +328,10 @@
   auto& tracking = tracking_.at(id);
   constexpr std::uint32_t kMaximumDoublings = 16;
   const auto doublings = std::min(tracking.failedDispatches, kMaximumDoublings);
-  const auto backoff = std::min(options_.initialUnreachableBackoff * (1U << doublings),
-                                options_.maximumUnreachableBackoff);
+  const auto backOff = std::min(options_.initialUnreachableBackOff * (1U << doublings),
+                                options_.maximumUnreachableBackOff);
   ++tracking.failedDispatches;
-  tracking.unreachableUntil = environment_.clock.now() + backoff;
+  tracking.unreachableUntil = environment_.clock.now() + backOff;
   refresh(*engine, tracking);
 }
 
--- a/src/routing/engine_directory.h
+++ b/src/routing/engine_directory.h
@@ -55,8 +55,8 @@
   std::uint32_t missedPollsUntilUnreachable = 2;
   /// A failed dispatch marks the engine unreachable for this long, unless it responds to a poll
   /// earlier. The duration doubles with each further failure, up to the maximum.
-  base::Duration initialUnreachableBackoff = std::chrono::seconds(1);
-  base::Duration maximumUnreachableBackoff = std::chrono::seconds(8);
+  base::Duration initialUnreachableBackOff = std::chrono::seconds(1);
+  base::Duration maximumUnreachableBackOff = std::chrono::seconds(8);
   /// An application that refused a request because it is leaving receives no requests for this
   /// long, or until it is removed from the machine list. The mark has to expire, since applications
   /// do not report their restarts.
--- a/tests/admission/admission_queue_test.cc
+++ b/tests/admission/admission_queue_test.cc
@@ -388,14 +388,14 @@
 BOOST_AUTO_TEST_CASE(RareUrgencyLevelDoesNotStarve) {
   Fixture fixture(4, 0);
   std::uint64_t id = 0;
-  int asked = 0;
+  int requested = 0;
   std::set<std::uint64_t> rareIds;
   int served = 0;
   for (int step = 0; step < 4000; ++step) {
     fixture.pass(milliseconds(50));
     fixture.queue.removeExpired(fixture.replica, fixture.now);
     if (step % 30 == 0) {
-      ++asked;
+      ++requested;
       rareIds.insert(++id);
       served += fixture.offer(fixture.entry(id, 2)).verdict == QueueVerdict::kGranted ? 1 : 0;
     }
@@ -404,8 +404,8 @@
       served += rareIds.contains(next) ? 1 : 0;
     }
   }
-  BOOST_TEST(served * 11 >= asked);
-  BOOST_TEST(served * 5 <= asked);
+  BOOST_TEST(served * 11 >= requested);
+  BOOST_TEST(served * 5 <= requested);
 }
 
 BOOST_AUTO_TEST_CASE(LateRequestsGetTheRemainingCapacity) {
--- a/tests/admission/quota_fleet_test.cc
+++ b/tests/admission/quota_fleet_test.cc
@@ -27,7 +27,7 @@
   options.clusterFormationTime = seconds(5);
   options.joinPeriod = milliseconds(800);
   options.assumedNodesWhileJoining = 32;
-  options.unresponsiveHomeBackoff = milliseconds(500);
+  options.unresponsiveHomeBackOff = milliseconds(500);
   options.partialViewTolerance = 0.03;
   return options;
 }
--- a/tests/routing/cache_watch_test.cc
+++ b/tests/routing/cache_watch_test.cc
@@ -113,7 +113,7 @@
   BOOST_TEST(matched() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(FailedPollIsRetriedAfterBackoff) {
+BOOST_AUTO_TEST_CASE(FailedPollIsRetriedAfterBackOff) {
   feed.calls.back().callback({});
   BOOST_TEST(feed.calls.size() == 1U);
   time.advance(seconds(1));
