--- a/src/admission/quota_window.h
+++ b/src/admission/quota_window.h
@@ -29,8 +29,9 @@
   /// the bucket.
   double bucketToleranceShare = 0.2;
   double bucketBurstShare = 0.25;
-  /// Of a burst of at least one second's worth of tokens, this many seconds' worth may accumulate:
-  /// if the tolerance is small, a single prompt of a tenant would otherwise exceed its bucket.
+  /// Minimum capacity of the bucket: this many seconds' worth of tokens if the burst is at least
+  /// one second's worth, otherwise this fraction of the burst. Without this minimum, a single
+  /// prompt of a tenant would exceed its bucket if the tolerance is small.
   double bucketSeconds = 0.8;
 
   /// The bucket for a tenant's limit: no window admits more than the limit allows.
--- a/src/quarantine/crash_evidence.h
+++ b/src/quarantine/crash_evidence.h
@@ -3,11 +3,12 @@
 /// time.
 ///
 /// A single crash proves little: every request that was running at the replica is equally suspect.
-/// A request that crashes each replica that starts it was running at all of its crashes and has
-/// never been served; a request that ran beside it was present at one of them, seldom at two. A
-/// request is therefore the culprit if three crashes have no other explanation, unless it has been
-/// served, and unless another suspect was present at the same crashes: the next crash distinguishes
-/// those. The crashes of a culprit count against no other request.
+/// A request that crashes every replica that starts it was running at all of those crashes and has
+/// never been served; a request that happened to run concurrently with it was present at one of
+/// them, rarely at two. A request is therefore the culprit if three crashes have no other
+/// explanation, unless it has been served, and unless another suspect was present at the same
+/// crashes: the next crash distinguishes those. The crashes of a culprit count against no other
+/// request.
 #pragma once
 
 #include <cstddef>
--- a/src/routing/instance_rate_limit.h
+++ b/src/routing/instance_rate_limit.h
@@ -16,7 +16,7 @@
 
 namespace covewing::routing {
 
-/// What was reported at some moment between two times.
+/// A rate limit notice that was reported at an unknown time between `from` and `to`.
 struct RateLimitEvidence {
   clients::RateLimitNotice notice;
   base::TimePoint from{};
--- a/src/routing/placement_home_rate_limit.cc
+++ b/src/routing/placement_home_rate_limit.cc
@@ -37,8 +37,8 @@
 }
 
 void PlacementHome::adoptRateLimit(const PlacementQuery& query) {
-  // Only limits are taken over: that there is no limit, a home accepts from the replica's responses
-  // only.
+  // Only limits are adopted: a home accepts the absence of a limit only from the replica's own
+  // responses.
   if (!query.rateLimit.notice.limited()) return;
   if (const auto record = environment_.replicas.find(query.replica))
     recordRateLimit(*record, environment_.log,
